--- a/src/policy/place.rs
+++ b/src/policy/place.rs
@@ -62,15 +62,26 @@
         caches.retain(|c| self.may_repeat_at(now, dl, c.1) && (self.open(now, c.1) || answers(c.1)));
         let tried = |id: NodeId| dl.pulls.iter().any(|p| p.left && p.node == id);
         keep_one_cold(&mut caches, |c| self.nodes.is_cold(now, c.1, self.s.cache_cold.warm_after));
-        // A download that this cache could not serve in time would only slow those begun.
-        let most = IN_TIME * self.target_s(dl) / dl.work_s;
         // Where all are as full, another cache would only hold less of what is asked for.
         let full = FULL.max(UNEVEN * caches.iter().map(|c| c.2).sum::<f64>() / caches.len().max(1) as f64);
         let mut fresh = caches.iter().filter(|c| !tried(c.1) && c.2 < full);
         let fresh = fresh.find(|c| self.bears(now, c.1, mean)).copied();
         let least = || caches.iter().copied().min_by(|a, b| a.2.total_cmp(&b.2));
         let chosen = fresh.or_else(|| least().filter(|c| self.bears(now, c.1, mean)));
-        chosen.filter(|c| c.2.max(1.0) < most).map(|c| c.1)
+        chosen.filter(|c| self.is_worth_asking(now, dl, c.2.max(1.0))).map(|c| c.1)
+    }
+
+    /// Whether a cache of this load is asked: a download that it could not serve in time would only slow those begun. The
+    /// larger an object, the lower the load at which it is late, so the largest would get next to nothing while the rest of
+    /// their content type is served: of those that are only late, a part is asked for at any load.
+    fn is_worth_asking(&mut self, now: Nanos, dl: &Dl, load: f64) -> bool {
+        let most = |within_s: f64| IN_TIME * within_s / dl.work_s;
+        if load < most(self.target_s(dl)) {
+            return true;
+        }
+        let is_large = dl.work_s > LARGE * self.row(&dl.d).mean_work_s;
+        let only_late = load < most(dl.d.expires.since(now).secs());
+        is_large && only_late && self.random.share() < LATE_SHARE
     }
 
     /// An uncacheable download runs at the origin: straight, or through a parent if that fails.
