--- a/checks/tests/checks/change_log/searches.rs
+++ b/checks/tests/checks/change_log/searches.rs
@@ -8,9 +8,8 @@
 /// Searches at once.
 const THREADS: usize = 2;
 
-/// A heartbeat that renews a lease may have left the log so many whole seconds earlier: the first after a call may wait for
-/// a period and the slack before anything shows it.
-const SECONDS_OLD: usize = 1;
+/// A heartbeat that renews a lease left the log at most so many whole seconds earlier.
+const SECONDS_OLD: usize = 0;
 
 fn bounds(events: u64, troubles: usize, seconds: u64) -> Bounds {
     Bounds { events, troubles, seconds }
--- a/relay/tests/relay/core.rs
+++ b/relay/tests/relay/core.rs
@@ -8,7 +8,7 @@
 /// A replica that is current at event 3 since second 1, with the change log and a replica as sources.
 fn current() -> Player {
     let mut player = Player::new(&config(&[2]));
-    player.connected(0.0);
+    player.connected(0.6);
     player.told(1.0, &[&list(1), &purge(2), &purge(3), "3"]);
     assert_eq!(player.core.phase(), Phase::Current);
     player.said();
@@ -74,7 +74,7 @@
 /// What a follower is told where the source's third heartbeat comes 1.7 s after the second, and another 0.1 s later.
 fn told_after_a_pause(faults: Faults) -> String {
     let mut player = Player::with_faults(&config(&[]), faults);
-    player.connected(0.0);
+    player.connected(0.6);
     player.told(1.0, &[&list(1), &purge(2), &purge(3), "3"]);
     player.follower(1.2, 1, 3);
     player.told(2.0, &["3"]);
--- a/relay/tests/relay/followers.rs
+++ b/relay/tests/relay/followers.rs
@@ -12,7 +12,7 @@
     let mut config = config(&[]);
     change(&mut config);
     let mut player = Player::new(&config);
-    player.connected(0.0);
+    player.connected(0.6);
     let mut lines = vec![list(1)];
     lines.extend((2..=upto).map(purge));
     lines.push(upto.to_string());
--- a/relay/tests/relay/heartbeat.rs
+++ b/relay/tests/relay/heartbeat.rs
@@ -15,6 +15,17 @@
     assert!(heartbeats.is_fresh(at(5.2)), "this one can't have waited for longer than the bound");
 }
 
+#[test]
+fn the_first_after_a_call_may_have_waited_since_and_is_vouched_for_only_as_an_answer() {
+    let mut heartbeats = Heartbeats::new(secs(0.5));
+    heartbeats.asked(at(0.0));
+    assert!(!heartbeats.is_fresh(at(0.6)), "it may have left with the call");
+    assert!(!heartbeats.is_fresh(at(1.0)), "so may all that come right behind it");
+    assert!(heartbeats.is_fresh(at(1.6)), "this one follows in time");
+    heartbeats.asked(at(2.0));
+    assert!(heartbeats.is_fresh(at(2.5)), "as late as the bound allows");
+}
+
 #[test]
 fn nothing_is_vouched_for_two_seconds_after_the_last() {
     let mut heartbeats = Heartbeats::new(secs(0.5));
--- a/src/change_log/heartbeat.rs
+++ b/src/change_log/heartbeat.rs
@@ -13,18 +13,23 @@
     came: Nanos,
     /// What comes before this may have waited on its way.
     queued_until: Nanos,
+    /// None has come since the stream was asked for.
+    awaits_first: bool,
 }
 
 impl Heartbeats {
     /// The stream is asked for: nothing of it has waited yet.
     pub fn asked(&mut self, now: Nanos) {
-        (self.came, self.queued_until) = (now, Nanos::ZERO);
+        (self.came, self.queued_until, self.awaits_first) = (now, Nanos::ZERO, true);
     }
 
     /// A heartbeat comes; tells whether it is sure to have left within `slack`. After a silence that is too long for one
-    /// a second, what follows within `slack` may have waited for as long.
+    /// a second, what follows within `slack` may have waited for as long. The first after a call left at any time since: it
+    /// is sure only if it comes as soon as an answer does.
     pub fn comes(&mut self, now: Nanos, slack: Nanos) -> bool {
-        if !self.are_prompt(now, slack) {
+        let is_first = std::mem::take(&mut self.awaits_first);
+        let longest = if is_first { slack } else { Self::longest_silence(slack) };
+        if now.since(self.came) > longest {
             self.queued_until = now.after(slack);
         }
         self.came = now;
--- a/tests/module/change_log/merge_heartbeats.rs
+++ b/tests/module/change_log/merge_heartbeats.rs
@@ -7,6 +7,7 @@
 fn only_a_stream_that_names_the_last_event_in_time_is_caught_up() {
     let mut play = Play::new(4);
     play.heartbeat(0, 4);
+    play.heartbeat(1, 4);
     play.event(1, 5, "five");
     play.note("one that knows of less");
     play.pass(1_000);
@@ -23,6 +24,7 @@
     play.heartbeat(1, 6);
     expect![[r#"
         stream 0 at 4: caught up
+        stream 1 at 4: caught up
         5: five
         -- one that knows of less
         stream 0 at 4: behind
@@ -37,11 +39,39 @@
     .assert_eq(&play.trace);
 }
 
+#[test]
+fn the_first_heartbeat_after_a_call_is_in_time_only_as_an_answer() {
+    let mut play = Play::new(4);
+    play.pass(500);
+    play.heartbeat(0, 4);
+    play.pass(100);
+    play.heartbeat(1, 4);
+    play.note("what comes right behind it, and what follows in time");
+    play.heartbeat(1, 4);
+    play.pass(1_000);
+    play.heartbeat(1, 4);
+    play.note("asked anew");
+    play.merge.ended(1);
+    play.ask(1);
+    play.pass(1_000);
+    play.heartbeat(1, 4);
+    expect![[r#"
+        stream 0 at 4: caught up
+        stream 1 at 4: unsure
+        -- what comes right behind it, and what follows in time
+        stream 1 at 4: unsure
+        stream 1 at 4: caught up
+        -- asked anew
+        stream 1 at 4: unsure
+    "#]]
+    .assert_eq(&play.trace);
+}
+
 #[test]
 fn one_replica_that_lags_or_was_restored_makes_nothing_begin_anew() {
     let mut play = Play::new(9);
-    for _ in 0..4 {
-        play.pass(1_000);
+    for millis in [400, 1_000, 1_000, 1_000] {
+        play.pass(millis);
         play.heartbeat(0, 9);
         play.heartbeat(1, 3);
     }
@@ -85,15 +115,15 @@
     play.note("one hears of it first");
     play.merge.ended(1);
     play.ask(1);
-    for _ in 0..2 {
-        play.pass(1_000);
+    for millis in [400, 1_000] {
+        play.pass(millis);
         play.heartbeat(1, 1);
     }
     play.note("then the other");
     play.merge.ended(0);
     play.ask(0);
-    for _ in 0..3 {
-        play.pass(1_000);
+    for millis in [400, 1_000, 1_000] {
+        play.pass(millis);
         play.heartbeat(0, 1);
         play.heartbeat(1, 1);
     }
@@ -124,7 +154,7 @@
 #[test]
 fn a_log_restored_to_an_earlier_state_is_read_anew_once_the_replica_ahead_of_it_is_silent() {
     let mut play = Play::new(100);
-    play.pass(1_000);
+    play.pass(400);
     play.heartbeat(0, 100);
     play.heartbeat(1, 100);
     play.note("restored to 80: the replica that was asked anew tells that, the other stops");
