--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -133,6 +133,14 @@
         #[command(flatten)]
         place: Place,
     },
+    /// Plays one dispatcher before a fleet of the usual size and before several times the cache hosts: a table with bounds;
+    /// ends with 1 if one was missed.
+    Growth {
+        #[command(flatten)]
+        options: slopes::growth::Options,
+        #[command(flatten)]
+        place: Place,
+    },
     /// Plays the ordinary day of a whole fleet, compressed; ends with 1 if a bound was missed, each named.
     Capacity {
         scenario: PathBuf,
@@ -301,6 +309,14 @@
             let program = place.own_program()?;
             on_threads(4, slopes::run(&options, program, &place.out, place.net))
         }
+        Command::Growth { options, place } => {
+            let program = place.own_program()?;
+            let played = slopes::growth::run(&options, program, &place.out, place.net);
+            let (table, missed) = on_threads(4, played)?;
+            println!("{table}");
+            let named = || (FAILED, missed.join("; "));
+            if missed.is_empty() { Ok(()) } else { Err(named()) }
+        }
         Command::Faults { dispatchers, seeds, long_seeds, ways, month, cut } => {
             let (seeds, long_seeds) = (seeds.max(1), long_seeds.unwrap_or(seeds).max(1));
             let options =
--- a/lab/src/slopes/dispatcher.rs
+++ b/lab/src/slopes/dispatcher.rs
@@ -1,7 +1,7 @@
 //! One real dispatcher beside stand-ins: what it is told, its start, and what it uses over a window.
 
 use super::change_log::ChangeLog;
-use super::usage::{Usage, usage};
+use super::usage::{Usage, peak_mb, usage};
 use crate::processes::ready;
 use serde_json::{Value, json};
 use std::net::{IpAddr, SocketAddr};
@@ -13,7 +13,7 @@
 
 /// Sites of the told fleet, and the dispatchers of one.
 pub const SITES: usize = 34;
-const SITE_DISPATCHERS: usize = 18;
+pub const SITE_DISPATCHERS: usize = 18;
 /// Nodes' weights, in transfers at once: never the limit here.
 const WEIGHT: u32 = 100_000;
 /// What clients take of one answer, in KB a second.
@@ -37,9 +37,9 @@
 
 impl ListedNode {
     /// Its line of the list, with one of two states that both take work.
-    pub fn line(&self, weight: u32) -> Value {
+    pub fn line(&self, weight: impl Into<Value>) -> Value {
         json!({"id": self.id, "addr": self.address.to_string(), "zone": site_name(self.site), "kind": self.kind,
-            "cell": 0, "state": "active", "weight": weight, "started_ms": 0})
+            "cell": 0, "state": "active", "weight": weight.into(), "started_ms": 0})
     }
 }
 
@@ -69,14 +69,24 @@
 
 /// The event that tells the whole list.
 pub fn whole_list(nodes: &[ListedNode]) -> String {
-    let servers: Vec<_> = nodes.iter().map(|node| node.line(WEIGHT)).collect();
+    whole_list_at(nodes, WEIGHT)
+}
+
+/// The same with nodes of another weight.
+pub fn whole_list_at(nodes: &[ListedNode], weight: impl Into<Value> + Copy) -> String {
+    let servers: Vec<_> = nodes.iter().map(|node| node.line(weight)).collect();
     json!({"seq": 1, "fleet": {"version": 1, "full": true, "servers": servers}}).to_string()
 }
 
 /// The event in which one node's line has changed.
 pub fn changed_line(nodes: &[ListedNode], number: u64) -> String {
-    let node = &nodes[number as usize % nodes.len()];
-    let line = node.line(WEIGHT + (number % 2) as u32);
+    let weight = WEIGHT + (number % 2) as u32;
+    changed_line_at(nodes, number, weight)
+}
+
+/// The same with a weight of another size.
+pub fn changed_line_at(nodes: &[ListedNode], number: u64, weight: impl Into<Value>) -> String {
+    let line = nodes[number as usize % nodes.len()].line(weight);
     json!({"seq": number, "fleet": {"version": number, "full": false, "servers": [line]}}).to_string()
 }
 
@@ -219,6 +229,11 @@
         usage(self.pid).ok_or_else(|| "the dispatcher has ended".to_string())
     }
 
+    /// The most memory that it has had resident so far, in MB.
+    pub fn peak_mb(&self) -> Result<f64, String> {
+        peak_mb(self.pid).ok_or_else(|| "the dispatcher has ended".to_string())
+    }
+
     /// Waits until it has done what it was given; returns what it has used by then.
     pub async fn settle(&self) -> Result<Usage, String> {
         let begun = Instant::now();
--- a/lab/src/slopes/mod.rs
+++ b/lab/src/slopes/mod.rs
@@ -6,6 +6,8 @@
 mod control;
 mod dispatcher;
 mod fit;
+pub mod growth;
+mod growth_bounds;
 mod load;
 mod nodes;
 mod requests;
--- a/lab/src/slopes/requests.rs
+++ b/lab/src/slopes/requests.rs
@@ -5,7 +5,7 @@
 use super::control::{add_at, purge};
 use super::dispatcher::{Dispatcher, Place, Told, fleet, whole_list};
 use super::load::{Clients, Load};
-use super::nodes::{Answering, Nodes};
+use super::nodes::{Answering, Misses, Nodes};
 use crate::world::unix_ms;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -42,7 +42,7 @@
         Case {
             own: OWN,
             elsewhere: ELSEWHERE,
-            answering: Answering { delay: Duration::ZERO, bytes: 1_000, misses: false },
+            answering: Answering { delay: Duration::ZERO, bytes: 1_000, misses: Misses::None },
             load: Load {
                 per_s: 1_000.0,
                 connections: 32,
@@ -182,6 +182,6 @@
 pub async fn by_fleet_with_fills(place: Place, caches: f64) -> Measured {
     let mut case = Case::usual(&place);
     case.elsewhere = (caches as usize).saturating_sub(OWN);
-    case.answering.misses = true;
+    case.answering.misses = Misses::All;
     case.measure(&place).await
 }
--- a/lab/src/slopes/several.rs
+++ b/lab/src/slopes/several.rs
@@ -6,7 +6,7 @@
 use super::control::{add_at, purge};
 use super::dispatcher::{Dispatcher, Place, Told, fleet, whole_list};
 use super::load::{Clients, Load};
-use super::nodes::{Answering, Nodes};
+use super::nodes::{Answering, Misses, Nodes};
 use crate::world::unix_ms;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -34,7 +34,7 @@
 pub async fn by_dispatchers(place: Place, count: f64) -> Measured {
     let listed = fleet(OWN, ELSEWHERE, |number| place.node(number));
     let hosts = listed.iter().filter(|node| node.site == 0).map(|node| node.address);
-    let answering = Answering { delay: Duration::from_millis(5), bytes: 1_000, misses: true };
+    let answering = Answering { delay: Duration::from_millis(5), bytes: 1_000, misses: Misses::All };
     let nodes = Nodes::start(hosts.collect(), answering).await?;
     let list = whole_list(&listed);
     let log = ChangeLog::start(place.log(), vec![list.clone()]).await?;
--- a/lab/src/slopes/usage.rs
+++ b/lab/src/slopes/usage.rs
@@ -13,6 +13,14 @@
     pub descriptors: usize,
 }
 
+/// The most memory that a process has had resident, in MB; nothing if it has ended.
+pub fn peak_mb(pid: u32) -> Option<f64> {
+    let status = std::fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
+    let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:"))?;
+    let kilobytes: f64 = line.trim().strip_suffix(" kB")?.trim().parse().ok()?;
+    Some(kilobytes * 1024.0 / 1e6)
+}
+
 /// What a process has used; nothing if it has ended.
 pub fn usage(pid: u32) -> Option<Usage> {
     let mut nanos = 0;
