--- a/dispatcher/src/nodes/list.rs
+++ b/dispatcher/src/nodes/list.rs
@@ -21,22 +21,25 @@
         let address = pool.address.map_or("no address".to_string(), |address| address.to_string());
         log::info!("node {}: {id} at {address}, {:?}", node.0, pool.readiness);
         let mut moved = Vec::new();
-        if pool.address.is_some() && pool.readiness != Readiness::Gone {
-            let there = |at: &u32| self.pools.get(*at).is_some_and(|other| other.address == pool.address);
-            moved.extend((0..self.ids.count()).filter(|at| *at != node.0 && there(at)).map(NodeId));
+        if let Some(address) = pool.address.filter(|_| pool.readiness != Readiness::Gone) {
+            moved.extend(self.at(address).filter(|other| *other != node));
         }
         for other in &moved {
-            self.pools.get_mut(other.0).into_iter().for_each(|other| other.address = None);
+            self.set_address(*other, None);
             self.retire(*other, now, effects);
             self.full.push((*other, now.after(TOLD_AFTER)));
         }
         let Some(known) = self.pools.get_mut(node.0) else {
-            self.pools.put(node.0, pool);
+            let address = pool.address;
+            self.pools.put(node.0, Pool { address: None, ..pool });
+            self.set_address(node, address);
             return (node, moved);
         };
         let anew = pool.started > known.started || (pool.address.is_some() && pool.address != known.address);
         let (connections, opening) = (std::mem::take(&mut known.connections), known.opening);
-        *known = Pool { address: pool.address.or(known.address), connections, opening, ..pool };
+        let (before, address) = (known.address, pool.address.or(known.address));
+        *known = Pool { address: before, connections, opening, ..pool };
+        self.set_address(node, address);
         if anew {
             self.retire(node, now, effects);
             moved.push(node);
@@ -44,6 +47,19 @@
         (node, moved)
     }
 
+    /// The nodes at an address, in the order of their indices.
+    fn at(&self, address: SocketAddr) -> impl Iterator<Item = NodeId> {
+        self.addresses.range((address, 0)..=(address, u32::MAX)).map(|(_, node)| NodeId(*node))
+    }
+
+    fn set_address(&mut self, node: NodeId, address: Option<SocketAddr>) {
+        let Some(pool) = self.pools.get_mut(node.0) else { return };
+        if let Some(before) = std::mem::replace(&mut pool.address, address) {
+            self.addresses.remove(&(before, node.0));
+        }
+        self.addresses.extend(address.map(|address| (address, node.0)));
+    }
+
     /// Whether any node that takes work is listed.
     pub fn any_ready(&self) -> bool {
         self.pools.iter().any(|pool| pool.readiness == Readiness::Ready && pool.address.is_some())
@@ -69,6 +85,7 @@
         let forgotten: Vec<_> =
             (0..self.ids.count()).filter(|at| self.pools.get(*at).is_some_and(old)).collect();
         for at in &forgotten {
+            self.set_address(NodeId(*at), None);
             self.pools.clear(*at);
             self.ids.release(*at);
         }
--- a/dispatcher/src/nodes/mod.rs
+++ b/dispatcher/src/nodes/mod.rs
@@ -10,7 +10,7 @@
 use copperroute_protocol::hex::Hex;
 use copperroute_protocol::nodes::{Decoder, Fetch, encode_abort, encode_fetch};
 use copperroute_settings::Connections;
-use std::collections::{HashMap, VecDeque};
+use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::net::SocketAddr;
 
 /// Bytes of pulls handed to a connection at once; what waits longer can still be dropped unsent.
@@ -60,6 +60,8 @@
     most: usize,
     ids: Ids<String>,
     pools: Slots<Pool>,
+    /// The nodes at each address, so that a line of the list is not compared with those of all others.
+    addresses: BTreeSet<(SocketAddr, u32)>,
     connections: HashMap<u32, Connection>,
     last: u32,
     /// Nothing is read from them for now.
@@ -80,6 +82,7 @@
             most,
             ids: Ids::default(),
             pools: Slots::default(),
+            addresses: BTreeSet::new(),
             connections: HashMap::new(),
             last: 0,
             held_back: false,
--- a/lab/src/slopes/growth_bounds.rs
+++ b/lab/src/slopes/growth_bounds.rs
@@ -99,3 +99,7 @@
     text.push('\n');
     (text, missed)
 }
+
+#[cfg(test)]
+#[path = "../tests/growth_bounds.rs"]
+mod tests;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -6,6 +6,7 @@
 pub mod change_log;
 pub mod fleet;
 pub mod interface;
+pub mod listed;
 pub mod nodes;
 pub mod pinned_rules;
 pub mod policy;
--- a/src/nodes.rs
+++ b/src/nodes.rs
@@ -1,7 +1,8 @@
 //! What a dispatcher keeps of its nodes. State only: nothing here decides.
 
 use crate::fleet::slow_start::TokenBucket;
-use crate::interface::{Nanos, NodeEntry, NodeId, Readiness, Report, ZoneId, mix};
+use crate::interface::{Nanos, NodeEntry, NodeId, Readiness, Report, ZoneId};
+use crate::listed::{Listed, Role};
 use crate::size::{PROBE_PARENTS, Size, Sizes};
 use crate::state::{Sent, Slots};
 use crate::structures::ring_buffer::RingBuffer;
@@ -110,9 +111,7 @@
     zone: ZoneId,
     parent_kind: Option<u32>,
     origin_kind: Option<u32>,
-    caches: Vec<NodeId>,
-    parents: Vec<NodeId>,
-    origin: Option<NodeId>,
+    in_use: Listed,
     sizes: Sizes,
     /// When this dispatcher began.
     began: Nanos,
@@ -121,18 +120,8 @@
 impl Nodes {
     /// No nodes yet, for a dispatcher of `zone`; whose list tells their sizes, or does not.
     pub fn new(zone: ZoneId, parent_kind: Option<u32>, origin_kind: Option<u32>, sizes_told: bool) -> Self {
-        let (caches, parents, sizes) = (Vec::new(), Vec::new(), Sizes::new(sizes_told));
-        Nodes {
-            slots: Slots::default(),
-            zone,
-            parent_kind,
-            origin_kind,
-            caches,
-            parents,
-            origin: None,
-            sizes,
-            began: Nanos::ZERO,
-        }
+        let (in_use, sizes) = (Listed::default(), Sizes::new(sizes_told));
+        Nodes { slots: Slots::default(), zone, parent_kind, origin_kind, in_use, sizes, began: Nanos::ZERO }
     }
 
     /// This dispatcher begins.
@@ -183,7 +172,7 @@
 
     /// A node of those that serve the own location, as two draws in [0, 1) have it.
     pub fn drawn(&self, draws: [f64; 2]) -> Option<NodeId> {
-        let of = if draws[0] < PROBE_PARENTS { &self.parents } else { &self.caches };
+        let of = if draws[0] < PROBE_PARENTS { self.in_use.parents() } else { self.in_use.caches() };
         of.get((draws[1] * of.len() as f64) as usize).copied()
     }
 
@@ -206,19 +195,29 @@
 
     /// Lets go of a node that has left the list.
     pub fn forget(&mut self, id: NodeId) {
+        self.slots.get(id.0).into_iter().for_each(|n| self.in_use.remove(&n.e));
         self.slots.clear(id.0);
     }
 
     /// Takes every node off the list.
     pub fn unlist_all(&mut self) {
         self.slots.iter_mut().for_each(|n| n.listed = false);
+        self.in_use.clear();
     }
 
     /// Takes newer lines of the list, with what is `new` made of those not known, and sorts the listed nodes.
     pub fn relist(&mut self, entries: &[NodeEntry], new: impl Fn(&NodeEntry) -> Node) {
         for e in entries {
-            match self.get_mut(e.node) {
-                Some(n) => n.relist(e),
+            let role = self.role(e);
+            match self.slots.get_mut(e.node.0) {
+                Some(n) => {
+                    // A line whose node is what and where it was moves no other.
+                    let stays = n.listed && (n.e.zone, n.e.kind) == (e.zone, e.kind);
+                    if !(stays && e.readiness == Readiness::Ready) {
+                        self.in_use.remove(&n.e);
+                    }
+                    n.relist(e);
+                }
                 None => {
                     let mut node = new(e);
                     if e.started <= self.began {
@@ -227,64 +226,55 @@
                     self.slots.put(e.node.0, node);
                 }
             }
+            if e.readiness == Readiness::Ready {
+                self.in_use.insert(e, role);
+            }
         }
-        self.sort();
     }
 
-    fn sort(&mut self) {
-        let kind = |kind: Option<u32>| move |n: &&Node| n.listed && kind == Some(n.e.kind);
-        let (parent, origin, zone) = (kind(self.parent_kind), kind(self.origin_kind), self.zone);
-        let cache = |n: &&Node| n.listed && n.e.zone == zone && !parent(n) && !origin(n);
-        self.caches = self.slots.iter().filter(cache).map(|n| n.e.node).collect();
-        self.parents = self.slots.iter().filter(parent).map(|n| n.e.node).collect();
-        self.origin = self.slots.iter().find(origin).map(|n| n.e.node);
+    /// What a node of this line is to this dispatcher.
+    fn role(&self, e: &NodeEntry) -> Role {
+        match Some(e.kind) {
+            kind if kind == self.parent_kind => Role::Parent,
+            kind if kind == self.origin_kind => Role::Origin,
+            _ if e.zone == self.zone => Role::OwnCache,
+            _ => Role::FarCache,
+        }
     }
 
     /// The listed caches of the own location.
     pub fn caches(&self) -> impl Iterator<Item = &Node> {
-        self.caches.iter().filter_map(|id| self.slots.get(id.0))
-    }
-
-    /// For each location the cache that a copy's hash puts first there (highest random weight, by size), by that weight.
-    fn homes(&self, copy_hash: u64) -> Vec<(ZoneId, f64, NodeId)> {
-        let kinds = [self.parent_kind, self.origin_kind];
-        let mut homes: Vec<(ZoneId, f64, NodeId)> = Vec::new();
-        for n in self.slots.iter().filter(|n| n.listed && !kinds.contains(&Some(n.e.kind))) {
-            let share = (mix(copy_hash ^ n.e.hash) >> 11) as f64 / (1_u64 << 53) as f64;
-            let key = (-(share.max(1e-18)).ln() / n.e.weight.max(0.1), n.e.node);
-            match homes.iter_mut().find(|home| home.0 == n.e.zone) {
-                Some(home) if (key.0, key.1) < (home.1, home.2) => (home.1, home.2) = key,
-                Some(_) => {}
-                None => homes.push((n.e.zone, key.0, key.1)),
-            }
-        }
-        homes.sort_by(|a, b| a.1.total_cmp(&b.1).then(a.2.cmp(&b.2)));
-        homes
+        self.in_use.caches().iter().filter_map(|id| self.slots.get(id.0))
     }
 
     /// The homes of a copy in other locations, where they are warm, in their order.
     pub fn homes_away(&self, copy_hash: u64, now: Nanos, warm_after: Nanos) -> Vec<NodeId> {
-        let mut homes = self.homes(copy_hash);
-        homes.retain(|home| home.0 != self.zone && !self.is_cold(now, home.2, warm_after));
-        homes.into_iter().map(|home| home.2).collect()
+        let (mut homes, _) = self.in_use.homes(copy_hash);
+        homes.retain(|home| home.zone != self.zone && !self.is_cold(now, home.node, warm_after));
+        homes.into_iter().map(|home| home.node).collect()
     }
 
     /// Where the own location stands in a copy's order of locations, in [0, 1), and within its place as a draw in [0, 1)
     /// has it.
     pub fn turn(&self, copy_hash: u64, draw: f64) -> f64 {
-        let homes = self.homes(copy_hash);
-        let own = homes.iter().position(|home| home.0 == self.zone).unwrap_or_default();
+        let (homes, _) = self.in_use.homes(copy_hash);
+        let own = homes.iter().position(|home| home.zone == self.zone).unwrap_or_default();
         (own as f64 + draw) / homes.len().max(1) as f64
     }
 
+    /// A listed cache of the own location.
+    pub fn own_cache(&self, id: NodeId) -> Option<&Node> {
+        self.get(id).filter(|n| n.listed && self.role(&n.e) == Role::OwnCache)
+    }
+
     /// The listed parents.
     pub fn parents(&self) -> impl Iterator<Item = &Node> {
-        self.parents.iter().filter_map(|id| self.slots.get(id.0))
+        self.in_use.parents().iter().filter_map(|id| self.slots.get(id.0))
     }
 
     /// The origin, if it is listed.
     pub fn origin(&self) -> Option<NodeId> {
-        self.origin
+        self.in_use.origin()
     }
 
     /// Whether a node started less than `warm_after` ago.
--- a/src/policy/place.rs
+++ b/src/policy/place.rs
@@ -1,6 +1,15 @@
 //! Where a pull goes: which cache, and what goes past the caches.
 
 use super::*;
+use crate::listed::{counted, key_of, share_of};
+
+/// A cache and its place in a copy's order.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct PlacedCache {
+    key: f64,
+    node: NodeId,
+    load: f64,
+}
 
 impl Dispatcher {
     /// May this node be sent something now? Listed, not set aside, and not on trial already.
@@ -22,25 +31,37 @@
         self.may_fetch(now, dl, dl.keep.fill_rank).then_some((parent, origin))
     }
 
-    /// The location's caches in the order of the copy's hash (highest random weight, by size), with their
-    /// load in transfers for each that fits. Alone, a dispatcher counts its own pulls; of several it sees a
-    /// part only, and by chance. So what hits took over their sending time, which shows the load of all, is
-    /// a prior for its count, the stronger the more dispatchers there are.
-    pub(super) fn caches(&self, now: Nanos, dl: &Dl) -> Vec<(f64, NodeId, f64)> {
+    /// The load of a node, in transfers for each that fits, by what its hits took lately and those of all, of which sums
+    /// are given. Alone, a dispatcher counts its own pulls; of several it sees a part only, and by chance. So what hits took
+    /// over their sending time, which shows the load of all, is a prior for its count, the stronger the more
+    /// dispatchers there are.
+    fn load(&self, dl: &Dl, all: &[[f64; 2]]) -> impl Fn(&Node, [f64; 2]) -> f64 + '_ {
         let mean = self.row(&dl.d).mean_work_s;
         let z = f64::from(self.s.zone_dispatchers.max(1));
         let prior = PRIOR_COUNT * (1.0 - 1.0 / z);
-        let paces: Vec<_> = self.nodes.caches().map(|n| n.pace.sums(now)).collect();
-        let (took, work) = paces.iter().fold((mean, mean), |sum, n| (sum.0 + n[0], sum.1 + n[1]));
-        let placed = |(n, [own_took, own_work]): (&Node, [f64; 2])| {
-            let share = (mix(dl.d.copy_hash ^ n.e.hash) >> 11) as f64 / (1_u64 << 53) as f64;
-            let (weight, can) = (n.e.weight.max(0.1), self.can(n));
+        let (took, work) = all.iter().fold((mean, mean), |sum, n| (sum.0 + n[0], sum.1 + n[1]));
+        move |n, [own_took, own_work]| {
             let pace = ((own_took + mean * took / work) / (own_work + mean)).max(1.0);
-            let load = (prior + f64::from(n.out)) / (prior / pace + can / z);
-            (-(share.max(1e-18)).ln() / weight, n.e.node, load)
+            (prior + f64::from(n.out)) / (prior / pace + self.can(n) / z)
+        }
+    }
+
+    /// What hits of each of the location's caches took lately, and their sending time.
+    fn paces(&self, now: Nanos) -> Vec<[f64; 2]> {
+        self.nodes.caches().map(|n| n.pace.sums(now)).collect()
+    }
+
+    /// The location's caches in the order of the copy's hash (highest random weight, by size), with their load.
+    fn caches(&self, now: Nanos, dl: &Dl) -> Vec<PlacedCache> {
+        let paces = self.paces(now);
+        let load = self.load(dl, &paces);
+        let placed = |(n, pace): (&Node, &[f64; 2])| {
+            let key = key_of(share_of(dl.d.copy_hash, n.e.hash), counted(n.e.weight));
+            PlacedCache { key, node: n.e.node, load: load(n, *pace) }
         };
-        let mut caches: Vec<_> = self.nodes.caches().zip(paces).map(placed).collect();
-        caches.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
+        let mut caches: Vec<_> = self.nodes.caches().zip(&paces).map(placed).collect();
+        // No two nodes are equal here, so that what is unstable is the same, and sooner done.
+        caches.sort_unstable_by(|a, b| a.key.total_cmp(&b.key).then(a.node.cmp(&b.node)));
         caches
     }
 
@@ -48,7 +69,8 @@
     /// takes as much of the cache, and of link and parent besides. Guards against any overload, whatever its
     /// cause; harms an object that only fills would make a hit.
     pub(super) fn too_full(&self, now: Nanos, dl: &Dl, node: NodeId) -> bool {
-        let load = self.caches(now, dl).iter().find(|c| c.1 == node).map_or(1.0, |c| c.2.max(1.0));
+        let own = self.nodes.own_cache(node);
+        let load = own.map_or(1.0, |n| self.load(dl, &self.paces(now))(n, n.pace.sums(now)).max(1.0));
         load > 1.0 && FILL_WEIGHT * dl.work_s * load + self.origin.usual_s() > IN_TIME * self.target_s(dl)
     }
 
@@ -57,20 +79,20 @@
         let mean = self.row(&dl.d).mean_work_s;
         let mut caches = self.caches(now, dl);
         // Where all fail at times and none is open, those that still answer are better than none.
-        let none_open = !caches.iter().any(|c| self.open(now, c.1));
+        let none_open = !caches.iter().any(|c| self.open(now, c.node));
         let answers = |id: NodeId| none_open && self.nodes.get(id).is_some_and(|n| n.started <= now);
-        caches.retain(|c| self.may_repeat_at(now, dl, c.1) && (self.open(now, c.1) || answers(c.1)));
+        caches.retain(|c| self.may_repeat_at(now, dl, c.node) && (self.open(now, c.node) || answers(c.node)));
         let tried = |id: NodeId| dl.pulls.iter().any(|p| p.left && p.node == id);
-        keep_one_cold(&mut caches, |c| self.nodes.is_cold(now, c.1, self.s.cache_cold.warm_after));
+        keep_one_cold(&mut caches, |c| self.nodes.is_cold(now, c.node, self.s.cache_cold.warm_after));
         // A download that this cache could not serve in time would only slow those begun.
         let most = IN_TIME * self.target_s(dl) / dl.work_s;
         // Where all are as full, another cache would only hold less of what is asked for.
-        let full = FULL.max(UNEVEN * caches.iter().map(|c| c.2).sum::<f64>() / caches.len().max(1) as f64);
-        let mut fresh = caches.iter().filter(|c| !tried(c.1) && c.2 < full);
-        let fresh = fresh.find(|c| self.bears(now, c.1, mean)).copied();
-        let least = || caches.iter().copied().min_by(|a, b| a.2.total_cmp(&b.2));
-        let chosen = fresh.or_else(|| least().filter(|c| self.bears(now, c.1, mean)));
-        chosen.filter(|c| c.2.max(1.0) < most).map(|c| c.1)
+        let full = FULL.max(UNEVEN * caches.iter().map(|c| c.load).sum::<f64>() / caches.len().max(1) as f64);
+        let mut fresh = caches.iter().filter(|c| !tried(c.node) && c.load < full);
+        let fresh = fresh.find(|c| self.bears(now, c.node, mean)).copied();
+        let least = || caches.iter().copied().min_by(|a, b| a.load.total_cmp(&b.load));
+        let chosen = fresh.or_else(|| least().filter(|c| self.bears(now, c.node, mean)));
+        chosen.filter(|c| c.load.max(1.0) < most).map(|c| c.node)
     }
 
     /// An uncacheable download runs at the origin: straight, or through a parent if that fails.
--- a/src/structures/ring_buffer.rs
+++ b/src/structures/ring_buffer.rs
@@ -45,9 +45,13 @@
         let oldest = (now.0 / self.width).max(self.newest) + 1;
         let mut total = [0.0; N];
         // From the newest bucket back, as far as the window reaches.
-        for back in (0..len).take_while(|back| self.newest + len >= oldest + back) {
-            let at = (self.newest + len - back) % len;
-            for (sum, value) in total.iter_mut().zip(&self.buckets[at as usize]) {
+        let reach = (self.newest + len + 1).saturating_sub(oldest).min(len) as usize;
+        if reach == 0 {
+            return total;
+        }
+        let (older, newer) = self.buckets.split_at((self.newest % len) as usize + 1);
+        for bucket in older.iter().rev().chain(newer.iter().rev()).take(reach) {
+            for (sum, value) in total.iter_mut().zip(bucket) {
                 *sum += value;
             }
         }
--- /dev/null
+++ b/tests/module/listed.rs
@@ -0,0 +1,85 @@
+//! The listed nodes by what they are: the same as a search through all of them, at less work.
+
+use crate::common::*;
+use copperroute::interface::*;
+use copperroute::listed::{Home, Listed, Role, counted, key_of, share_of};
+use copperroute::nodes::{Node, Nodes};
+use proptest::prelude::*;
+use std::collections::BTreeMap;
+
+const OWN: ZoneId = ZoneId(2);
+
+/// The homes as a search through all caches finds them.
+fn searched<'a>(caches: impl Iterator<Item = &'a NodeEntry>, copy_hash: u64) -> Vec<Home> {
+    let mut homes: Vec<Home> = Vec::new();
+    for e in caches {
+        let key = key_of(share_of(copy_hash, e.hash), counted(e.weight));
+        match homes.iter_mut().find(|home| home.zone == e.zone) {
+            Some(home) if (key, e.node) < (home.key, home.node) => (home.key, home.node) = (key, e.node),
+            Some(_) => {}
+            None => homes.push(Home { zone: e.zone, key, node: e.node }),
+        }
+    }
+    homes.sort_by(|a, b| a.key.total_cmp(&b.key).then(a.node.cmp(&b.node)));
+    homes
+}
+
+#[test]
+fn few_caches_of_a_large_fleet_are_weighed_for_the_homes_of_a_copy() {
+    const ZONES: u32 = 34;
+    let entries: Vec<_> = (0..3_200)
+        .map(|id| NodeEntry {
+            zone: ZoneId(id % ZONES),
+            weight: 0.5 + f64::from(id % 3),
+            ..entry(id, 0, Readiness::Ready, Nanos::ZERO)
+        })
+        .collect();
+    let mut listed = Listed::default();
+    entries.iter().for_each(|e| listed.insert(e, Role::FarCache));
+    let mut most = 0;
+    for copy in 0..200_u64 {
+        let copy_hash = mix(copy);
+        let (homes, weighed) = listed.homes(copy_hash);
+        assert_eq!(homes, searched(entries.iter(), copy_hash));
+        most = most.max(weighed);
+    }
+    // A location has 94 of them; of those each time one takes the first place it is weighed, and few besides.
+    assert!(most <= 8 * ZONES as usize, "{most} of 3,200 caches were weighed");
+}
+
+fn lines() -> impl Strategy<Value = Vec<(NodeEntry, bool)>> {
+    let line = (0_u32..24, 0_u32..3, 0_u32..4, 0_u32..4, 1_u32..4, 0_u32..30);
+    let line = line.prop_map(|(id, kind, zone, state, weight, whole)| {
+        let readiness = [Readiness::Ready, Readiness::Ready, Readiness::Draining, Readiness::Gone];
+        let e = entry(id, kind, readiness[state as usize], Nanos::ZERO);
+        (NodeEntry { zone: ZoneId(zone), weight: f64::from(weight), ..e }, whole == 0)
+    });
+    prop::collection::vec(line, 1..120)
+}
+
+proptest! {
+    #[test]
+    fn lines_as_they_change_lead_to_what_a_search_through_all_finds(lines in lines(), copy_hash: u64) {
+        let mut nodes = Nodes::new(OWN, Some(1), Some(2), true);
+        let mut last: BTreeMap<u32, NodeEntry> = BTreeMap::new();
+        for (e, whole) in lines {
+            if whole {
+                nodes.unlist_all();
+                last.clear();
+            }
+            nodes.relist(&[e], |e| Node::new(*e, ms(2_000), 8));
+            last.insert(e.node.0, e);
+            let ready = || last.values().filter(|e| e.readiness == Readiness::Ready);
+            let of = |kind: u32| ready().filter(move |e| e.kind == kind).map(|e| e.node);
+            let own = ready().filter(|e| e.kind == 0 && e.zone == OWN).map(|e| e.node);
+            prop_assert_eq!(nodes.caches().map(|n| n.e.node).collect::<Vec<_>>(), own.collect::<Vec<_>>());
+            prop_assert_eq!(nodes.parents().map(|n| n.e.node).collect::<Vec<_>>(), of(1).collect::<Vec<_>>());
+            prop_assert_eq!(nodes.origin(), of(2).next());
+            let homes = searched(ready().filter(|e| e.kind == 0), copy_hash);
+            let away: Vec<_> = homes.iter().filter(|home| home.zone != OWN).map(|home| home.node).collect();
+            prop_assert_eq!(nodes.homes_away(copy_hash, ms(1), Nanos::ZERO), away);
+            let place = homes.iter().position(|home| home.zone == OWN).unwrap_or_default();
+            prop_assert_eq!(nodes.turn(copy_hash, 0.5), (place as f64 + 0.5) / homes.len().max(1) as f64);
+        }
+    }
+}
--- a/tests/module/main.rs
+++ b/tests/module/main.rs
@@ -10,6 +10,7 @@
 mod conduct;
 mod failures;
 mod largest;
+mod listed;
 mod opening;
 mod ordinary;
 mod purges;
