--- a/dispatcher/src/copies.rs
+++ b/dispatcher/src/copies.rs
@@ -13,6 +13,32 @@
 /// Telling a client that its own copy holds costs this part of sending it.
 const TELLING: usize = 20;
 
+/// Purges are held for so long after they were heard of, and four times as long as purged copies lie about: older copies
+/// than that come from nowhere any more.
+const PURGES_KEPT: Nanos = Nanos(60_000_000_000);
+
+/// The earliest purges among those heard of lately: of the present span and the one before it.
+#[derive(Debug, Default)]
+struct LatelyPurged {
+    began: Nanos,
+    current: Option<u64>,
+    previous: Option<u64>,
+}
+
+impl LatelyPurged {
+    /// A purge was heard of that happened at a Unix millisecond; returns from when on purges are to be held, so that
+    /// each is for `span` at the least on the dispatcher's own clock, whatever times they tell.
+    fn heard(&mut self, now: Nanos, at_ms: u64, span: Nanos) -> u64 {
+        let lasted = now.since(self.began);
+        if lasted > span {
+            self.previous = self.current.take().filter(|_| lasted <= Nanos(2 * span.0));
+            self.began = now;
+        }
+        self.current = Some(self.current.map_or(at_ms, |earliest| earliest.min(at_ms)));
+        self.current.into_iter().chain(self.previous).min().unwrap_or(at_ms)
+    }
+}
+
 /// A copy that came for a download, offered to be kept.
 #[derive(Debug)]
 pub struct Offered {
@@ -38,6 +64,7 @@
 pub struct Copies {
     memory: Memory,
     purges: Purges,
+    lately_purged: LatelyPurged,
     link: OwnLink,
     types: Vec<ContentType>,
     /// Fingerprints of copies that the disk may have; none while it is off, or not ready.
@@ -65,6 +92,7 @@
         Copies {
             memory: Memory::new(most_bytes),
             purges: Purges::default(),
+            lately_purged: LatelyPurged::default(),
             link: OwnLink::new(flow, link),
             types: types.to_vec(),
             on_disk: HashSet::new(),
@@ -191,7 +219,7 @@
     }
 
     /// An object, or a group, was purged at a Unix millisecond. What has no such name here lets all copies go.
-    pub fn purge(&mut self, object: Option<&str>, group: Option<u64>, at_ms: u64, unix_ms: u64) {
+    pub fn purge(&mut self, object: Option<&str>, group: Option<u64>, at_ms: u64, now: Nanos) {
         match (object.map(Hex::read), group.map(u8::try_from)) {
             (Some(Some(object)), _) => {
                 let object = object.bytes();
@@ -205,9 +233,8 @@
             }
             _ => drop(self.memory.remove_all(|_, _| true)),
         }
-        // Older copies than that come from nowhere any more.
-        let done_ms = self.purge_done.0 / 1_000_000;
-        self.purges.forget_before(unix_ms.saturating_sub(4 * done_ms + 60_000));
+        let kept_for = Nanos(4 * self.purge_done.0).after(PURGES_KEPT);
+        self.purges.forget_before(self.lately_purged.heard(now, at_ms, kept_for));
     }
 
     /// Anything may have been purged: nothing that is held can be trusted, on disk not even later.
--- a/dispatcher/src/desk/list.rs
+++ b/dispatcher/src/desk/list.rs
@@ -13,6 +13,16 @@
         node
     }
 
+    /// The start that a node is listed with, where one is told.
+    pub fn start(&self, id: &str) -> Option<Start> {
+        self.nodes.start(id)
+    }
+
+    /// Moves starts back to where `moved` says; tells which nodes, and where to.
+    pub fn starts_moved(&mut self, moved: impl Fn(&Start) -> Option<Nanos>) -> Vec<(NodeId, Nanos)> {
+        self.nodes.starts_moved(moved)
+    }
+
     /// Whether any node that takes work is listed.
     pub fn has_nodes(&self) -> bool {
         self.nodes.any_ready()
--- a/dispatcher/src/desk/mod.rs
+++ b/dispatcher/src/desk/mod.rs
@@ -6,7 +6,7 @@
 use crate::config::Limits;
 use crate::copies::{self, Offered};
 use crate::effects::{Due, Effect};
-use crate::nodes::{Next, Nodes, Pool, PullRef};
+use crate::nodes::{Next, Nodes, Pool, PullRef, Start};
 use copperroute::interface::{
     DlId, Download, Nanos, NodeId, ObjectId, Outbox, Outcome, Pull, PullEnd, Readiness, Remark, Report,
 };
@@ -93,6 +93,8 @@
     pub keeps_copies: bool,
     /// Those that came since they were last taken, with the downloads that they came for.
     pub offered: Vec<(Download, Offered)>,
+    /// The latest Unix millisecond at which a copy was made that answers told of since it was last taken.
+    pub latest_made_ms: Option<u64>,
     /// Ends of pulls that the module is to hear of.
     pub ended: VecDeque<(PullRef, PullEnd)>,
     /// What the event loop is asked for.
@@ -117,6 +119,7 @@
             most_unsent: limits.memory_mb * 1024 * 1024 / UNSENT_PART,
             keeps_copies: false,
             offered: Vec::new(),
+            latest_made_ms: None,
             ended: VecDeque::new(),
             effects: Vec::new(),
         }
--- a/dispatcher/src/desk/pulls.rs
+++ b/dispatcher/src/desk/pulls.rs
@@ -17,6 +17,8 @@
         let (number, us) = (pull.number, took.0 / 1_000);
         log::debug!(target: TRACE, "{id} pull {number} at {node} {outcome:?} {why:?} in {us} us, {bytes} bytes for {size} KB");
         let client = held.client;
+        let made_ms = told.and_then(|told| told.copy).map(|(_, made_ms)| made_ms);
+        self.latest_made_ms = self.latest_made_ms.max(made_ms);
         if self.keeps_copies && closed {
             self.offered.extend(told.and_then(|told| held.offer(told)));
         }
--- a/dispatcher/src/event_loop/startup.rs
+++ b/dispatcher/src/event_loop/startup.rs
@@ -1,6 +1,7 @@
 //! What is opened before the loop runs.
 
 use super::*;
+use crate::outside_time::OutsideTime;
 
 /// Listens, also at once after another process did so, with room for a burst of new connections.
 pub(super) fn listen(address: SocketAddr) -> io::Result<TcpListener> {
@@ -49,7 +50,10 @@
 pub(super) fn open_list(config: &mut Config, clock: &Clock) -> Result<Option<Keeper>, String> {
     let Some(told) = config.last_list.clone() else { return Ok(None) };
     let most_age_ms = (told.most_age_s * 1e3) as u64;
-    let unix_ms = clock.epoch().unix_ms(clock.now());
+    // What the configuration tells has passed: a clock before that is behind, and a list older than it seems.
+    let mut outside = OutsideTime::new(clock.epoch());
+    config.known.results.iter().for_each(|change| outside.event_heard(clock.now(), change));
+    let unix_ms = outside.latest_ms(clock.now());
     match keeper::find(&told.folder, unix_ms, config.print(), most_age_ms, config.known.seq) {
         Ok(Some((known, age_ms))) => {
             log::info!("list: of event {}, {:.1} s old, taken", known.seq, age_ms as f64 / 1e3);
--- a/dispatcher/src/last_list.rs
+++ b/dispatcher/src/last_list.rs
@@ -5,7 +5,7 @@
 //! CRC is CRC-32C of all before it on the line and of the JSON.
 
 use copperroute::interface::Nanos;
-use copperroute_protocol::changes::{Change, Fleet, Known, Listed, State};
+use copperroute_protocol::changes::{Change, Fleet, Known, Listed, Purge, State};
 use std::collections::BTreeMap;
 
 /// A change is written at the latest after this long, and a list that did not change anew after the other, so that
@@ -25,9 +25,10 @@
 #[derive(Debug)]
 pub struct LastList {
     of: u64,
-    keep_purges_ms: u64,
+    keep_purges: Nanos,
     nodes: BTreeMap<String, Listed>,
-    purges: Vec<Change>,
+    /// Purges, each with when it was heard of.
+    purges: Vec<(Nanos, Change)>,
     /// Versions of the rules: those to come, and the last one before.
     rules: Vec<Change>,
     /// The version of the list that was last told.
@@ -41,11 +42,10 @@
 impl LastList {
     /// Nothing yet, of the dispatcher with this print; old copies may lie about for so long after a purge.
     pub fn new(of: u64, keep_purges: Nanos) -> Self {
-        let keep_purges_ms = keep_purges.0 / 1_000_000;
         let (nodes, purges, rules) = Default::default();
         LastList {
             of,
-            keep_purges_ms,
+            keep_purges,
             nodes,
             purges,
             rules,
@@ -57,8 +57,8 @@
         }
     }
 
-    /// An event was applied.
-    pub fn applied(&mut self, change: &Change, unix_ms: u64) {
+    /// An event was applied; this Unix millisecond has come for sure.
+    pub fn applied(&mut self, now: Nanos, change: &Change, unix_ms: u64) {
         if let Some(fleet) = &change.fleet {
             self.version = self.version.max(fleet.version);
             if fleet.full {
@@ -71,8 +71,9 @@
                 }
             }
         }
-        if change.invalidate.is_some() {
-            self.purges.push(Change { fleet: None, rules: None, agreed: None, ..change.clone() });
+        let lies_about = |purge: &Purge| purge.time + self.keep_purges.0 / 1_000_000 > unix_ms;
+        if change.invalidate.as_ref().is_some_and(lies_about) {
+            self.purges.push((now, Change { fleet: None, rules: None, agreed: None, ..change.clone() }));
         }
         if change.rules.is_some() {
             self.rules.push(Change { fleet: None, invalidate: None, agreed: None, ..change.clone() });
@@ -103,14 +104,13 @@
             return None;
         }
         (self.written, self.changed) = (now, false);
-        let lies_about = |change: &Change| {
-            change.invalidate.as_ref().is_some_and(|purge| purge.time + self.keep_purges_ms > unix_ms)
-        };
-        self.purges.retain(lies_about);
+        let keep_purges = self.keep_purges;
+        self.purges.retain(|(heard, _)| now.since(*heard) <= keep_purges);
+        let purges = self.purges.iter().map(|(_, change)| change.clone()).collect();
         let servers = self.nodes.values().cloned().collect();
         let fleet = Some(Fleet { version: self.version, full: true, servers });
         let list = Change { seq: self.seq, fleet, invalidate: None, rules: None, agreed: None };
-        let results = [vec![list], self.purges.clone(), self.rules.clone()].concat();
+        let results = [vec![list], purges, self.rules.clone()].concat();
         Some(encode(&Known { seq: self.seq, results }, unix_ms, self.of))
     }
 }
--- a/dispatcher/src/lib.rs
+++ b/dispatcher/src/lib.rs
@@ -17,6 +17,7 @@
 pub mod lingering;
 pub mod logs;
 pub mod nodes;
+pub mod outside_time;
 pub mod phases;
 pub mod reducer;
 pub mod rules_text;
--- a/dispatcher/src/nodes/list.rs
+++ b/dispatcher/src/nodes/list.rs
@@ -34,7 +34,8 @@
             self.pools.put(node.0, pool);
             return (node, moved);
         };
-        let anew = pool.started > known.started || (pool.address.is_some() && pool.address != known.address);
+        let anew =
+            later(pool.start, known.start) || (pool.address.is_some() && pool.address != known.address);
         let (connections, opening) = (std::mem::take(&mut known.connections), known.opening);
         *known = Pool { address: pool.address.or(known.address), connections, opening, ..pool };
         if anew {
@@ -44,6 +45,24 @@
         (node, moved)
     }
 
+    /// The start that a node is listed with, where one is told.
+    pub fn start(&self, id: &str) -> Option<Start> {
+        self.pools.get(self.ids.held(&id.to_string())?)?.start
+    }
+
+    /// Moves starts back to where `moved` says; tells which nodes, and where to.
+    pub fn starts_moved(&mut self, moved: impl Fn(&Start) -> Option<Nanos>) -> Vec<(NodeId, Nanos)> {
+        let mut nodes = Vec::new();
+        for node in 0..self.ids.count() {
+            let start = self.pools.get_mut(node).and_then(|pool| pool.start.as_mut());
+            if let Some((start, at)) = start.and_then(|start| moved(start).map(|at| (start, at))) {
+                start.at = at;
+                nodes.push((NodeId(node), at));
+            }
+        }
+        nodes
+    }
+
     /// Whether any node that takes work is listed.
     pub fn any_ready(&self) -> bool {
         self.pools.iter().any(|pool| pool.readiness == Readiness::Ready && pool.address.is_some())
@@ -83,3 +102,8 @@
         self.retire(node, now, effects);
     }
 }
+
+/// Whether a start is later than the one before.
+fn later(start: Option<Start>, before: Option<Start>) -> bool {
+    start.map(|start| start.at) > before.map(|start| start.at)
+}
--- a/dispatcher/src/nodes/mod.rs
+++ b/dispatcher/src/nodes/mod.rs
@@ -35,13 +35,24 @@
 
 use connection::{Connection, Written};
 
+/// A node's start, as the change log told it.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct Start {
+    /// Its Unix millisecond.
+    pub unix_ms: u64,
+    /// When it was on the dispatcher's clock, as far as is known: no earlier than that for sure.
+    pub at: Nanos,
+    /// Its number can't be right: the start was heard of live, so `at` is when that was.
+    pub is_doubted: bool,
+}
+
 /// A node's place in the list, and its connections.
 #[derive(Debug)]
 pub struct Pool {
     /// Where it listens.
     pub address: Option<SocketAddr>,
-    /// Its start, by which a later one under its id is told apart.
-    pub started: Nanos,
+    /// Its start, by which a later one under its id is told apart; none for long ago.
+    pub start: Option<Start>,
     /// Whether it takes work.
     pub readiness: Readiness,
     /// Its connections.
--- a/dispatcher/src/reducer/changes.rs
+++ b/dispatcher/src/reducer/changes.rs
@@ -47,12 +47,12 @@
     /// What is stricter in another content of an event that was applied: purges and drains, whatever the list's version,
     /// and rules as the agreement judges them.
     fn restrict(&mut self, now: Nanos, change: &Change) {
-        let unix_ms = self.epoch.unix_ms(now);
+        let unix_ms = self.outside.earliest_ms(now);
         if let Some(agreed) = &mut self.agreed {
             // When it was purged says nothing of the clocks: it may have waited for long.
             agreed.event(now, unix_ms, &Change { invalidate: None, ..change.clone() }, false);
         }
-        self.last_list.iter_mut().for_each(|list| list.applied(change, unix_ms));
+        self.last_list.iter_mut().for_each(|list| list.applied(now, change, unix_ms));
         if let Some(fleet) = &change.fleet {
             self.list(now, fleet);
         }
@@ -62,7 +62,8 @@
     }
 
     pub(super) fn apply(&mut self, now: Nanos, change: &Change, lost: bool) {
-        let unix_ms = self.epoch.unix_ms(now);
+        self.outside.event_heard(now, change);
+        let unix_ms = self.outside.earliest_ms(now);
         let takes_list = match &mut self.agreed {
             Some(agreed) => {
                 agreed.event(now, unix_ms, change, lost);
@@ -71,7 +72,7 @@
             None => true,
         };
         if takes_list || change.fleet.is_none() {
-            self.last_list.iter_mut().for_each(|list| list.applied(change, unix_ms));
+            self.last_list.iter_mut().for_each(|list| list.applied(now, change, unix_ms));
         }
         if let Some(fleet) = change.fleet.as_ref().filter(|_| takes_list) {
             self.list(now, fleet);
@@ -83,7 +84,7 @@
 
     fn purge(&mut self, now: Nanos, seq: u64, purge: &Purge) {
         let Purge { object, bucket, time } = purge;
-        let age = now.since(self.epoch.time(*time));
+        let age = self.purge_age(now, *time);
         match (object, bucket) {
             (Some(object), _) => {
                 self.module.object_purged(now, stable_hash(object.as_bytes()), age, &mut self.desk)
@@ -92,7 +93,7 @@
             (None, None) => return log::warn!("change log: a purge of nothing"),
         }
         if let Some(copies) = &mut self.copies {
-            copies.purge(object.as_deref(), *bucket, *time, self.epoch.unix_ms(now));
+            copies.purge(object.as_deref(), *bucket, *time, now);
             if copies.has_disk() && seq > self.marked {
                 self.desk.effects.extend(marks(object.as_deref(), *bucket, *time, seq));
             }
@@ -116,7 +117,8 @@
     }
 
     pub(super) fn list(&mut self, now: Nanos, fleet: &Fleet) {
-        let entries: Vec<_> = fleet.servers.iter().map(|listed| self.entry(listed)).collect();
+        let is_live = !fleet.full && self.is_live(now);
+        let entries: Vec<_> = fleet.servers.iter().map(|listed| self.entry(now, listed, is_live)).collect();
         let named: Vec<_> = entries.iter().map(|entry| entry.node).collect();
         let mut withdrawn: Vec<_> = entries
             .iter()
@@ -137,14 +139,13 @@
         self.life.move_to(Phase::Serving);
     }
 
-    pub(super) fn entry(&mut self, listed: &Listed) -> NodeEntry {
+    pub(super) fn entry(&mut self, now: Nanos, listed: &Listed, is_live: bool) -> NodeEntry {
         let place = |names: &[String], name: &str| place(names, name).unwrap_or(UNTOLD);
         let readiness = listed.state.into();
-        let started_ms = listed.started_ms.filter(|ms| *ms > 0);
-        let started = started_ms.map_or(Nanos::ZERO, |ms| self.epoch.time(ms));
+        let start = self.start_of(now, listed, is_live);
         let pool = Pool {
             address: listed.addr,
-            started,
+            start,
             readiness,
             connections: Vec::new(),
             listed: self.desk.now,
@@ -158,7 +159,7 @@
             cell: listed.cell.unwrap_or(UNTOLD),
             readiness,
             weight: listed.weight.unwrap_or(1.0),
-            started,
+            started: start.map_or(Nanos::ZERO, |start| start.at),
         }
     }
 }
--- a/dispatcher/src/reducer/clients.rs
+++ b/dispatcher/src/reducer/clients.rs
@@ -150,6 +150,11 @@
     /// The key of a copy that the disk is to be asked for.
     pub(super) fn asks_disk(&self, download: &Download) -> Option<Key> {
         let copies = self.copies.as_ref()?;
+        let content_type = self.settings.content_types.get(download.content_type.0 as usize)?;
+        // How old they are after a restart no wall clock can tell by itself.
+        if content_type.fresh_for.is_some() && !self.outside.is_answered() {
+            return None;
+        }
         let (object, part, _) = self.desk.asked_for(download.dl)?;
         copies::key(download.content_type.0, object, part).filter(|key| copies.asks_disk(key))
     }
@@ -161,7 +166,10 @@
         let (Some(Reading { download, key, .. }), Some(copies)) = (asked, &mut self.copies) else { return };
         let target = self.settings.content_types[download.content_type.0 as usize].target_time;
         let held = self.desk.asked_for(dl).and_then(|asked| asked.2);
-        let own = copies.read([now, target], self.epoch.unix_ms(now), key, held, copy);
+        if let Some((facts, _)) = copy {
+            self.outside.kept_copy_heard(now, facts.made_ms);
+        }
+        let own = copies.read([now, target], self.outside.latest_ms(now), key, held, copy);
         let Some(own) = own else { return self.go_on(now, dl) };
         let (download, key) = (*download, *key);
         self.reading.remove(&dl.0);
@@ -187,7 +195,7 @@
         let (object, part, held) = self.desk.asked_for(dl)?;
         let key = copies::key(download.content_type.0, object, part)?;
         let target = self.settings.content_types[download.content_type.0 as usize].target_time;
-        copies.serve(now, self.epoch.unix_ms(now), &key, held, target)
+        copies.serve(now, self.outside.latest_ms(now), &key, held, target)
     }
 
     pub(super) fn forsake(&mut self, now: Nanos, dl: DlId) {
--- a/dispatcher/src/reducer/mod.rs
+++ b/dispatcher/src/reducer/mod.rs
@@ -12,7 +12,8 @@
 use crate::last_list::LastList;
 use crate::lingering::LINGERS_AT_END;
 use crate::logs::Sparse;
-use crate::nodes::Pool;
+use crate::nodes::{Pool, Start};
+use crate::outside_time::OutsideTime;
 use crate::phases::{Life, Phase};
 use copperroute::fleet::connection_back_off::NodeBackOff;
 use copperroute::fleet::duplicate_filter::{DuplicateFilter, MOST_IDS, Verdict};
@@ -32,6 +33,7 @@
 mod changes;
 mod clients;
 mod deadlines;
+mod moments;
 mod reload;
 
 /// After the signal to end nothing new comes any more once this is over.
@@ -67,7 +69,7 @@
     module: Dispatcher,
     desk: Desk,
     log: ChangeLog,
-    epoch: Epoch,
+    outside: OutsideTime,
     /// Nothing new can come any more.
     last_requests: bool,
     /// All that was owed has been answered, whoever takes it or not.
@@ -128,7 +130,7 @@
             module: Dispatcher::new(config.settings.clone()),
             desk,
             log,
-            epoch,
+            outside: OutsideTime::new(epoch),
             last_requests: false,
             drained: false,
             shut: false,
@@ -244,6 +246,9 @@
 
     /// Pulls that have ended reach the module one by one, with what it does of it.
     fn hand_on_ends(&mut self, now: Nanos) {
+        if let Some(made_ms) = self.desk.latest_made_ms.take() {
+            self.outside.copy_heard(now, made_ms);
+        }
         for (node, until) in self.desk.turned_away() {
             self.module.node_turns_away(node, until);
         }
@@ -265,7 +270,7 @@
     /// Before each decision: the rules that are in force by now. Leases run out, and moments come, between events.
     fn obey(&mut self, now: Nanos) {
         let Some(agreed) = &mut self.agreed else { return };
-        if let Some((settings, expiries)) = agreed.look(now, self.epoch.unix_ms(now)) {
+        if let Some((settings, expiries)) = agreed.look(now, self.outside.earliest_ms(now)) {
             self.module.settings_changed(&settings);
             (self.settings, self.expiries) = (settings, expiries);
         }
@@ -273,11 +278,13 @@
 
     fn start(&mut self, now: Nanos) {
         self.module.start(now, &mut self.desk);
+        self.config.known.results.iter().for_each(|change| self.outside.event_heard(now, change));
         for change in std::mem::take(&mut self.config.known.results) {
             self.apply(now, &change, false);
         }
         if let (Some(agreed), Some(agreeing)) = (&mut self.agreed, &self.config.agreeing) {
-            agreed.issued(now, self.epoch.unix_ms(now), &agreeing.issued);
+            agreeing.issued.iter().for_each(|issue| self.outside.time_told(now, issue.issued_ms));
+            agreed.issued(now, self.outside.earliest_ms(now), &agreeing.issued);
         }
         self.obey(now);
         let has_list = self.life.phase() == Phase::Serving;
@@ -313,7 +320,8 @@
                 self.desk.clients.sweep(now, &mut self.desk.effects);
                 self.log.watch(now, &mut self.desk.effects);
                 self.change_log_told(now);
-                let unix_ms = self.epoch.unix_ms(now);
+                self.place_starts(now);
+                let unix_ms = self.outside.latest_ms(now);
                 let list = self.last_list.as_mut().and_then(|list| list.due(now, unix_ms));
                 self.desk.effects.extend(list.map(Effect::KeepList));
                 self.desk.effects.push(Effect::Arm(now.after(SWEEP), Due::Sweep));
--- a/dispatcher/src/reducer/reload.rs
+++ b/dispatcher/src/reducer/reload.rs
@@ -38,7 +38,8 @@
             (self.settings, old.settings) = (new.settings.clone(), new.settings.clone());
         }
         if let (Some(agreed), Some(agreeing)) = (&mut self.agreed, &new.agreeing) {
-            agreed.issued(now, self.epoch.unix_ms(now), &agreeing.issued);
+            agreeing.issued.iter().for_each(|issue| self.outside.time_told(now, issue.issued_ms));
+            agreed.issued(now, self.outside.earliest_ms(now), &agreeing.issued);
         }
         (old.limits, old.connections, old.changelog) = (new.limits, new.connections, new.changelog);
         old.replicas.clone_from(&new.replicas);
--- a/dispatcher/tests/dispatcher/common.rs
+++ b/dispatcher/tests/dispatcher/common.rs
@@ -7,7 +7,7 @@
 use copperroute_dispatcher::reducer::Reducer;
 use std::collections::HashMap;
 use std::fmt::Write as _;
-use std::net::{IpAddr, Ipv4Addr};
+use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
 /// A small fleet: two caches, two parents, an origin.
 pub const CONFIG: &str = include_str!("../../../deploy/example.json");
@@ -59,6 +59,9 @@
     line.split(['(', ')']).nth(1).and_then(|number| number.parse().ok()).unwrap_or_default()
 }
 
+/// The Unix millisecond that it is outside as a play begins.
+pub const START_MS: u64 = 1_764_576_000_000;
+
 /// A reducer, the timers it asked for, and the trace.
 pub struct Play {
     reducer: Reducer,
@@ -66,6 +69,8 @@
     armed: Vec<(Nanos, Due)>,
     /// Bytes given to each connection.
     given: HashMap<Peer, u64>,
+    /// Where each connection leads.
+    places: HashMap<Peer, SocketAddr>,
     /// The connections that downloads were last asked for on, by their ids.
     carried: HashMap<String, u32>,
     /// Connections come up and bytes leave by themselves, as on a calm network.
@@ -83,10 +88,16 @@
 
     /// The same with one that was parsed.
     pub fn with(config: Config) -> Play {
-        let reducer = Reducer::new(config, Epoch::at(1_764_576_000_000_000_000));
-        let (armed, given, carried) = Default::default();
+        Play::with_clock_off(config, 0)
+    }
+
+    /// The same on a machine whose wall clock is off by so many milliseconds, ahead of the outside's where over 0.
+    pub fn with_clock_off(config: Config, off_ms: i64) -> Play {
+        let wall_ms = START_MS.saturating_add_signed(off_ms);
+        let reducer = Reducer::new(config, Epoch::at(wall_ms * 1_000_000));
+        let (armed, given, carried, places) = Default::default();
         let (now, trace, tickets) = (Nanos(EPOCH_NS), String::new(), Vec::new());
-        let mut play = Play { reducer, now, armed, given, carried, calm: true, trace, tickets };
+        let mut play = Play { reducer, now, armed, given, places, carried, calm: true, trace, tickets };
         play.event(Event::Started);
         play.event(Event::Accepted(1, LOOPBACK));
         play.trace.clear();
@@ -105,6 +116,7 @@
             match effect {
                 Effect::Connect(peer, address) => {
                     let _ = writeln!(self.trace, "connect {peer:?} {address}");
+                    self.places.insert(peer, address);
                     if self.calm {
                         self.event(Event::Connected(peer));
                     }
@@ -213,6 +225,16 @@
         self.now = end;
     }
 
+    /// How many milliseconds have passed since the play began.
+    pub fn passed_ms(&self) -> u64 {
+        (self.now.0 - EPOCH_NS) / 1_000_000
+    }
+
+    /// The port of the node that the last pull of a trace went to.
+    pub fn pulled_at(&self, trace: &str) -> Option<u16> {
+        self.places.get(&Peer::Node(last_connection(trace))).map(SocketAddr::port)
+    }
+
     /// How many objects there is a place for.
     pub fn objects_kept(&self) -> u32 {
         self.reducer.objects_kept()
--- a/dispatcher/tests/dispatcher/last_list.rs
+++ b/dispatcher/tests/dispatcher/last_list.rs
@@ -29,7 +29,7 @@
 /// The bytes kept after these events were heard.
 fn kept(events: &[Change]) -> Vec<u8> {
     let mut list = LastList::new(7, Nanos(8_000_000_000));
-    events.iter().for_each(|event| list.applied(event, NOW));
+    events.iter().for_each(|event| list.applied(Nanos(1_000_000_000), event, NOW));
     list.heard();
     list.due(Nanos(5_000_000_000), NOW).expect("something to keep")
 }
--- a/dispatcher/tests/dispatcher/main.rs
+++ b/dispatcher/tests/dispatcher/main.rs
@@ -2,6 +2,7 @@
 
 mod agreed;
 mod clients;
+mod clocks;
 mod common;
 mod copies;
 mod crossings;
@@ -15,6 +16,7 @@
 mod last_list;
 mod life;
 mod loopback;
+mod outside_time;
 mod pulls;
 mod relay_process;
 mod request_cost;
--- a/src/nodes.rs
+++ b/src/nodes.rs
@@ -214,6 +214,15 @@
         self.slots.iter_mut().for_each(|n| n.listed = false);
     }
 
+    /// A node started earlier than was believed when it was listed: what is told of it is the same start.
+    pub fn started_earlier(&mut self, id: NodeId, at: Nanos) {
+        let Some(n) = self.slots.get_mut(id.0).filter(|n| at < n.e.started) else { return };
+        if n.started == n.e.started {
+            n.started = at;
+        }
+        n.e.started = at;
+    }
+
     /// Takes newer lines of the list, with what is `new` made of those not known, and sorts the listed nodes.
     pub fn relist(&mut self, entries: &[NodeEntry], new: impl Fn(&NodeEntry) -> Node) {
         for e in entries {
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -181,6 +181,11 @@
         self.nodes.get_mut(id).into_iter().for_each(|n| n.aside_until = n.aside_until.max(until));
     }
 
+    /// More is known of when a node started: earlier than it was listed with.
+    pub fn node_started_earlier(&mut self, id: NodeId, at: Nanos) {
+        self.nodes.started_earlier(id, at);
+    }
+
     /// A call to discovery failed: the old list stands, and the subscription is asked for again.
     pub fn list_failed(&mut self, _now: Nanos, out: &mut impl Outbox) {
         out.arm(ASK_AGAIN, u64::MAX);
