--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -17,6 +17,7 @@
 mod scenario;
 mod service;
 mod slopes;
+mod wall_clock;
 mod world;
 
 use clap::{Args, Parser, Subcommand};
--- a/lab/src/play/mod.rs
+++ b/lab/src/play/mod.rs
@@ -12,6 +12,7 @@
 use crate::results::{Heard, Outcome, Results, Seen};
 use crate::scenario::{Know, Scenario, Side, Whom};
 use crate::service::Service;
+use crate::wall_clock;
 use crate::world::World;
 use configuration::configuration;
 use faults::happen;
@@ -106,6 +107,7 @@
 
     fn start(&self, service: &Arc<Service>) -> Result<Processes, String> {
         let mut processes = Processes::default();
+        let wall_clock = wall_clock::variables(&self.scenario.dispatchers.wall_clock, self.program)?;
         let first: Vec<_> =
             (0..self.scenario.dispatchers.count).map(|at| service.known(self.address(at))).collect();
         for (at, first) in first.into_iter().enumerate() {
@@ -141,6 +143,7 @@
             let log = self.out.join(format!("n{at}.log"));
             let told = &self.scenario.dispatchers;
             let variables = [("RUST_LOG", told.log.clone()), ("COPPERROUTE_FAULT", told.fault.clone())];
+            let variables = variables.into_iter().chain(wall_clock.clone()).collect();
             processes.add(self.program, words, log, variables, Box::new(before));
         }
         Ok(processes)
--- a/lab/src/processes.rs
+++ b/lab/src/processes.rs
@@ -21,7 +21,7 @@
     words: Vec<OsString>,
     log: PathBuf,
     /// What its environment has besides, where there is a value.
-    variables: [(&'static str, Option<String>); 2],
+    variables: Vec<(&'static str, Option<String>)>,
     /// What is to be done before each start.
     before: Before,
     child: Mutex<Option<Child>>,
@@ -116,7 +116,7 @@
         program: &Path,
         words: Vec<OsString>,
         log: PathBuf,
-        variables: [(&'static str, Option<String>); 2],
+        variables: Vec<(&'static str, Option<String>)>,
         before: Before,
     ) {
         let (child, killed) = Default::default();
--- a/lab/src/scenario/fleet.rs
+++ b/lab/src/scenario/fleet.rs
@@ -1,5 +1,6 @@
 //! What a scenario describes: dispatchers, the list service, nodes, content types, clients and versions of rules.
 
+use crate::wall_clock::WallStep;
 use schemars::JsonSchema;
 use serde::Deserialize;
 
@@ -48,6 +49,9 @@
     /// The deliberate fault of their agreement, in a build that has such.
     #[serde(default)]
     pub fault: Option<String>,
+    /// How their wall clocks are off, in the order of the steps; absent: they are right.
+    #[serde(default)]
+    pub wall_clock: Vec<WallStep>,
 }
 
 /// Dispatchers that are told otherwise.
--- a/lab/src/scenario/mod.rs
+++ b/lab/src/scenario/mod.rs
@@ -84,6 +84,10 @@
         within("length_s", self.length_s, 1.0, 600.0)?;
         within("dispatchers.count", self.dispatchers.count as f64, 1.0, 400.0)?;
         within("dispatchers.start_s", self.dispatchers.start_s, 0.0, 60.0)?;
+        for (at, step) in self.dispatchers.wall_clock.iter().enumerate() {
+            within(&format!("dispatchers.wall_clock.{at}.from_s"), step.from_s, 0.0, self.length_s)?;
+            within(&format!("dispatchers.wall_clock.{at}.off_ms"), step.off_ms as f64, -1e10, 1e10)?;
+        }
         within("service.calls_per_s", self.service.calls_per_s, 0.0, 1e6)?;
         within("service.falls_at", self.service.falls_at, 1.0, 100.0)?;
         within("service.rises_at", self.service.rises_at, 0.0, self.service.falls_at)?;
