--- a/dispatcher/tests/dispatcher/main.rs
+++ b/dispatcher/tests/dispatcher/main.rs
@@ -22,6 +22,7 @@
 mod rules_text;
 mod run_line;
 mod storm;
+mod system_calls;
 mod two_streams;
 mod two_streams_process;
 mod two_streams_sum;
--- a/dispatcher/tests/dispatcher/rig.rs
+++ b/dispatcher/tests/dispatcher/rig.rs
@@ -1,6 +1,7 @@
 //! The program itself with small stand-ins of nodes and the change log around it, on loopback sockets.
 
 use crate::common::{CONFIG, answered, message, request, short};
+use copperroute_fault_injection::{self as fault_injection, FaultPlan, VARIABLE};
 use socket2::SockRef;
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
@@ -71,6 +72,12 @@
         (rig, client, asked)
     }
 
+    /// The same with system calls that fail as a plan says.
+    pub fn failing(plan: &FaultPlan, errors: Stdio) -> Rig {
+        let library = fault_injection::library();
+        Rig::limited(&format!("export LD_PRELOAD='{}' {VARIABLE}='{plan}'", library.display()), errors)
+    }
+
     /// The same after a command of the shell has set limits.
     pub fn limited(limits: &str, errors: Stdio) -> Rig {
         let (tell, asked) = channel();
