--- a/dispatcher/src/reducer/changes.rs
+++ b/dispatcher/src/reducer/changes.rs
@@ -10,6 +10,7 @@
 
     pub(super) fn change_log_connected(&mut self, now: Nanos, connection: u32) {
         self.agreed.iter_mut().for_each(|agreed| agreed.asked(now));
+        self.heartbeats.asked(now);
         self.log.connected(connection, now, &mut self.desk.effects);
     }
 
@@ -34,6 +35,7 @@
                 }
                 Told::Restriction { change } => self.restrict(now, &change),
                 Told::Line { caught_up } => {
+                    self.heartbeats.comes(now, SLACK);
                     self.agreed.iter_mut().for_each(|agreed| agreed.line(now, caught_up));
                 }
             }
--- a/dispatcher/src/reducer/mod.rs
+++ b/dispatcher/src/reducer/mod.rs
@@ -15,6 +15,7 @@
 use crate::nodes::{Pool, Start};
 use crate::outside_time::OutsideTime;
 use crate::phases::{Life, Phase};
+use copperroute::change_log::Heartbeats;
 use copperroute::fleet::connection_back_off::NodeBackOff;
 use copperroute::fleet::duplicate_filter::{DuplicateFilter, MOST_IDS, Verdict};
 use copperroute::interface::{
@@ -70,6 +71,8 @@
     desk: Desk,
     log: ChangeLog,
     outside: OutsideTime,
+    /// Whether what the change log tells has waited on its way.
+    heartbeats: Heartbeats,
     /// Nothing new can come any more.
     last_requests: bool,
     /// All that was owed has been answered, whoever takes it or not.
@@ -131,6 +134,7 @@
             desk,
             log,
             outside: OutsideTime::new(epoch),
+            heartbeats: Heartbeats::default(),
             last_requests: false,
             drained: false,
             shut: false,
--- a/dispatcher/src/reducer/moments.rs
+++ b/dispatcher/src/reducer/moments.rs
@@ -13,7 +13,8 @@
 impl Reducer {
     /// Whether what the change log tells now has just happened, and is told neither late nor anew.
     pub(super) fn is_live(&self, now: Nanos) -> bool {
-        self.log.is_caught_up() && now.since(self.log.told_all()) <= LIVE_WITHIN
+        let waited = self.heartbeats.may_have_waited(now) || !self.heartbeats.are_prompt(now, SLACK);
+        self.log.is_caught_up() && !waited && now.since(self.log.told_all()) <= LIVE_WITHIN
     }
 
     /// How long ago something happened at a Unix millisecond of the outside's, at the least; and whether that is too long
--- a/dispatcher/tests/dispatcher/clocks.rs
+++ b/dispatcher/tests/dispatcher/clocks.rs
@@ -160,6 +160,22 @@
     assert!(play.take().contains("maxage=1000"));
 }
 
+#[test]
+fn a_purge_out_of_a_queue_is_as_old_as_its_number_says() {
+    let mut play = play(0, 0);
+    pulls(&mut play, 1, 10, 100);
+    play.log(1, "1");
+    // The process is stopped; what came meanwhile is read at once.
+    play.stop(20_000);
+    let purged_ms = START_MS + play.passed_ms() - 10_000;
+    play.log(1, "1");
+    play.log(1, &format!(r#"{{"seq":2,"invalidate":{{"object":"{OBJECT}","time":{purged_ms}}}}}"#));
+    play.take();
+    play.client(&request(99, "image", "0099", ""));
+    let asked = play.take();
+    assert!(asked.contains("fetch") && !asked.contains("maxage"), "{asked}");
+}
+
 #[test]
 fn a_copy_kept_on_disk_is_served_after_a_restart_on_a_clock_that_was_set_back() {
     for off_ms in OFF_MS.into_iter().chain([0]) {
--- a/dispatcher/tests/dispatcher/common.rs
+++ b/dispatcher/tests/dispatcher/common.rs
@@ -225,6 +225,11 @@
         self.now = end;
     }
 
+    /// The process is stopped for so long: nothing falls due meanwhile.
+    pub fn stop(&mut self, millis: u64) {
+        self.now = self.now.after(Nanos(millis * 1_000_000));
+    }
+
     /// How many milliseconds have passed since the play began.
     pub fn passed_ms(&self) -> u64 {
         (self.now.0 - EPOCH_NS) / 1_000_000
