--- a/dispatcher/tests/dispatcher/main.rs
+++ b/dispatcher/tests/dispatcher/main.rs
@@ -3,6 +3,7 @@
 mod agreed;
 mod clients;
 mod clocks;
+mod clocks_process;
 mod common;
 mod copies;
 mod crossings;
