--- a/dispatcher/src/event_loop/mod.rs
+++ b/dispatcher/src/event_loop/mod.rs
@@ -6,6 +6,7 @@
 use crate::effects::{Due, Effect, Event, Peer};
 use crate::keeper::{self, Keeper};
 use crate::logs::{self, Sparse};
+use crate::purge_cover::purges_are_told_after;
 use crate::reducer::Reducer;
 use calloop::channel::{Sender, channel};
 use calloop::generic::Generic;
@@ -13,8 +14,9 @@
 use calloop::timer::{TimeoutAction, Timer};
 use calloop::{EventLoop, Interest, LoopHandle, Mode, PostAction, Readiness, RegistrationToken};
 use copperroute::interface::Nanos;
+use copperroute_protocol::changes::Known;
 use copperroute_settings::operator::{Numbers, SyncWhen};
-use copperroute_store::disk::{Disk, Limits, Sync};
+use copperroute_store::disk::{Disk, Found, Limits, Location, Sync};
 use copperroute_store::record::Facts;
 use copperroute_store::worker::{Answers, Worker};
 use socket2::{Domain, Protocol, Socket, Type};
@@ -58,10 +60,13 @@
 }
 
 /// What the disk's thread tells.
-struct Told {
-    ticket: u64,
-    copy: Option<(Facts, Vec<u8>)>,
-    off: bool,
+enum Told {
+    /// A copy was read for a ticket, or none is there.
+    Read(u64, Option<(Facts, Vec<u8>)>),
+    /// The disk is off.
+    Off,
+    /// It is there again, empty, under this number.
+    Ready(u64),
 }
 
 /// Brings it to the loop.
@@ -69,13 +74,17 @@
 
 impl Answers for Bring {
     fn read(&self, ticket: u64, copy: Option<(Facts, Vec<u8>)>) {
-        let _ = self.0.send(Told { ticket, copy, off: false });
+        let _ = self.0.send(Told::Read(ticket, copy));
     }
 
     fn marked(&self, _seq: u64) {}
 
     fn off(&self) {
-        let _ = self.0.send(Told { ticket: 0, copy: None, off: true });
+        let _ = self.0.send(Told::Off);
+    }
+
+    fn ready(&self, opened: u64) {
+        let _ = self.0.send(Told::Ready(opened));
     }
 }
 
@@ -139,9 +148,10 @@
         limits.memory_mb,
         limits.sockets
     );
-    let disk = open_disk(&config)?;
     let clock = Clock::start();
     let keeper = open_list(&mut config, &clock)?;
+    // What is known may have come from the last good list: the disk is judged by that.
+    let disk = open_disk(&config)?;
     let watched = config.agreeing.is_some();
     let reducer = Reducer::new(config, clock.epoch());
     let mut carrier = Carrier {
@@ -165,7 +175,7 @@
     };
     let mut inbox = Inbox::default();
     let (mut due, mut put_off) = (Vec::new(), 0);
-    if let Some(disk) = disk {
+    if let Some((location, disk)) = disk {
         let (tell, told) = channel();
         carrier
             .handle
@@ -175,9 +185,11 @@
                 }
             })
             .map_err(|fault| said("disk")(fault.error))?;
-        let (prints, marked) = (disk.prints(), disk.seq());
-        carrier.disk = Some(Worker::start(disk, Bring(tell)));
-        carrier.reduce(Event::DiskReady(&prints, marked));
+        let there = disk.as_ref().ok().map(|disk| (disk.prints(), disk.seq()));
+        carrier.disk = Some(Worker::start_at(location, disk, Bring(tell)));
+        if let Some((prints, marked)) = there {
+            carrier.reduce(Event::DiskReady(&prints, marked));
+        }
     }
     if let Some(path) = sources.operator.clone().filter(|_| watched) {
         let mut seen = modified(&path);
@@ -216,10 +228,7 @@
         for (peer, readiness) in ready {
             more |= carrier.ready(peer, readiness);
         }
-        for told in std::mem::take(&mut inbox.disk) {
-            let copy = told.copy.as_ref().map(|(facts, body)| (*facts, body.as_slice()));
-            carrier.reduce(if told.off { Event::DiskOff } else { Event::CopyRead(told.ticket, copy) });
-        }
+        std::mem::take(&mut inbox.disk).into_iter().for_each(|told| carrier.disk_told(told));
         put_off = if more && !due.is_empty() && put_off < TURNS_FIRST { put_off + 1 } else { 0 };
         if put_off == 0 {
             due.drain(..).for_each(|due| carrier.reduce(Event::Due(due)));
@@ -283,6 +292,20 @@
         self.carrying = false;
     }
 
+    fn disk_told(&mut self, told: Told) {
+        match told {
+            Told::Read(ticket, copy) => {
+                let copy = copy.as_ref().map(|(facts, body)| (*facts, body.as_slice()));
+                self.reduce(Event::CopyRead(ticket, copy));
+            }
+            Told::Off => self.reduce(Event::DiskOff),
+            Told::Ready(opened) => {
+                self.disk.iter_mut().for_each(|disk| disk.resume(opened));
+                self.reduce(Event::DiskReady(&[], 0));
+            }
+        }
+    }
+
     fn carry_out(&mut self, effect: Effect) {
         match effect {
             Effect::Connect(peer, address) => self.connect(peer, address),
--- a/dispatcher/src/event_loop/startup.rs
+++ b/dispatcher/src/event_loop/startup.rs
@@ -12,10 +12,13 @@
     Ok(socket.into())
 }
 
-/// Opens the disk tier, where the operators want one. A folder in use ends the start; any other failure leaves the
-/// tier off. Where the change log's numbers, or its events up to the start, do not reach back to what is marked on
-/// disk, a purge may have been missed: nothing is kept of what was there.
-pub(super) fn open_disk(config: &Config) -> Result<Option<Disk>, String> {
+/// The disk tier's place, and the disk there, or why there is none yet.
+pub(super) type OpenedDisk = (Location, Result<Disk, String>);
+
+/// Opens the disk tier, where the operators want one. A folder in use ends the start; after any other failure it is
+/// tried again while the dispatcher serves. What was there is kept only if every purge that may not be marked on it is
+/// going to be heard.
+pub(super) fn open_disk(config: &Config) -> Result<Option<OpenedDisk>, String> {
     let Some(tier) = &config.disk_tier else { return Ok(None) };
     let limits = Limits {
         most_bytes: tier.most_mb * 1_000_000,
@@ -26,22 +29,27 @@
             SyncWhen::Always => Sync::Always,
         },
     };
-    let named = |fault: io::Error| format!("store: {}: {fault}", tier.folder.display());
-    let (mut disk, found) = match Disk::open(&tier.folder, limits) {
-        Ok(opened) => opened,
-        Err(fault) if fault.kind() == ErrorKind::WouldBlock => return Err(named(fault)),
-        Err(fault) => {
-            log::warn!("{}: off until a restart", named(fault));
-            return Ok(None);
+    let location = Location::new(&tier.folder, limits);
+    let disk = match location.open() {
+        Err(fault) if fault.kind() == ErrorKind::WouldBlock => {
+            return Err(format!("store: {location}: {fault}"));
+        }
+        Err(fault) => Err(fault),
+        Ok((disk, found)) => {
+            judged(disk, found, Some(&config.known).filter(|_| tier.change_log == Numbers::Lasting))
         }
     };
-    let reaches = config.known.results.first().is_none_or(|first| first.seq <= disk.seq() + 1);
-    let trusted = tier.change_log == Numbers::Lasting && reaches && disk.seq() <= config.known.seq;
+    Ok(Some((location, disk.map_err(|fault| fault.to_string()))))
+}
+
+/// A disk as it may be used: with what was found, or with nothing where that can't be judged.
+fn judged(mut disk: Disk, found: Found, known: Option<&Known>) -> io::Result<Disk> {
+    let trusted = known.is_some_and(|known| purges_are_told_after(known, disk.seq()));
     if !trusted && found.copies > 0 {
-        disk.clear().map_err(named)?;
+        disk.clear()?;
     }
     log::info!("store: {} copies found, {} kept, {} bytes read", found.copies, disk.sizes().0, found.scanned);
-    Ok(Some(disk))
+    Ok(disk)
 }
 
 /// Finds the last good list, where the operators want one kept: it stands in for what the configuration knows if it is
--- a/dispatcher/src/lib.rs
+++ b/dispatcher/src/lib.rs
@@ -18,5 +18,6 @@
 pub mod logs;
 pub mod nodes;
 pub mod phases;
+pub mod purge_cover;
 pub mod reducer;
 pub mod rules_text;
--- a/dispatcher/src/reducer/changes.rs
+++ b/dispatcher/src/reducer/changes.rs
@@ -111,6 +111,8 @@
         );
         self.module.purges_lost(now, age);
         self.copies.iter_mut().for_each(Copies::purges_lost);
+        // What the disk reads just now may be older than a purge that was not told.
+        self.go_on_without_disk(now);
         self.desk.purges_lost();
         self.hand_on_ends(now);
     }
--- a/dispatcher/src/reducer/clients.rs
+++ b/dispatcher/src/reducer/clients.rs
@@ -181,6 +181,13 @@
         self.module.download(now, &download, &mut self.desk);
     }
 
+    /// All downloads for which the disk was asked go on without it.
+    pub(super) fn go_on_without_disk(&mut self, now: Nanos) {
+        let mut waiting: Vec<_> = self.reading.keys().copied().collect();
+        waiting.sort();
+        waiting.into_iter().for_each(|dl| self.go_on(now, DlId(dl)));
+    }
+
     /// What a download is served from here with, if anything.
     pub(super) fn own_copy(&mut self, now: Nanos, download: &Download, dl: DlId) -> Option<Own> {
         let copies = self.copies.as_mut()?;
--- a/dispatcher/src/reducer/mod.rs
+++ b/dispatcher/src/reducer/mod.rs
@@ -218,9 +218,7 @@
             Event::CopyRead(ticket, copy) => self.copy_read(now, ticket, copy),
             Event::DiskOff => {
                 self.copies.iter_mut().for_each(Copies::disk_off);
-                let mut waiting: Vec<_> = self.reading.keys().copied().collect();
-                waiting.sort();
-                waiting.into_iter().for_each(|dl| self.go_on(now, DlId(dl)));
+                self.go_on_without_disk(now);
             }
             Event::NoDescriptors => {
                 self.desk.clients.make_room(IDLE_AT_ONCE, now, &mut self.desk.effects);
--- a/dispatcher/tests/dispatcher/copies.rs
+++ b/dispatcher/tests/dispatcher/copies.rs
@@ -171,6 +171,39 @@
     .assert_eq(&of_disk(&play.take()));
 }
 
+#[test]
+fn where_purges_may_be_lost_what_the_disk_is_reading_is_not_served() {
+    let mut play = with_disk();
+    play.log(1, "1");
+    play.client(&request(1, "image", "1f1f", ""));
+    // A whole list stands for events that are no longer told: of what was purged among them nothing is known.
+    play.log(1, r#"{"seq":9,"fleet":{"full":true,"servers":[{"id":"s-a","addr":"127.0.0.1:6001","zone":"east","kind":"box","state":"active","weight":2.0}]}}"#);
+    play.event(Event::CopyRead(play.tickets[0], Some((FACTS, b"bytes"))));
+    expect![[r#"
+        disk: read part 0
+        a node is asked
+    "#]]
+    .assert_eq(&of_disk(&play.take()));
+}
+
+#[test]
+fn a_disk_that_came_back_empty_is_used_and_marked_on_from_then() {
+    let mut play = with_disk();
+    play.log(1, "1");
+    play.event(Event::DiskOff);
+    play.log(1, r#"{"seq":2,"invalidate":{"bucket":18,"time":1764576000100}}"#);
+    play.event(Event::DiskReady(&[], 0));
+    play.log(1, r#"{"seq":3,"invalidate":{"bucket":19,"time":1764576000200}}"#);
+    play.client(&request(1, "image", "1f1f", ",block=5"));
+    play.node("1f1f ok why=local 4");
+    expect![[r#"
+        disk: mark 3, group 19 at 1764576000200
+        a node is asked
+        Client(1) <- *4 $1 1 $2 OK $0  $4 body
+    "#]]
+    .assert_eq(&of_disk(&play.take()));
+}
+
 #[test]
 fn who_leaves_or_expires_while_the_disk_reads_leaves_nothing_behind() {
     let mut play = with_disk();
--- a/dispatcher/tests/dispatcher/main.rs
+++ b/dispatcher/tests/dispatcher/main.rs
@@ -8,7 +8,10 @@
 mod crossings_full;
 mod deadlines;
 mod driver;
+#[path = "../../../store/tests/faulty/mod.rs"]
+mod faulty;
 mod fleet;
+mod folders;
 mod gone;
 mod gone_sockets;
 mod growth;
--- a/store/src/disk.rs
+++ b/store/src/disk.rs
@@ -5,15 +5,19 @@
 //! as [`Sync`] says. What can't be read, or does not fit its checksum, is a miss. Where marks may have been lost, the
 //! store begins empty.
 
+use crate::files::{Handle, remove_if_there, replace};
 use crate::index::{Index, Place};
 use crate::purges::Purges;
 use crate::record::{Facts, HEAD, Head, Key};
-use crate::segment::Segment;
+use crate::segment::{self, Segment};
 use crate::snapshot::Snapshot;
 use std::collections::BTreeMap;
-use std::fs::File;
 use std::io;
-use std::path::{Path, PathBuf};
+use std::path::Path;
+
+mod recovery;
+
+pub use recovery::{Location, inspect};
 
 /// Marks that are remembered; with more the store begins anew, which is cheaper than to remember them.
 const MOST_MARKS: usize = 100_000;
@@ -58,133 +62,24 @@
 /// The disk tier.
 #[derive(Debug)]
 pub struct Disk {
-    folder: PathBuf,
-    limits: Limits,
+    location: Location,
     segments: BTreeMap<u32, Segment>,
     index: Index,
     purges: Purges,
     /// Bytes of all segments.
     bytes: u64,
-    _lock: File,
-}
-
-fn lock(folder: &Path) -> io::Result<File> {
-    let file = File::options().create(true).truncate(false).write(true).open(folder.join("lock"))?;
-    file.try_lock().map_err(|_| io::Error::new(io::ErrorKind::WouldBlock, "in use by another process"))?;
-    Ok(file)
-}
-
-fn holds_a_record(bytes: &[u8]) -> bool {
-    (1..bytes.len().saturating_sub(HEAD - 1)).any(|at| Head::decode(&bytes[at..]).is_ok())
-}
-
-/// The record at an offset, if head and body are sound.
-fn sound_at(segment: &Segment, at: u32) -> Option<Head> {
-    let head = Head::decode(&segment.read(at, HEAD).ok()?).ok()?;
-    let sound = match &head {
-        Head::Copy(_, _, told) => told.is(&segment.read(at + HEAD as u32, head.body()).ok()?),
-        _ => true,
-    };
-    sound.then_some(head)
-}
-
-/// Reads a folder's log without changing it, and tells each sound record with its segment and offset. Returns
-/// where, if anywhere, the first stands that is not sound. A folder in use is refused.
-pub fn inspect(folder: &Path, mut tell: impl FnMut(u32, u32, &Head)) -> io::Result<Option<(u32, u32)>> {
-    if !folder.join("lock").exists() {
-        return Err(io::Error::new(io::ErrorKind::NotFound, "no store is there"));
-    }
-    let _lock = lock(folder)?;
-    for number in Segment::all(folder)? {
-        let segment = Segment::open(folder, number)?;
-        let mut at = 0;
-        while at < segment.length {
-            let Some(head) = sound_at(&segment, at) else { return Ok(Some((number, at))) };
-            tell(number, at, &head);
-            at += (HEAD + head.body()) as u32;
-        }
-    }
-    Ok(None)
+    _lock: Box<dyn Handle>,
 }
 
 impl Disk {
     /// Opens a folder, made if need be, and recovers what is sound in it.
     pub fn open(folder: &Path, limits: Limits) -> io::Result<(Disk, Found)> {
-        std::fs::create_dir_all(folder)?;
-        let lock = lock(folder)?;
-        let mut disk = Disk {
-            folder: folder.to_path_buf(),
-            limits,
-            segments: BTreeMap::new(),
-            index: Index::default(),
-            purges: Purges::default(),
-            bytes: 0,
-            _lock: lock,
-        };
-        let numbers = Segment::all(folder)?;
-        for number in &numbers {
-            disk.segments.insert(*number, Segment::open(folder, *number)?);
-        }
-        let mut found = Found::default();
-        if let Err(fault) = disk.recover(&mut found) {
-            if fault.kind() != io::ErrorKind::InvalidData {
-                return Err(fault);
-            }
-            found = Found { began_anew: true, ..found };
-            disk.clear()?;
-        }
-        disk.bytes = disk.segments.values().map(|segment| u64::from(segment.length)).sum();
-        if disk.segments.is_empty() {
-            disk.begin_segment(numbers.last().map_or(0, |last| last + 1))?;
-        }
-        disk.make_room(0)?;
-        found.copies = disk.index.len();
-        Ok((disk, found))
+        Location::new(folder, limits).open()
     }
 
-    fn recover(&mut self, found: &mut Found) -> io::Result<()> {
-        let snapshot =
-            std::fs::read(self.folder.join("snapshot")).ok().and_then(|bytes| Snapshot::decode(&bytes));
-        // One that speaks of more than is there is of another log.
-        let fits =
-            |s: &Snapshot| self.segments.get(&s.segment).is_some_and(|segment| segment.length >= s.offset);
-        let snapshot = snapshot.filter(fits).unwrap_or_default();
-        let (first, offset) = (snapshot.segment, snapshot.offset);
-        (self.index, self.purges) = (snapshot.index, snapshot.purges);
-        let segments = &self.segments;
-        self.index.retain(|_, place| segments.contains_key(&place.segment));
-        let numbers: Vec<_> = self.segments.range(first..).map(|(number, _)| *number).collect();
-        for number in &numbers {
-            let begins = if *number == first { offset } else { 0 };
-            let ends = self.scan(*number, begins)?;
-            let segment = self.segments.get_mut(number).ok_or(io::ErrorKind::NotFound)?;
-            found.scanned += u64::from(ends - begins);
-            let torn = segment.length - ends;
-            // With sound records behind it, it is no torn end: marks of purges may be among what can't be read.
-            let more = || segment.read(ends, torn as usize).is_ok_and(|bytes| holds_a_record(&bytes));
-            if torn > 0 && (Some(number) != numbers.last() || more()) {
-                return Err(io::Error::new(io::ErrorKind::InvalidData, "damaged before its end"));
-            }
-            if torn > 0 {
-                found.torn += u64::from(torn);
-                segment.cut(ends)?;
-            }
-        }
-        Ok(())
-    }
-
-    /// Reads the records of a segment from an offset; tells where the last sound one ends.
-    fn scan(&mut self, number: u32, from: u32) -> io::Result<u32> {
-        let mut at = from;
-        loop {
-            let Some(segment) = self.segments.get(&number) else { return Ok(at) };
-            if at == segment.length {
-                return Ok(at);
-            }
-            let Some(head) = sound_at(segment, at) else { return Ok(at) };
-            self.heed(number, at, &head);
-            at += (HEAD + head.body()) as u32;
-        }
+    /// Where it lies.
+    pub fn location(&self) -> Location {
+        self.location.clone()
     }
 
     /// Takes a record into index and marks.
@@ -202,28 +97,36 @@
         }
     }
 
-    /// Drops everything.
+    /// Drops everything, for certain: what a crash could bring back would be held against the marks of what comes after
+    /// it, and purges between the two are marked nowhere.
     pub fn clear(&mut self) -> io::Result<()> {
-        let _ = std::fs::remove_file(self.folder.join("snapshot"));
-        let next = self.segments.last_key_value().map_or(0, |(number, _)| number + 1);
-        for (_, segment) in std::mem::take(&mut self.segments) {
-            segment.remove()?;
-        }
         // No event counts as marked any more: that there are none may only be trusted with all of them told anew.
         (self.index, self.purges, self.bytes) = (Index::default(), Purges::default(), 0);
-        self.begin_segment(next)
+        let next = self.segments.last_key_value().map_or(0, |(number, _)| number + 1);
+        self.segments = BTreeMap::new();
+        let Location { files, folder, .. } = self.location.clone();
+        remove_if_there(&*files, &folder.join("snapshot"))?;
+        let numbers = Segment::all(&*files, &folder)?;
+        for number in &numbers {
+            files.remove(&segment::path(&folder, *number))?;
+        }
+        self.begin_segment(numbers.last().map_or(next, |last| next.max(last + 1)))
     }
 
+    /// Nothing is written to a new segment before its name, and that others have gone, is on the disk.
     fn begin_segment(&mut self, number: u32) -> io::Result<()> {
-        self.segments.insert(number, Segment::create(&self.folder, number)?);
+        let segment = Segment::create(&*self.location.files, &self.location.folder, number)?;
+        self.location.sync_names()?;
+        self.segments.insert(number, segment);
         Ok(())
     }
 
     fn append(&mut self, head: &Head, body: &[u8]) -> io::Result<Place> {
         let bytes = head.encode();
         let long = (HEAD + body.len()) as u32;
-        let full =
-            |segment: &Segment| segment.length > 0 && segment.length + long > self.limits.segment_bytes;
+        let full = |segment: &Segment| {
+            segment.length > 0 && segment.length + long > self.location.limits.segment_bytes
+        };
         if self.segments.last_key_value().is_none_or(|(_, segment)| full(segment)) {
             self.rotate()?;
         }
@@ -237,7 +140,7 @@
     fn rotate(&mut self) -> io::Result<()> {
         let next = match self.segments.last_key_value() {
             Some((number, segment)) => {
-                if self.limits.sync != Sync::Never {
+                if self.location.syncs() {
                     segment.sync()?;
                 }
                 number + 1
@@ -248,30 +151,31 @@
         self.snapshot()
     }
 
-    /// Writes a snapshot: whole under another name first, so that none is there in part.
+    /// Writes a snapshot: whole under another name first, so that none is there in part. The log that it speaks of is
+    /// synced before: if the machine stopped between the two, neither this snapshot nor the one before would be there.
     pub fn snapshot(&mut self) -> io::Result<()> {
+        if self.location.syncs() {
+            self.sync()?;
+        }
         let Some((number, segment)) = self.segments.last_key_value() else { return Ok(()) };
         let bytes = Snapshot::encode(*number, segment.length, &self.index, &self.purges);
-        let (new, place) = (self.folder.join("snapshot.new"), self.folder.join("snapshot"));
-        std::fs::write(&new, bytes)?;
-        if self.limits.sync != Sync::Never {
-            File::open(&new)?.sync_data()?;
-        }
-        std::fs::rename(new, place)
+        let Location { files, folder, .. } = &self.location;
+        replace(&**files, folder, ["snapshot", "snapshot.new"], &bytes, self.location.syncs())
     }
 
     /// Takes back the oldest segments until there is room for so many bytes more. Of their copies those of higher
     /// rank are written again, if no purge forbids them.
     fn make_room(&mut self, more: u64) -> io::Result<()> {
         let mut moved = 0;
-        while self.bytes + more > self.limits.most_bytes && self.segments.len() > 1 {
+        while self.bytes + more > self.location.limits.most_bytes && self.segments.len() > 1 {
             let Some((number, segment)) = self.segments.pop_first() else { return Ok(()) };
             self.bytes -= u64::from(segment.length);
             let there: Vec<_> = self.index.iter().filter(|(_, place)| place.segment == number).collect();
             for (print, place) in there {
                 self.index.remove(print);
                 // Bounded: what is moved may not fill the room that was made.
-                let moves = place.rank >= KEPT_ON && moved < u64::from(self.limits.segment_bytes) / 2;
+                let moves =
+                    place.rank >= KEPT_ON && moved < u64::from(self.location.limits.segment_bytes) / 2;
                 let Some((key, facts, body)) = Self::read_at(&segment, &place).filter(|_| moves) else {
                     continue;
                 };
@@ -281,7 +185,7 @@
                     self.index.put(print, Place { rank: place.rank - 1, ..at });
                 }
             }
-            segment.remove()?;
+            segment.remove(&*self.location.files)?;
         }
         Ok(())
     }
@@ -300,7 +204,7 @@
         }
         self.make_room((HEAD + body.len()) as u64)?;
         let place = self.append(&Head::copy(key, facts, body), body)?;
-        if self.limits.sync == Sync::Always {
+        if self.location.limits.sync == Sync::Always {
             self.sync()?;
         }
         self.index.put(key.print(), Place { rank, ..place });
@@ -331,7 +235,7 @@
 
     fn mark(&mut self, head: &Head) -> io::Result<()> {
         let place = self.append(head, &[])?;
-        if self.limits.sync != Sync::Never {
+        if self.location.syncs() {
             self.sync()?;
         }
         self.heed(place.segment, place.offset, head);
