--- a/store/src/purges.rs
+++ b/store/src/purges.rs
@@ -31,9 +31,13 @@
     }
 
     /// Whether a copy was made before its object, or its group, was last purged. One made in the same millisecond
-    /// may be either: it counts as before.
+    /// may be either: it counts as before. One whose group is not known may be in any.
     pub fn forbid(&self, object: &[u8; 16], group: Option<u8>, made_ms: u64) -> bool {
-        let last = [self.objects.get(object), group.and_then(|group| self.groups.get(&group))];
+        let of_group = match group {
+            Some(group) => self.groups.get(&group),
+            None => self.groups.values().max(),
+        };
+        let last = [self.objects.get(object), of_group];
         last.into_iter().flatten().any(|at| made_ms <= *at)
     }
 
--- a/store/tests/folders.rs
+++ b/store/tests/folders.rs
@@ -301,6 +301,21 @@
     assert!(life.disk.is_some_and(|disk| disk.seq() == 1));
 }
 
+#[test]
+fn a_copy_whose_group_is_not_known_counts_as_one_of_any() {
+    let files = Memory::default();
+    let (mut disk, _) = location(&files).open().expect("a disk");
+    let facts = |made_ms, group| Facts { etag: [b'e'; 16], made_ms, group };
+    for (object, group) in [(1, None), (2, Some(1)), (3, Some(2))] {
+        disk.put(key(object), facts(10, group), 1, b"bytes").expect("kept");
+    }
+    disk.purge_group(1, 20, 1).expect("a mark");
+    let served = [1, 2, 3].map(|object| disk.get(&key(object)).is_some());
+    assert_eq!(served, [false, false, true]);
+    let kept = [20, 21].map(|made_ms| disk.put(key(1), facts(made_ms, None), 1, b"bytes").expect("put"));
+    assert_eq!(kept, [false, true]);
+}
+
 fn any_step() -> impl Strategy<Value = Step> {
     prop_oneof![
         6 => (0..OBJECTS, 0_u64..8).prop_map(|(object, ago)| Step::Copy(object, ago)),
