--- a/dispatcher/src/lib.rs
+++ b/dispatcher/src/lib.rs
@@ -19,5 +19,6 @@
 pub mod nodes;
 pub mod outside_time;
 pub mod phases;
+pub mod purge_cover;
 pub mod reducer;
 pub mod rules_text;
--- a/dispatcher/tests/dispatcher/main.rs
+++ b/dispatcher/tests/dispatcher/main.rs
@@ -10,7 +10,11 @@
 mod crossings_full;
 mod deadlines;
 mod driver;
+#[path = "../../../store/tests/faulty/mod.rs"]
+mod faulty;
 mod fleet;
+mod folders;
+mod folders_process;
 mod gone;
 mod gone_sockets;
 mod growth;
