--- a/dispatcher/src/desk/mod.rs
+++ b/dispatcher/src/desk/mod.rs
@@ -29,6 +29,8 @@
 const UNSENT_PART: u64 = 4;
 /// Of the descriptors, what connections to nodes may take before they are shared.
 const NODES_PART: usize = 4;
+/// A pull of which less time is left is not begun: nodes are told whole milliseconds, and none is told as 0.
+const LEAST_LEFT: Nanos = Nanos(1_000_000);
 /// Where a download's life is told, line by line, when `RUST_LOG` asks for it.
 const TRACE: &str = "copperroute::trace";
 
@@ -44,6 +46,13 @@
     connection: u32,
 }
 
+impl HeldPull {
+    /// Until when its answer is of use.
+    fn until(&self, held: &Held) -> Nanos {
+        self.pull.try_for.map_or(held.expires, |span| self.at.after(span).min(held.expires))
+    }
+}
+
 /// A download in hand.
 #[derive(Debug)]
 struct Held {
@@ -78,6 +87,8 @@
 pub struct Desk {
     /// The time of the event at hand.
     pub now: Nanos,
+    /// For how long what clients have sent may have lain unread.
+    pub unread: Nanos,
     /// Client connections.
     pub clients: Clients,
     nodes: Nodes,
@@ -106,6 +117,7 @@
         clients.lingering.limit(limits.sockets as usize);
         Desk {
             now: Nanos::ZERO,
+            unread: Nanos::ZERO,
             clients,
             nodes: Nodes::new(connections, limits.sockets as usize / NODES_PART, seed),
             dls: Ids::default(),
@@ -154,7 +166,9 @@
         self.serial += 1;
         let dl = DlId(self.dls.open(self.serial));
         let object = ObjectId(self.objects.open((request.object, request.part)));
-        let expires = self.now.after(Nanos(request.timeout_ms.saturating_mul(1_000_000)));
+        // Its client waits since it asked.
+        let waits = Nanos(request.timeout_ms.saturating_mul(1_000_000)).since(self.unread);
+        let expires = self.now.after(waits);
         self.effects.push(Effect::Arm(expires, Due::Expiry(dl, self.serial)));
         self.asked.insert(request.id);
         let (id, of, part) = (request.id, &request.content_type, request.part);
--- a/dispatcher/src/desk/pulls.rs
+++ b/dispatcher/src/desk/pulls.rs
@@ -57,8 +57,11 @@
     pub(super) fn hand_over(&mut self, connection: u32) {
         let (held, now) = (&self.held, self.now);
         let late = |pull: &PullRef| {
-            let out = held.get(pull.dl.0).and_then(|held| held.pulls.get(pull.number as usize));
-            out.is_some_and(|out| out.pull.send_by.is_some_and(|by| by < now))
+            let of = held.get(pull.dl.0);
+            let out = of.and_then(|held| held.pulls.get(pull.number as usize).map(|out| (held, out)));
+            out.is_some_and(|(held, out)| {
+                out.pull.send_by.is_some_and(|by| by < now) || out.until(held).since(now) < LEAST_LEFT
+            })
         };
         let late = self.nodes.take_back_on(connection, late);
         late.into_iter().for_each(|pull| self.end(pull, Outcome::NotSent, None));
@@ -67,13 +70,12 @@
             let held = held.get(pull.dl.0)?;
             let out = held.pulls.get(pull.number as usize)?;
             let (request, order) = (&held.request, &out.pull);
-            let until = order.try_for.map_or(held.expires, |span| out.at.after(span).min(held.expires));
             let fetch = Fetch {
                 id: request.id,
                 content_type: &request.content_type,
                 object: request.object,
                 part: request.part,
-                wait: until.since(now),
+                wait: out.until(held).since(now),
                 source: out.source.as_deref(),
                 // The age means the same moment as when it was ordered.
                 order: Pull { max_age: order.max_age.map(|age| age.after(now.since(out.at))), ..*order },
@@ -86,6 +88,13 @@
         self.nodes.hand_over(connection, now, fetch, &mut self.effects);
     }
 
+    /// What was to be written to a node has waited for long: what has not begun to leave is put into words anew as it does.
+    pub fn renew(&mut self, connection: u32) {
+        self.nodes.unsay(connection, &mut self.effects);
+        self.hand_over(connection);
+        self.nodes.close_if_spent(connection, &mut self.effects);
+    }
+
     // Node connections.
 
     /// A connection to a node has come up.
--- a/dispatcher/src/effects.rs
+++ b/dispatcher/src/effects.rs
@@ -57,6 +57,10 @@
     Received(Peer, &'a [u8]),
     /// So many bytes in all have left.
     Written(Peer, u64),
+    /// What was to be written to a node has waited for long: what it says of time is old.
+    Stale(Peer),
+    /// What clients have sent and is told from now on may have lain unread for so long.
+    Unread(Nanos),
     /// A connection has ended, or could not be made.
     Closed(Peer),
     /// The other side sends no more; it may still read.
--- a/dispatcher/src/event_loop/connections.rs
+++ b/dispatcher/src/event_loop/connections.rs
@@ -12,6 +12,8 @@
     pub(super) reads: bool,
     pub(super) unwritten: Vec<u8>,
     pub(super) at: usize,
+    /// When what is unwritten was asked for.
+    pub(super) asked_at: Nanos,
     /// Bytes that have left in all.
     pub(super) left: u64,
     /// The sending side ends once all is written.
@@ -99,9 +101,18 @@
         let registered = self.handle.register_dispatcher(source.clone());
         match (prepared, registered) {
             (Ok(()), Ok(token)) => {
-                let (unwritten, at, left, reads, shuts) = (Vec::new(), 0, 0, true, false);
-                let connection =
-                    Connection { stream, source, token, connecting, reads, unwritten, at, left, shuts };
+                let connection = Connection {
+                    stream,
+                    source,
+                    token,
+                    connecting,
+                    reads: true,
+                    unwritten: Vec::new(),
+                    at: 0,
+                    asked_at: Nanos::ZERO,
+                    left: 0,
+                    shuts: false,
+                };
                 self.connections.insert(peer, connection);
                 true
             }
@@ -189,6 +200,9 @@
                 0
             }
             Ok(count) => {
+                if matches!(peer, Peer::Client(_)) {
+                    self.tell_unread();
+                }
                 self.reduce(Event::Received(peer, &scratch[..count]));
                 count
             }
@@ -202,6 +216,14 @@
         came
     }
 
+    /// Tells for how long what is read now may have lain unread, where that has changed.
+    fn tell_unread(&mut self) {
+        let unread = self.freshness.unread_for(self.clock.now());
+        if std::mem::replace(&mut self.unread, unread) != unread {
+            self.reduce(Event::Unread(unread));
+        }
+    }
+
     /// A write has failed: what the other side had sent before is told first. An answer among it must not count as
     /// broken off, or its download might run twice.
     fn broken(&mut self, peer: Peer) {
@@ -254,7 +276,7 @@
     pub(super) fn write(&mut self, peer: Peer, bytes: Vec<u8>) {
         let Some(connection) = self.connections.get_mut(&peer) else { return };
         match connection.unwritten.is_empty() {
-            true => connection.unwritten = bytes,
+            true => (connection.unwritten, connection.asked_at) = (bytes, self.asked_at),
             false => connection.unwritten.extend_from_slice(&bytes),
         }
         self.dirty.push(peer);
@@ -265,13 +287,15 @@
         while let Some(peer) = self.dirty.pop() {
             self.flush(peer);
         }
+        self.freshness.turn_ended(!self.held_back.is_empty());
+        self.dirty.append(&mut self.held_back);
     }
 
     pub(super) fn flush(&mut self, peer: Peer) {
-        let Some(connection) = self.connections.get_mut(&peer) else { return };
-        if connection.connecting || (connection.unwritten.is_empty() && !connection.shuts) {
+        if !self.has_to_write(peer) || (matches!(peer, Peer::Node(_)) && !self.may_leave(peer)) {
             return;
         }
+        let Some(connection) = self.connections.get_mut(&peer) else { return };
         let before = connection.left;
         let flushed = connection.flush();
         let left = connection.left;
@@ -285,6 +309,30 @@
         }
     }
 
+    fn has_to_write(&self, peer: Peer) -> bool {
+        let connection = self.connections.get(&peer);
+        connection.is_some_and(|c| !c.connecting && (!c.unwritten.is_empty() || c.shuts))
+    }
+
+    /// Whether what is unwritten may leave for a node now: else clients are looked at first, as some may have gone. What
+    /// was encoded long ago is encoded anew.
+    fn may_leave(&mut self, peer: Peer) -> bool {
+        let now = self.clock.now();
+        if self.freshness.wants_look(now) {
+            self.held_back.push(peer);
+            return false;
+        }
+        if let Some(connection) = self.connections.get_mut(&peer)
+            && Freshness::are_stale(connection.asked_at, now)
+        {
+            connection.asked_at = now;
+            self.reduce(Event::Stale(peer));
+            // That took time as well.
+            return self.has_to_write(peer) && self.may_leave(peer);
+        }
+        true
+    }
+
     /// Follows what the connection waits for.
     pub(super) fn set_interest(&mut self, peer: Peer) {
         let Some(connection) = self.connections.get(&peer) else { return };
--- a/dispatcher/src/event_loop/mod.rs
+++ b/dispatcher/src/event_loop/mod.rs
@@ -4,6 +4,7 @@
 use crate::config::{Config, Sources};
 use crate::deadlines::Deadlines;
 use crate::effects::{Due, Effect, Event, Peer};
+use crate::freshness::Freshness;
 use crate::keeper::{self, Keeper};
 use crate::logs::{self, Sparse};
 use crate::reducer::Reducer;
@@ -94,6 +95,13 @@
     deadlines: Deadlines<Due>,
     /// Connections with something new to write.
     dirty: Vec<Peer>,
+    /// Connections to nodes that are not written to before clients are looked at again.
+    held_back: Vec<Peer>,
+    freshness: Freshness,
+    /// When what is asked for now was asked for.
+    asked_at: Nanos,
+    /// For how long what clients have sent may have lain unread, as the reducer was told last.
+    unread: Nanos,
     /// Room for what is read.
     scratch: Vec<u8>,
     /// All that clients have sent is to be told, for the last time.
@@ -155,6 +163,10 @@
         carrying: false,
         deadlines: Deadlines::default(),
         dirty: Vec::new(),
+        held_back: Vec::new(),
+        freshness: Freshness::new(clock.now()),
+        asked_at: Nanos::ZERO,
+        unread: Nanos::ZERO,
         scratch: vec![0; READ_AT_ONCE],
         reads_last: false,
         last_client: 0,
@@ -192,11 +204,15 @@
     carrier.reduce(Event::Started);
     while !carrier.stopped {
         carrier.flush_all();
-        // What was put off waits for nothing.
-        let wait = if put_off > 0 { Some(Duration::ZERO) } else { carrier.until_first_deadline() };
+        // What was put off, or held back, waits for nothing.
+        let began = carrier.clock.now();
+        let at_once = put_off > 0 || !carrier.dirty.is_empty();
+        let wait = if at_once { Some(Duration::ZERO) } else { carrier.until_first_deadline(began) };
         event_loop.dispatch(wait, &mut inbox).map_err(said("event loop"))?;
+        let found = carrier.clock.now();
+        carrier.freshness.looked(began, wait, found);
         // Due is what was so by now: what falls due while this turn reads has the next one read before it.
-        carrier.deadlines.take_due(carrier.clock.now(), &mut due);
+        carrier.deadlines.take_due(found, &mut due);
         if std::mem::take(&mut inbox.terminate) {
             carrier.reduce(Event::Terminate);
         }
@@ -257,9 +273,9 @@
 impl Carrier {
     /// How long the loop may wait for the first deadline, to the nanosecond: a wait that ended before it would only be
     /// followed by a further one. Nothing where none stands.
-    fn until_first_deadline(&self) -> Option<Duration> {
+    fn until_first_deadline(&self, now: Nanos) -> Option<Duration> {
         let first = self.deadlines.first()?;
-        Some(Duration::from_nanos(first.since(self.clock.now()).0))
+        Some(Duration::from_nanos(first.since(now).0))
     }
 
     /// Arms a deadline. Once many stand, those of requests that have ended are forgotten.
@@ -273,7 +289,9 @@
     /// Hands in an event. What it asks for is carried out behind what was asked for before, as carrying that out may
     /// have brought this event.
     fn reduce(&mut self, event: Event<'_>) {
-        self.effects.extend(self.reducer.reduce(self.clock.now(), event));
+        let now = self.clock.now();
+        self.effects.extend(self.reducer.reduce(now, event));
+        self.asked_at = now;
         if std::mem::replace(&mut self.carrying, true) {
             return;
         }
--- a/dispatcher/src/lib.rs
+++ b/dispatcher/src/lib.rs
@@ -12,6 +12,7 @@
 pub mod desk;
 pub mod effects;
 pub mod event_loop;
+pub mod freshness;
 pub mod keeper;
 pub mod last_list;
 pub mod lingering;
--- a/dispatcher/src/nodes/pulls.rs
+++ b/dispatcher/src/nodes/pulls.rs
@@ -31,6 +31,16 @@
         back
     }
 
+    /// Of what was given to a connection, what has not begun to leave waits again.
+    pub fn unsay(&mut self, number: u32, effects: &mut Vec<Effect>) {
+        if let Some(connection) = self.connections.get_mut(&number) {
+            // The last of them comes first.
+            for pull in connection.retract(number, &|_| true, effects) {
+                connection.waiting.push_front(pull);
+            }
+        }
+    }
+
     /// Puts a pull of a download on a connection to a node, made if need be; nothing if there is none to be
     /// had. Where it may run `once` only, none that rested is used; nor are those while nodes close them under
     /// the next pull. Costs a connect.
--- a/dispatcher/src/reducer/mod.rs
+++ b/dispatcher/src/reducer/mod.rs
@@ -185,6 +185,8 @@
             Event::Received(Peer::ChangeLog(number), bytes) => self.change_log_received(now, number, bytes),
             Event::Written(Peer::Client(number), total) => self.desk.client_written(number, total),
             Event::Written(Peer::Node(number), total) => self.desk.node_written(number, total),
+            Event::Stale(Peer::Node(number)) => self.desk.renew(number),
+            Event::Unread(span) => self.desk.unread = span,
             Event::Closed(Peer::Client(number)) => self.client_closed(now, number),
             Event::Ended(Peer::Client(number)) => self.client_ended(now, number),
             Event::Closed(Peer::Node(number)) | Event::Ended(Peer::Node(number)) => {
@@ -227,6 +229,7 @@
             }
             Event::Connected(Peer::Client(_))
             | Event::Unopened(Peer::Client(_))
+            | Event::Stale(Peer::Client(_) | Peer::ChangeLog(_))
             | Event::Written(Peer::ChangeLog(_), _) => {}
         }
         self.hand_on_ends(now);
--- /dev/null
+++ b/dispatcher/tests/dispatcher/freshness.rs
@@ -0,0 +1,73 @@
+//! The order of looks at sockets and of writes, on a clock that is stepped by hand.
+
+use copperroute::interface::Nanos;
+use copperroute_dispatcher::freshness::{Freshness, MOST_LOOKS, STALE_AFTER};
+use std::time::Duration;
+
+/// So many milliseconds after the loop's start.
+fn at(millis: u64) -> Nanos {
+    Nanos(1_000_000_000 + millis * 1_000_000)
+}
+
+/// A loop that has looked at its sockets at once, from one time to another.
+fn looked(began: u64, found: u64) -> Freshness {
+    let mut freshness = Freshness::new(at(0));
+    freshness.looked(at(began), Some(Duration::ZERO), at(found));
+    freshness
+}
+
+/// A stop anywhere between the beginning of a look and a write asks for another look, so that who left meanwhile is heard.
+#[test]
+fn a_stop_between_look_and_write_asks_for_another_look() {
+    let stale = STALE_AFTER.0 / 1_000_000;
+    assert!(!looked(10, 10).wants_look(at(10 + stale)));
+    assert!(looked(10, 10).wants_look(at(11 + stale)));
+    // The program was stopped as the look returned: what was found is old.
+    assert!(looked(10, 310).wants_look(at(311)));
+    let mut freshness = looked(10, 10);
+    freshness.turn_ended(true);
+    freshness.looked(at(311), Some(Duration::ZERO), at(311));
+    assert!(!freshness.wants_look(at(312)));
+}
+
+/// Looks that last too long themselves silence nobody for ever.
+#[test]
+fn looks_that_all_take_long_end() {
+    let mut freshness = looked(0, 0);
+    let mut looks = 0;
+    while freshness.wants_look(at(looks * 100 + 90)) {
+        freshness.turn_ended(true);
+        looks += 1;
+        freshness.looked(at(looks * 100), Some(Duration::ZERO), at(looks * 100));
+    }
+    assert_eq!(looks, u64::from(MOST_LOOKS));
+    freshness.turn_ended(false);
+    assert!(freshness.wants_look(at(looks * 100 + 90)));
+}
+
+/// What came while the loop was busy, or stopped, has waited since then at worst; what ended a wait has not.
+#[test]
+fn what_came_while_the_loop_was_busy_has_lain_unread() {
+    let unread = |freshness: &Freshness, now| freshness.unread_for(at(now)).0 / 1_000_000;
+    let mut freshness = looked(10, 10);
+    assert_eq!(unread(&freshness, 15), 0);
+    // The turn itself took long.
+    assert_eq!(unread(&freshness, 110), 100);
+    freshness.looked(at(310), Some(Duration::ZERO), at(311));
+    assert_eq!(unread(&freshness, 315), 305);
+    // A wait that bytes ended.
+    freshness.looked(at(315), Some(Duration::from_millis(250)), at(500));
+    assert_eq!(unread(&freshness, 501), 0);
+    // One that ended far behind its time.
+    freshness.looked(at(505), Some(Duration::from_millis(250)), at(1_505));
+    assert_eq!(unread(&freshness, 1_506), 1_001);
+    freshness.looked(at(1_510), None, at(9_000));
+    assert_eq!(unread(&freshness, 9_001), 0);
+}
+
+/// What was encoded long ago is encoded anew as it leaves.
+#[test]
+fn what_was_encoded_long_ago_is_stale() {
+    assert!(!Freshness::are_stale(at(10), Nanos(at(10).0 + STALE_AFTER.0)));
+    assert!(Freshness::are_stale(at(10), Nanos(at(10).0 + STALE_AFTER.0 + 1)));
+}
