--- a/dispatcher/src/clients.rs
+++ b/dispatcher/src/clients.rs
@@ -1,6 +1,6 @@
 //! Client connections: what is open on each, what has not left yet, and who is read from.
 
-use crate::effects::{Effect, Peer};
+use crate::effects::{Behind, Effect, Peer};
 use crate::lingering::Lingering;
 use copperroute::interface::{DlId, Nanos, stable_hash};
 use copperroute_protocol::clients::{Answer, Decoder, encode};
@@ -47,6 +47,10 @@
     asked: bool,
     /// Since when the rest of a message is missing.
     midway: Option<Nanos>,
+    /// What came is being decoded: its connection does not end before all of it is answered.
+    decoding: bool,
+    /// It takes too little, and its connection ends once all that came is answered.
+    run_out: bool,
 }
 
 impl Client {
@@ -65,10 +69,26 @@
 
     /// Nothing that it sends is decoded any more, so that it asks for nothing new and can't abort; it can leave.
     pub fn cannot_be_read(&mut self) {
-        (self.unreadable, self.decoder) = (true, Decoder::default());
+        (self.unreadable, self.decoding, self.decoder) = (true, false, Decoder::default());
         self.close_when_answered();
     }
 
+    /// Bytes have come that are to be decoded now.
+    pub fn decodes(&mut self, bytes: &[u8]) {
+        self.decoder.feed(bytes);
+        self.decoding = true;
+    }
+
+    /// Whether it is not waited for any longer.
+    pub fn has_run_out(&self) -> bool {
+        self.run_out
+    }
+
+    /// Whether its connection can end: it asks for nothing new, and all that came is answered.
+    pub fn is_spent(&self) -> bool {
+        self.closing && !self.decoding && self.open.is_empty()
+    }
+
     /// Whether it asks for nothing new any more.
     pub fn is_closing(&self) -> bool {
         self.closing
@@ -86,6 +106,7 @@
 
     /// All that came has been decoded, as far as it is whole.
     pub fn pauses(&mut self, now: Nanos) {
+        self.decoding = false;
         self.decoder.settle();
         let waits_for_rest = self.decoder.is_midway() && !self.closing;
         self.midway = waits_for_rest.then(|| self.midway.unwrap_or(now));
@@ -162,6 +183,14 @@
         client.slow |= client.unsent() > UNSENT;
     }
 
+    /// A client takes so little that it is not waited for any longer once all that came is answered.
+    pub fn run_out(&mut self, number: u32) {
+        if let Some(client) = self.by_number.get_mut(&number) {
+            client.run_out = true;
+            client.close_when_answered();
+        }
+    }
+
     /// Bytes for a client have left, so many in all.
     pub fn written(&mut self, number: u32, total: u64, now: Nanos) {
         let Some(client) = self.by_number.get_mut(&number) else { return };
@@ -171,26 +200,27 @@
         client.slow &= client.unsent() > UNSENT / 2;
     }
 
-    /// Lets go of a client; returns what was open on it.
-    fn forget(&mut self, number: u32) -> Option<Vec<DlId>> {
+    /// Lets go of a client; returns what was open on it, and what becomes of what it still sends: of one that can't be
+    /// read no request is.
+    fn forget(&mut self, number: u32) -> Option<(Vec<DlId>, Behind)> {
         let client = self.by_number.remove(&number)?;
         self.unsent -= client.unsent();
         let mut open: Vec<_> = client.open.into_values().collect();
         open.sort_by_key(|dl| dl.0);
-        Some(open)
+        Some((open, if client.unreadable { Behind::Read } else { Behind::Unread }))
     }
 
     /// A client's connection ends at once; returns what was open on it.
     pub fn remove(&mut self, number: u32, effects: &mut Vec<Effect>) -> Vec<DlId> {
         self.lingering.ended(number);
         effects.push(Effect::Close(Peer::Client(number)));
-        self.forget(number).unwrap_or_default()
+        self.forget(number).map(|(open, _)| open).unwrap_or_default()
     }
 
     /// A client's connection ends by a lingering close; returns what was open on it.
     pub fn shut(&mut self, number: u32, now: Nanos, effects: &mut Vec<Effect>) -> Vec<DlId> {
-        let Some(open) = self.forget(number) else { return Vec::new() };
-        effects.push(Effect::Shut(Peer::Client(number)));
+        let Some((open, behind)) = self.forget(number) else { return Vec::new() };
+        effects.push(Effect::Shut(Peer::Client(number), behind));
         let instead = self.lingering.begin(now, number);
         effects.extend(instead.map(|oldest| Effect::Close(Peer::Client(oldest))));
         open
@@ -202,9 +232,9 @@
         numbers.sort();
         self.lingering.hurry(now);
         for number in numbers {
-            self.forget(number);
+            let Some((_, behind)) = self.forget(number) else { continue };
             self.lingering.begin_last(now, number);
-            effects.push(Effect::Shut(Peer::Client(number)));
+            effects.push(Effect::Shut(Peer::Client(number), behind));
         }
     }
 
@@ -253,7 +283,7 @@
     /// Descriptors are wanted at once: those that linger are closed, and up to `most` on which nothing is open.
     pub fn make_room(&mut self, most: usize, now: Nanos, effects: &mut Vec<Effect>) {
         self.close_idle(most, None, now, effects);
-        effects.retain(|effect| !matches!(effect, Effect::Shut(Peer::Client(_))));
+        effects.retain(|effect| !matches!(effect, Effect::Shut(Peer::Client(_), _)));
         while let Some(number) = self.lingering.oldest() {
             effects.push(Effect::Close(Peer::Client(number)));
         }
--- a/dispatcher/src/desk/mod.rs
+++ b/dispatcher/src/desk/mod.rs
@@ -252,7 +252,7 @@
 
     /// Ends a connection that asks for nothing new, once nothing is open on it.
     pub fn shut_if_answered(&mut self, client: u32) {
-        if self.clients.get_mut(client).is_some_and(|client| client.is_closing() && client.open.is_empty()) {
+        if self.clients.get_mut(client).is_some_and(|client| client.is_spent()) {
             self.shut_client(client);
         }
     }
--- a/dispatcher/src/effects.rs
+++ b/dispatcher/src/effects.rs
@@ -85,6 +85,15 @@
     NoDescriptors,
 }
 
+/// What becomes of bytes behind the end of a connection.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Behind {
+    /// They are read and told, to be dropped.
+    Read,
+    /// They stay unread.
+    Unread,
+}
+
 /// What the event loop is asked for.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
@@ -96,9 +105,10 @@
     Read(Peer, bool),
     /// Of what was to be written, drop the bytes from this place on, counted from the first ever given; none has left.
     Retract(Peer, u64),
-    /// Write what is left, then end the sending side. What still comes is told until `Close`: a close over unread bytes
-    /// would be a reset, which can take with it what was written (lingering close).
-    Shut(Peer),
+    /// Write what is left, then end the sending side (lingering close: a close over unread bytes is a reset, which can
+    /// take with it what was written). Either what still comes is read and told until `Close`, or nothing is read any more,
+    /// as a request that was read is owed an answer.
+    Shut(Peer, Behind),
     /// Close, whatever is unwritten.
     Close(Peer),
     /// Accept what waits, listen no more, and tell all that has come from clients.
--- a/dispatcher/src/event_loop/mod.rs
+++ b/dispatcher/src/event_loop/mod.rs
@@ -3,7 +3,7 @@
 use crate::clock::Clock;
 use crate::config::{Config, Sources};
 use crate::deadlines::Deadlines;
-use crate::effects::{Due, Effect, Event, Peer};
+use crate::effects::{Behind, Due, Effect, Event, Peer};
 use crate::freshness::Freshness;
 use crate::keeper::{self, Keeper};
 use crate::logs::{self, Sparse};
@@ -28,6 +28,7 @@
 
 mod connections;
 mod startup;
+mod writing;
 
 use connections::Connection;
 use startup::{listen, modified, open_disk, open_list};
@@ -312,7 +313,7 @@
                 }
                 self.set_interest(peer);
             }
-            Effect::Shut(peer) => self.shut(peer),
+            Effect::Shut(peer, behind) => self.shut(peer, behind),
             Effect::Close(peer) => self.close(peer),
             Effect::ReadLast => self.reads_last = true,
             Effect::Arm(at, due) => self.arm(at, due),
--- a/dispatcher/src/reducer/clients.rs
+++ b/dispatcher/src/reducer/clients.rs
@@ -13,11 +13,17 @@
         if client.is_unreadable() {
             return;
         }
-        client.decoder.feed(bytes);
+        client.decodes(bytes);
         while let Some(client) = self.desk.clients.get_mut(number).filter(|client| !client.is_unreadable()) {
             let message = match client.decoder.next_message() {
                 Ok(Some(message)) => message,
-                Ok(None) => return client.pauses(now),
+                Ok(None) => {
+                    client.pauses(now);
+                    if client.has_run_out() {
+                        self.client_dismissed(now, number);
+                    }
+                    return self.desk.shut_if_answered(number);
+                }
                 Err(fault) => {
                     self.complaints.warn(now, format_args!("client {number}: {fault}"));
                     log::debug!(target: "copperroute::trace", "client {number} unreadable");
@@ -36,7 +42,13 @@
                     open.into_iter().for_each(|request| self.forsake(now, request));
                     self.desk.shut_if_answered(number);
                 }
-                // It asks for nothing new any more.
+                // It asks for nothing new any more, but what was read is answered.
+                Message::Request(..) | Message::Unusable(..) if client_is_closing && open.is_none() => {
+                    if self.desk.has_run_out_for(number) {
+                        self.desk.clients.run_out(number);
+                    }
+                    self.desk.write(number, tag, Answer::Throttled(None));
+                }
                 _ if client_is_closing => {}
                 // Two answers under one tag could not be told apart.
                 _ if open.is_some() => {
@@ -45,7 +57,8 @@
                 }
                 Message::Request(..) if self.desk.has_run_out_for(number) => {
                     self.complaints.warn(now, format_args!("client {number}: takes too little, closed"));
-                    return self.client_closed(now, number);
+                    self.desk.clients.run_out(number);
+                    self.desk.write(number, tag, Answer::Throttled(None));
                 }
                 // At the end of the program, where memory is short, and past the protocol's limit: trying again is harmless.
                 Message::Request(..)
@@ -241,6 +254,18 @@
 
     /// A client sends no more. Most have left, so nothing more is sent for them; one that still reads is told at once.
     pub(super) fn client_ended(&mut self, now: Nanos, number: u32) {
+        self.tell_failed(now, number);
+        self.client_closed(now, number);
+    }
+
+    /// A client that takes too little is not waited for any longer: all that it asked is answered, and its connection ends.
+    pub(super) fn client_dismissed(&mut self, now: Nanos, number: u32) {
+        self.tell_failed(now, number);
+        self.client_shut(now, number);
+    }
+
+    /// All that a client waits for is given up, and it is told so.
+    fn tell_failed(&mut self, now: Nanos, number: u32) {
         let open = self.desk.clients.get_mut(number).map(|client| client.open.clone()).unwrap_or_default();
         let mut open: Vec<_> = open.into_iter().collect();
         open.sort_by_key(|(tag, _)| *tag);
@@ -248,7 +273,6 @@
             self.forsake(now, dl);
             self.desk.write(number, tag, Answer::Abandoned);
         }
-        self.client_closed(now, number);
     }
 }
 
--- a/dispatcher/src/reducer/mod.rs
+++ b/dispatcher/src/reducer/mod.rs
@@ -308,10 +308,11 @@
                 // Nobody waits that long for an answer: such a client has vanished.
                 for number in self.desk.clients.stuck(now, self.client_patience()) {
                     self.complaints.warn(now, format_args!("client: takes nothing, closed"));
-                    self.client_closed(now, number);
+                    self.client_dismissed(now, number);
                 }
+                // What one of them has asked before is answered.
                 for number in self.desk.clients.overdue(now) {
-                    self.client_shut(now, number);
+                    self.desk.close_when_answered(number);
                 }
                 self.desk.clients.sweep(now, &mut self.desk.effects);
                 self.log.watch(now, &mut self.desk.effects);
--- a/dispatcher/tests/dispatcher/main.rs
+++ b/dispatcher/tests/dispatcher/main.rs
@@ -28,4 +28,5 @@
 mod two_streams;
 mod two_streams_process;
 mod two_streams_sum;
+mod unread;
 mod unsent;
--- a/lab/src/capacity/hollow/dispatcher.rs
+++ b/lab/src/capacity/hollow/dispatcher.rs
@@ -193,7 +193,7 @@
             // Nodes are out of reach for want of something of its own, which says nothing of them.
             Effect::Connect(peer, _) => self.unopened.push_back(peer),
             Effect::Write(peer, bytes) => self.write(peer, &bytes),
-            Effect::Close(peer) | Effect::Shut(peer) => drop(self.connections.remove(&peer)),
+            Effect::Close(peer) | Effect::Shut(peer, _) => drop(self.connections.remove(&peer)),
             Effect::Arm(at, due) => self.timers.arm(at, due),
             Effect::Exit => self.exited = true,
             // It has neither clients nor a disk.
