--- a/dispatcher/src/event_loop/mod.rs
+++ b/dispatcher/src/event_loop/mod.rs
@@ -4,7 +4,7 @@
 use crate::config::{Config, Sources};
 use crate::deadlines::Deadlines;
 use crate::effects::{Behind, Due, Effect, Event, Peer};
-use crate::freshness::Freshness;
+use crate::freshness::{Freshness, PutOff};
 use crate::keeper::{self, Keeper};
 use crate::logs::{self, Sparse};
 use crate::reducer::Reducer;
@@ -41,8 +41,6 @@
 const ACCEPTED_AT_ONCE: usize = 64;
 /// How often it is looked whether the operator's file has changed, where versions of rules come with it.
 const WATCHED: Duration = Duration::from_secs(1);
-/// What is due waits for so many turns at most while bytes still come.
-const TURNS_FIRST: u32 = 16;
 /// Without a descriptor for a client that waits, the listener rests for so long.
 const REST: Duration = Duration::from_millis(20);
 
@@ -177,7 +175,7 @@
         keeper,
     };
     let mut inbox = Inbox::default();
-    let (mut due, mut put_off) = (Vec::new(), 0);
+    let (mut due, mut put_off) = (Vec::new(), PutOff::default());
     if let Some(disk) = disk {
         let (tell, told) = channel();
         carrier
@@ -207,7 +205,7 @@
         carrier.flush_all();
         // What was put off, or held back, waits for nothing.
         let began = carrier.clock.now();
-        let at_once = put_off > 0 || !carrier.dirty.is_empty();
+        let at_once = put_off.is_on() || !carrier.dirty.is_empty();
         let wait = if at_once { Some(Duration::ZERO) } else { carrier.until_first_deadline(began) };
         event_loop.dispatch(wait, &mut inbox).map_err(said("event loop"))?;
         let found = carrier.clock.now();
@@ -237,8 +235,7 @@
             let copy = told.copy.as_ref().map(|(facts, body)| (*facts, body.as_slice()));
             carrier.reduce(if told.off { Event::DiskOff } else { Event::CopyRead(told.ticket, copy) });
         }
-        put_off = if more && !due.is_empty() && put_off < TURNS_FIRST { put_off + 1 } else { 0 };
-        if put_off == 0 {
+        if !put_off.puts_off(found, more && !due.is_empty()) {
             due.drain(..).for_each(|due| carrier.reduce(Event::Due(due)));
         }
         let listener = carrier.listener.clone();
--- a/dispatcher/src/freshness.rs
+++ b/dispatcher/src/freshness.rs
@@ -13,6 +13,33 @@
 /// So many looks in a row at most before bytes leave: a look that lasts too long itself each time must not silence the program.
 pub const MOST_LOOKS: u32 = 16;
 
+/// What is due waits for so many turns at most while bytes still come.
+pub const TURNS_FIRST: u32 = 16;
+/// It waits for so long at most, as turns can be long: half of what a final answer may come late by.
+pub const LONGEST_PUT_OFF: Nanos = Nanos(250_000_000);
+
+/// Whether what is due is put off, as bytes that came before it may still lie unread.
+#[derive(Debug, Clone, Copy, Default)]
+pub struct PutOff {
+    turns: u32,
+    since: Nanos,
+}
+
+impl PutOff {
+    /// Whether something was put off in the last turn.
+    pub fn is_on(&self) -> bool {
+        self.turns > 0
+    }
+
+    /// Whether what is due is put off in a turn that began at a time, and in which more bytes may lie unread or not.
+    pub fn puts_off(&mut self, now: Nanos, more: bool) -> bool {
+        let since = if self.is_on() { self.since } else { now };
+        let is_on = more && self.turns < TURNS_FIRST && now.since(since) < LONGEST_PUT_OFF;
+        *self = PutOff { turns: if is_on { self.turns + 1 } else { 0 }, since };
+        is_on
+    }
+}
+
 /// When the loop looked at its sockets, and what follows for bytes that leave and bytes that come.
 #[derive(Debug, Clone, Copy)]
 pub struct Freshness {
--- a/dispatcher/src/reducer/mod.rs
+++ b/dispatcher/src/reducer/mod.rs
@@ -40,6 +40,8 @@
 /// that is shorter: what came last has come 0.6 s after it, and 0.7 s after it nothing is waited for.
 const DRAINED_AFTER: Nanos = Nanos(500_000_000);
 const LONGEST_DRAIN: Nanos = Nanos(3_000_000_000);
+/// However short the longest expiry is, what comes last is still taken.
+const SHORTEST_DRAIN: Nanos = Nanos(620_000_000);
 /// A line may have taken so long on its way.
 const LATEST_LINE: Nanos = Nanos(1_000_000_000);
 /// A heartbeat of one of two streams may have taken so long on its way, where no agreement says so.
@@ -208,6 +210,7 @@
             Event::Terminate => {
                 if self.life.move_to(Phase::Draining) {
                     let drained = self.longest_expiry().min(LONGEST_DRAIN).after(DRAINED_AFTER);
+                    let drained = drained.max(SHORTEST_DRAIN);
                     let armed = [(LAST_REQUESTS, Due::LastRequests), (drained, Due::Drained)];
                     self.desk.effects.extend(armed.map(|(span, due)| Effect::Arm(now.after(span), due)));
                 }
--- a/dispatcher/tests/dispatcher/freshness.rs
+++ b/dispatcher/tests/dispatcher/freshness.rs
@@ -1,7 +1,9 @@
 //! The order of looks at sockets and of writes, on a clock that is stepped by hand.
 
 use copperroute::interface::Nanos;
-use copperroute_dispatcher::freshness::{Freshness, MOST_LOOKS, STALE_AFTER};
+use copperroute_dispatcher::freshness::{
+    Freshness, LONGEST_PUT_OFF, MOST_LOOKS, PutOff, STALE_AFTER, TURNS_FIRST,
+};
 use std::time::Duration;
 
 /// So many milliseconds after the loop's start.
@@ -71,3 +73,22 @@
     assert!(!Freshness::are_stale(at(10), Nanos(at(10).0 + STALE_AFTER.0)));
     assert!(Freshness::are_stale(at(10), Nanos(at(10).0 + STALE_AFTER.0 + 1)));
 }
+
+/// What is due waits while bytes come, but neither for many turns nor for long: it was put off over 16 turns however long each
+/// was, which is longer than an answer may come late by.
+#[test]
+fn what_is_due_is_put_off_for_a_bounded_time() {
+    for turn_ms in [0, 10, 60, 400] {
+        let mut put_off = PutOff::default();
+        let (mut turns, mut now) = (0, 0);
+        while put_off.puts_off(at(now), true) {
+            assert!(put_off.is_on());
+            turns += 1;
+            now += turn_ms;
+        }
+        assert!(turns <= u64::from(TURNS_FIRST) && !put_off.is_on());
+        assert!(now <= LONGEST_PUT_OFF.0 / 1_000_000 + turn_ms, "{turns} turns of {turn_ms} ms");
+        assert!(put_off.puts_off(at(now), true), "anew");
+        assert!(!put_off.puts_off(at(now), false));
+    }
+}
--- a/dispatcher/tests/dispatcher/main.rs
+++ b/dispatcher/tests/dispatcher/main.rs
@@ -8,6 +8,7 @@
 mod crossings_full;
 mod deadlines;
 mod driver;
+mod ending;
 mod fleet;
 mod freshness;
 mod gone;
