--- a/dispatcher/tests/dispatcher/ending.rs
+++ b/dispatcher/tests/dispatcher/ending.rs
@@ -47,7 +47,7 @@
 fn what_hangs_through_the_end_is_answered_before_the_program_is_killed() {
     let mut rig = Rig::start();
     let ask = |tag: u64, id: u64| {
-        let of = if tag % 2 == 0 { "image" } else { "post" };
+        let of = if tag.is_multiple_of(2) { "image" } else { "post" };
         request(tag, of, &format!("{id:016x}"), ",need=25000,timeout=15000")
     };
     let mut clients: Vec<_> = (0..8).map(|_| rig.client()).collect();
