--- a/dispatcher/src/freshness.rs
+++ b/dispatcher/src/freshness.rs
@@ -10,8 +10,9 @@
 pub const STALE_AFTER: Nanos = Nanos(50_000_000);
 /// Bytes that lay unread for less than this count as read as they came: far less than a passed-on deadline's slack.
 const READ_AT_ONCE: Nanos = Nanos(20_000_000);
-/// So many looks in a row at most before bytes leave: a look that lasts too long itself each time must not silence the program.
-pub const MOST_LOOKS: u32 = 16;
+/// So many looks in a row at most before bytes leave. After a stop one or two do. Of a program that is near its limit each
+/// look takes long itself, as it finds new requests: without a bound all that it has decided would wait on.
+pub const MOST_LOOKS: u32 = 4;
 
 /// What is due waits for so many turns at most while bytes still come.
 pub const TURNS_FIRST: u32 = 16;
