--- a/dispatcher/src/event_loop/connections.rs
+++ b/dispatcher/src/event_loop/connections.rs
@@ -12,6 +12,8 @@
     pub(super) reads: bool,
     pub(super) unwritten: Vec<u8>,
     pub(super) at: usize,
+    /// When what is unwritten was asked for.
+    pub(super) asked_at: Nanos,
     /// Bytes that have left in all.
     pub(super) left: u64,
     /// The sending side ends once all is written.
@@ -99,9 +101,18 @@
         let registered = self.handle.register_dispatcher(source.clone());
         match (prepared, registered) {
             (Ok(()), Ok(token)) => {
-                let (unwritten, at, left, reads, shuts) = (Vec::new(), 0, 0, true, false);
-                let connection =
-                    Connection { stream, source, token, connecting, reads, unwritten, at, left, shuts };
+                let connection = Connection {
+                    stream,
+                    source,
+                    token,
+                    connecting,
+                    reads: true,
+                    unwritten: Vec::new(),
+                    at: 0,
+                    asked_at: Nanos::ZERO,
+                    left: 0,
+                    shuts: false,
+                };
                 self.connections.insert(peer, connection);
                 true
             }
@@ -147,6 +158,16 @@
             }
             return false;
         }
+        // Its end is all that is still heard of it: what it was ready for before is left unread.
+        if matches!(peer, Peer::Client(_)) && !connection.reads {
+            let waits_for_end = connection.waits_for_nothing();
+            match waits_for_end {
+                true => self.closed(peer),
+                false if readiness.writable => self.flush(peer),
+                false => {}
+            }
+            return false;
+        }
         if readiness.writable {
             self.flush(peer);
         }
@@ -189,6 +210,9 @@
                 0
             }
             Ok(count) => {
+                if matches!(peer, Peer::Client(_)) {
+                    self.tell_unread();
+                }
                 self.reduce(Event::Received(peer, &scratch[..count]));
                 count
             }
@@ -202,11 +226,20 @@
         came
     }
 
+    /// Tells for how long what is read now may have lain unread, where that has changed.
+    fn tell_unread(&mut self) {
+        let unread = self.freshness.unread_for(self.clock.now());
+        if std::mem::replace(&mut self.unread, unread) != unread {
+            self.reduce(Event::Unread(unread));
+        }
+    }
+
     /// A write has failed: what the other side had sent before is told first. An answer among it must not count as
     /// broken off, or its download might run twice.
-    fn broken(&mut self, peer: Peer) {
+    pub(super) fn broken(&mut self, peer: Peer) {
+        let reads = |c: &Connection| c.reads || !matches!(peer, Peer::Client(_));
         for _ in 0..READS_OF_BROKEN {
-            if self.read(peer) == 0 {
+            if !self.connections.get(&peer).is_some_and(reads) || self.read(peer) == 0 {
                 break;
             }
         }
@@ -221,8 +254,9 @@
             self.accept(&listener, BACKLOG as usize);
             self.handle.remove(self.listening);
         }
+        let read = self.connections.iter().filter(|(_, connection)| connection.reads);
         let mut clients: Vec<_> =
-            self.connections.keys().copied().filter(|peer| matches!(peer, Peer::Client(_))).collect();
+            read.map(|(peer, _)| *peer).filter(|peer| matches!(peer, Peer::Client(_))).collect();
         clients.sort();
         for peer in clients {
             let mut reads = 0;
@@ -232,74 +266,6 @@
         }
         self.reduce(Event::ReadLast);
     }
-
-    /// Writes what is left, then ends the sending side.
-    pub(super) fn shut(&mut self, peer: Peer) {
-        if let Some(connection) = self.connections.get_mut(&peer) {
-            connection.shuts = true;
-            self.dirty.push(peer);
-        }
-    }
-
-    /// Drops bytes that have not left, from a place on.
-    pub(super) fn retract(&mut self, peer: Peer, from: u64) {
-        if let Some(connection) = self.connections.get_mut(&peer) {
-            let kept = from.saturating_sub(connection.left) as usize;
-            connection.unwritten.truncate(connection.at + kept);
-        }
-        // With nothing left to write it must not wait to write: it would be ready for ever.
-        self.set_interest(peer);
-    }
-
-    pub(super) fn write(&mut self, peer: Peer, bytes: Vec<u8>) {
-        let Some(connection) = self.connections.get_mut(&peer) else { return };
-        match connection.unwritten.is_empty() {
-            true => connection.unwritten = bytes,
-            false => connection.unwritten.extend_from_slice(&bytes),
-        }
-        self.dirty.push(peer);
-    }
-
-    /// Writes what has gathered in this turn; what leaves may bring more to write.
-    pub(super) fn flush_all(&mut self) {
-        while let Some(peer) = self.dirty.pop() {
-            self.flush(peer);
-        }
-    }
-
-    pub(super) fn flush(&mut self, peer: Peer) {
-        let Some(connection) = self.connections.get_mut(&peer) else { return };
-        if connection.connecting || (connection.unwritten.is_empty() && !connection.shuts) {
-            return;
-        }
-        let before = connection.left;
-        let flushed = connection.flush();
-        let left = connection.left;
-        self.set_interest(peer);
-        // First what has left: a pull that left whole may have run, though the connection has ended.
-        if left > before {
-            self.reduce(Event::Written(peer, left));
-        }
-        if flushed.is_err() {
-            self.broken(peer);
-        }
-    }
-
-    /// Follows what the connection waits for.
-    pub(super) fn set_interest(&mut self, peer: Peer) {
-        let Some(connection) = self.connections.get(&peer) else { return };
-        let writable = connection.connecting || !connection.unwritten.is_empty();
-        let interest = Interest { readable: connection.reads && !connection.connecting, writable };
-        let mut source = connection.source.as_source_mut();
-        if (source.interest.readable, source.interest.writable) == (interest.readable, interest.writable) {
-            return;
-        }
-        source.interest = interest;
-        drop(source);
-        if let Err(fault) = self.handle.update(&connection.token) {
-            log::error!("connection: {fault}");
-        }
-    }
 }
 
 // Linux's numbers: a connection is under way; the process, or the machine, is out of descriptors.
@@ -317,25 +283,9 @@
 const READS_OF_BROKEN: usize = 16;
 
 impl Connection {
-    /// Writes as much as goes.
-    pub(super) fn flush(&mut self) -> io::Result<()> {
-        while self.at < self.unwritten.len() {
-            match (&*self.stream).write(&self.unwritten[self.at..]) {
-                Ok(0) => return Err(ErrorKind::WriteZero.into()),
-                Ok(count) => {
-                    self.at += count;
-                    self.left += count as u64;
-                }
-                Err(fault) if fault.kind() == ErrorKind::Interrupted => {}
-                Err(fault) if fault.kind() == ErrorKind::WouldBlock => return Ok(()),
-                Err(fault) => return Err(fault),
-            }
-        }
-        self.unwritten = Vec::new();
-        self.at = 0;
-        if std::mem::take(&mut self.shuts) {
-            self.stream.shutdown(Shutdown::Write)?;
-        }
-        Ok(())
+    /// Whether only an end, or a fault, can show.
+    fn waits_for_nothing(&self) -> bool {
+        let interest = self.source.as_source_ref().interest;
+        !interest.readable && !interest.writable
     }
 }
