--- a/dispatcher/src/clients.rs
+++ b/dispatcher/src/clients.rs
@@ -250,12 +250,24 @@
         }
     }
 
-    /// Descriptors are wanted at once: those that linger are closed, and up to `most` on which nothing is open.
+    /// Descriptors are wanted at once: those that have lingered for a while are closed, and those that rest. Who has just come
+    /// or was just written to stays: a request may be on its way, or an answer.
     pub fn make_room(&mut self, most: usize, now: Nanos, effects: &mut Vec<Effect>) {
-        self.close_idle(most, None, now, effects);
-        effects.retain(|effect| !matches!(effect, Effect::Shut(Peer::Client(_))));
-        while let Some(number) = self.lingering.oldest() {
+        for number in self.resting(most, now) {
+            self.forget(number);
+            effects.push(Effect::Close(Peer::Client(number)));
+        }
+        while let Some(number) = self.lingering.oldest_since(now, YOUNG) {
             effects.push(Effect::Close(Peer::Client(number)));
         }
     }
+
+    /// Up to `most` connections on which nothing was open for a while, in the order in which they are to be closed.
+    pub fn resting(&self, most: usize, now: Nanos) -> Vec<u32> {
+        let rests = |client: &Client| client.is_idle() && now.since(client.active) >= YOUNG;
+        let resting = self.by_number.iter().filter(|(_, client)| rests(client));
+        let mut resting: Vec<_> = resting.map(|(number, c)| (c.asked, c.active, *number)).collect();
+        resting.sort();
+        resting.into_iter().take(most).map(|(_, _, number)| number).collect()
+    }
 }
--- a/dispatcher/src/event_loop/connections.rs
+++ b/dispatcher/src/event_loop/connections.rs
@@ -1,6 +1,7 @@
-//! Sockets: accepted, connected, read, written and closed.
+//! Connections: read, written and closed.
 
 use super::*;
+use copperroute_relay::socket_errors::{ConnectError, TransferError, of_connect, of_transfer};
 
 /// A connection, and what it has still to write.
 pub(super) struct Connection {
@@ -19,77 +20,11 @@
 }
 
 impl Carrier {
-    /// Accepts what waits; tells whether there were descriptors for it.
-    pub(super) fn accept(&mut self, listener: &TcpListener, most: usize) -> bool {
-        for _ in 0..most {
-            match listener.accept() {
-                Ok((stream, from)) => {
-                    self.last_client += 1;
-                    let peer = Peer::Client(self.last_client);
-                    if self.insert(peer, stream, false) {
-                        self.reduce(Event::Accepted(self.last_client, from.ip()));
-                    }
-                }
-                Err(fault) if fault.kind() == ErrorKind::WouldBlock => return true,
-                Err(fault)
-                    if matches!(fault.kind(), ErrorKind::ConnectionAborted | ErrorKind::Interrupted) => {}
-                Err(fault) => {
-                    self.complaints.warn(self.clock.now(), format_args!("accept: {fault}"));
-                    self.reduce(Event::NoDescriptors);
-                    return false;
-                }
-            }
-        }
-        true
-    }
-
-    pub(super) fn connect(&mut self, peer: Peer, address: SocketAddr) {
-        let begin = || -> io::Result<TcpStream> {
-            let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
-            socket.set_nonblocking(true)?;
-            match socket.connect(&address.into()) {
-                // What is under way shows as writable later, or as an error.
-                Err(fault) if fault.raw_os_error() != Some(EINPROGRESS) => Err(fault),
-                _ => Ok(socket.into()),
-            }
-        };
-        let begun = begin().or_else(|fault| {
-            // Being out of descriptors says nothing of the other side.
-            if matches!(fault.raw_os_error(), Some(EMFILE | ENFILE)) {
-                self.make_room();
-                return begin();
-            }
-            Err(fault)
-        });
-        let own_fault = |fault: &io::Error| OWN_FAULTS.contains(&fault.raw_os_error().unwrap_or_default());
-        match begun {
-            // Nothing was asked of the other side yet: what lacks is this machine's own.
-            Err(fault) if own_fault(&fault) => {
-                self.complaints.warn(self.clock.now(), format_args!("connect: {fault}"));
-                self.reduce(Event::Unopened(peer));
-            }
-            Err(_) => self.reduce(Event::Closed(peer)),
-            Ok(stream) => {
-                if !self.insert(peer, stream, true) {
-                    self.reduce(Event::Unopened(peer));
-                }
-            }
-        }
-    }
-
-    /// Frees descriptors at once: what is closed for that is closed before the caller goes on.
-    fn make_room(&mut self) {
-        for effect in self.reducer.reduce(self.clock.now(), Event::NoDescriptors) {
-            match effect {
-                Effect::Close(peer) => self.close(peer),
-                other => self.effects.push_back(other),
-            }
-        }
-    }
-
     pub(super) fn insert(&mut self, peer: Peer, stream: TcpStream, connecting: bool) -> bool {
         let interest = if connecting { Interest::WRITE } else { Interest::READ };
-        let prepared = stream.set_nonblocking(true).and_then(|()| stream.set_nodelay(true));
+        // Without it answers leave later, but they leave.
+        let _ = stream.set_nodelay(true);
+        let prepared = again(|| stream.set_nonblocking(true));
         let stream = Rc::new(stream);
         let generic = Generic::new(stream.clone(), interest, Mode::Level);
         let source = Source::new(generic, move |readiness, _, inbox: &mut Inbox| {
@@ -106,7 +41,10 @@
                 true
             }
             (prepared, registered) => {
-                log::error!("connection: {:?} {:?}", prepared.err(), registered.err());
+                let (prepared, registered) =
+                    (prepared.err(), registered.map(|token| self.handle.remove(token)).err());
+                let line = format_args!("connection: {prepared:?} {registered:?}");
+                self.complaints.warn(self.clock.now(), line);
                 false
             }
         }
@@ -143,7 +81,13 @@
                     self.reduce(Event::Connected(peer));
                     self.closed(peer);
                 }
-                _ => self.closed(peer),
+                Ok(Some(fault)) if of_connect(&fault) == ConnectError::Unreachable => self.closed(peer),
+                // Of this machine's own, or the call that asks has failed.
+                Ok(Some(fault)) | Err(fault) => {
+                    self.complaints.warn(self.clock.now(), format_args!("connect: {fault}"));
+                    self.close(peer);
+                    self.reduce(Event::Unopened(peer));
+                }
             }
             return false;
         }
@@ -175,10 +119,12 @@
     }
 
     /// Reads once; tells how many bytes came. What is behind them shows in the next turn.
-    fn read(&mut self, peer: Peer) -> usize {
+    pub(super) fn read(&mut self, peer: Peer) -> usize {
         let Some(connection) = self.connections.get_mut(&peer) else { return 0 };
         let mut scratch = std::mem::take(&mut self.scratch);
-        let came = match (&*connection.stream).read(&mut scratch) {
+        // While another read brings a connection that lacks a descriptor, there is none.
+        scratch.resize(READ_AT_ONCE, 0);
+        let came = match connection.read(&mut scratch) {
             // A client may still read, and is to hear what becomes of what it asked for.
             Ok(0) if matches!(peer, Peer::Client(_)) => {
                 self.reduce(Event::Ended(peer));
@@ -192,9 +138,12 @@
                 self.reduce(Event::Received(peer, &scratch[..count]));
                 count
             }
-            Err(fault) if matches!(fault.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => 0,
-            Err(_) => {
-                self.closed(peer);
+            Err(fault) => {
+                match of_transfer(&fault) {
+                    TransferError::NotReady => {}
+                    TransferError::Interrupted | TransferError::OwnWant => self.wants(&fault),
+                    TransferError::Broken => self.closed(peer),
+                }
                 0
             }
         };
@@ -202,6 +151,15 @@
         came
     }
 
+    /// A read or write could not be done for want of something of this machine's own, or was interrupted: it's tried again in
+    /// the next turn, which doesn't come at once.
+    fn wants(&mut self, fault: &io::Error) {
+        if of_transfer(fault) == TransferError::OwnWant {
+            self.complaints.warn(self.clock.now(), format_args!("connection: {fault}"));
+        }
+        self.pauses = true;
+    }
+
     /// A write has failed: what the other side had sent before is told first. An answer among it must not count as
     /// broken off, or its download might run twice.
     fn broken(&mut self, peer: Peer) {
@@ -280,8 +238,10 @@
         if left > before {
             self.reduce(Event::Written(peer, left));
         }
-        if flushed.is_err() {
-            self.broken(peer);
+        match flushed {
+            Err(fault) if of_transfer(&fault) == TransferError::Broken => self.broken(peer),
+            Err(fault) => self.wants(&fault),
+            Ok(()) => {}
         }
     }
 
@@ -297,17 +257,11 @@
         source.interest = interest;
         drop(source);
         if let Err(fault) = self.handle.update(&connection.token) {
-            log::error!("connection: {fault}");
+            self.complaints.warn(self.clock.now(), format_args!("connection: {fault}"));
         }
     }
 }
 
-// Linux's numbers: a connection is under way; the process, or the machine, is out of descriptors.
-const EINPROGRESS: i32 = 115;
-const EMFILE: i32 = 24;
-const ENFILE: i32 = 23;
-/// Out of memory, of descriptors (both), of addresses, of room for them.
-const OWN_FAULTS: [i32; 5] = [12, ENFILE, EMFILE, 99, 105];
 /// Bytes of a client that are read in one turn: 32 requests of 48 KB, the most that may be open on a connection, and as
 /// much again for what lies behind them, so that nothing is sent for a client whose abort or end has come.
 const BYTES_OF_CLIENT: usize = 2 * 32 * 50_000;
@@ -315,10 +269,32 @@
 const READS_OF_CLIENT: u32 = 256;
 /// Reads of a connection that has failed, or at the end, at most: a peer that never stops is not heard out.
 const READS_OF_BROKEN: usize = 16;
+/// A call that signals interrupt is repeated so often at once.
+const REPEATS: u32 = 8;
+
+/// Makes a call again if it fails, so often at most.
+fn again(mut call: impl FnMut() -> io::Result<()>) -> io::Result<()> {
+    let tried = (1..REPEATS).any(|_| call().is_ok());
+    if tried { Ok(()) } else { call() }
+}
 
 impl Connection {
-    /// Writes as much as goes.
+    /// Reads once.
+    fn read(&self, to: &mut [u8]) -> io::Result<usize> {
+        let mut interrupted = 0;
+        loop {
+            match (&*self.stream).read(to) {
+                Err(fault) if fault.kind() == ErrorKind::Interrupted && interrupted < REPEATS => {
+                    interrupted += 1;
+                }
+                other => return other,
+            }
+        }
+    }
+
+    /// Writes as much as goes. An error that is not of a broken connection leaves the rest for later.
     pub(super) fn flush(&mut self) -> io::Result<()> {
+        let mut interrupted = 0;
         while self.at < self.unwritten.len() {
             match (&*self.stream).write(&self.unwritten[self.at..]) {
                 Ok(0) => return Err(ErrorKind::WriteZero.into()),
@@ -326,9 +302,11 @@
                     self.at += count;
                     self.left += count as u64;
                 }
-                Err(fault) if fault.kind() == ErrorKind::Interrupted => {}
-                Err(fault) if fault.kind() == ErrorKind::WouldBlock => return Ok(()),
-                Err(fault) => return Err(fault),
+                Err(fault) => match of_transfer(&fault) {
+                    TransferError::NotReady => return Ok(()),
+                    TransferError::Interrupted if interrupted < REPEATS => interrupted += 1,
+                    _ => return Err(fault),
+                },
             }
         }
         self.unwritten = Vec::new();
--- a/dispatcher/src/event_loop/mod.rs
+++ b/dispatcher/src/event_loop/mod.rs
@@ -26,6 +26,7 @@
 use std::time::{Duration, SystemTime};
 
 mod connections;
+mod opening;
 mod startup;
 
 use connections::Connection;
@@ -42,7 +43,9 @@
 /// What is due waits for so many turns at most while bytes still come.
 const TURNS_FIRST: u32 = 16;
 /// Without a descriptor for a client that waits, the listener rests for so long.
-const REST: Duration = Duration::from_millis(20);
+const REST: Nanos = Nanos(20_000_000);
+/// So long the loop stands still where this machine can't do what it's asked for, so that it doesn't ask on and on.
+const PAUSE: Duration = Duration::from_millis(1);
 
 type Source = calloop::Dispatcher<'static, Generic<Rc<TcpStream>>, Inbox>;
 
@@ -51,7 +54,6 @@
 struct Inbox {
     ready: Vec<(Peer, Readiness)>,
     accept: bool,
-    rested: bool,
     terminate: bool,
     reload: bool,
     disk: Vec<Told>,
@@ -87,6 +89,10 @@
     /// Where clients connect; none at the end.
     listener: Option<Rc<TcpListener>>,
     listening: RegistrationToken,
+    /// The listener rests until then.
+    rests_until: Option<Nanos>,
+    /// The loop is to stand still for a moment.
+    pauses: bool,
     /// What the reducer has asked for and is not carried out yet, in order: carrying out one thing may bring more.
     effects: VecDeque<Effect>,
     carrying: bool,
@@ -151,6 +157,8 @@
         connections: HashMap::new(),
         listener: Some(listener),
         listening,
+        rests_until: None,
+        pauses: false,
         effects: VecDeque::new(),
         carrying: false,
         deadlines: Deadlines::default(),
@@ -194,7 +202,11 @@
         carrier.flush_all();
         // What was put off waits for nothing.
         let wait = if put_off > 0 { Some(Duration::ZERO) } else { carrier.until_first_deadline() };
-        event_loop.dispatch(wait, &mut inbox).map_err(said("event loop"))?;
+        // What it has found before it failed is in the inbox; the rest shows again.
+        if let Err(fault) = event_loop.dispatch(wait, &mut inbox) {
+            carrier.complaints.warn(carrier.clock.now(), format_args!("event loop: {fault}"));
+            carrier.pauses = true;
+        }
         // Due is what was so by now: what falls due while this turn reads has the next one read before it.
         carrier.deadlines.take_due(carrier.clock.now(), &mut due);
         if std::mem::take(&mut inbox.terminate) {
@@ -224,24 +236,13 @@
         if put_off == 0 {
             due.drain(..).for_each(|due| carrier.reduce(Event::Due(due)));
         }
-        let listener = carrier.listener.clone();
-        if std::mem::take(&mut inbox.rested) && listener.is_some() {
-            carrier.handle.enable(&listening).map_err(said("listener"))?;
-        }
-        let waits = std::mem::take(&mut inbox.accept);
-        if let Some(listener) = listener.filter(|_| waits)
-            && !carrier.accept(&listener, ACCEPTED_AT_ONCE)
-        {
-            carrier.handle.disable(&listening).map_err(said("listener"))?;
-            let rested = carrier.handle.insert_source(Timer::from_duration(REST), |_, _, inbox| {
-                inbox.rested = true;
-                TimeoutAction::Drop
-            });
-            rested.map_err(|fault| said("timer")(fault.error))?;
-        }
+        carrier.listen_on(std::mem::take(&mut inbox.accept));
         if std::mem::take(&mut carrier.reads_last) {
             carrier.read_last();
         }
+        if std::mem::take(&mut carrier.pauses) {
+            std::thread::sleep(PAUSE);
+        }
     }
     carrier.flush_all();
     if let Some(disk) = carrier.disk.take() {
@@ -258,7 +259,7 @@
     /// How long the loop may wait for the first deadline, to the nanosecond: a wait that ended before it would only be
     /// followed by a further one. Nothing where none stands.
     fn until_first_deadline(&self) -> Option<Duration> {
-        let first = self.deadlines.first()?;
+        let first = self.deadlines.first().into_iter().chain(self.rests_until).min()?;
         Some(Duration::from_nanos(first.since(self.clock.now()).0))
     }
 
--- a/dispatcher/src/lingering.rs
+++ b/dispatcher/src/lingering.rs
@@ -19,6 +19,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Ending {
     number: u32,
+    since: Nanos,
     until: Nanos,
     bytes: u64,
 }
@@ -43,7 +44,7 @@
 
     /// A connection's sending side ends now. Returns the one that is to be closed in its place, if there are too many.
     pub fn begin(&mut self, now: Nanos, number: u32) -> Option<u32> {
-        self.endings.push_back(Ending { number, until: now.after(LINGERS), bytes: 0 });
+        self.endings.push_back(Ending { number, since: now, until: now.after(LINGERS), bytes: 0 });
         if self.endings.len() <= self.most { None } else { self.oldest() }
     }
 
@@ -55,7 +56,7 @@
 
     /// A connection's sending side ends now, as the program does, however many there are.
     pub fn begin_last(&mut self, now: Nanos, number: u32) {
-        self.endings.push_back(Ending { number, until: now.after(LINGERS_AT_END), bytes: 0 });
+        self.endings.push_back(Ending { number, since: now, until: now.after(LINGERS_AT_END), bytes: 0 });
     }
 
     /// The one that lingers longest lingers no more.
@@ -63,6 +64,12 @@
         self.endings.pop_front().map(|ending| ending.number)
     }
 
+    /// The same, if it has lingered for this span at least.
+    pub fn oldest_since(&mut self, now: Nanos, span: Nanos) -> Option<u32> {
+        let lingers = |ending: &Ending| now.since(ending.since) >= span;
+        self.endings.front().is_some_and(lingers).then(|| self.oldest()).flatten()
+    }
+
     /// So many bytes came on a connection; tells whether that is enough of it.
     pub fn came(&mut self, number: u32, bytes: usize) -> bool {
         let Some(at) = self.endings.iter().position(|ending| ending.number == number) else { return false };
--- a/dispatcher/src/logs.rs
+++ b/dispatcher/src/logs.rs
@@ -76,11 +76,15 @@
     }
 }
 
+/// What is written where `RUST_LOG` says nothing. The event loop's library repeats itself without bound where calls fail; our
+/// own lines tell of them.
+const FILTER: &str = "info,calloop=off";
+
 /// Starts the log, on standard error.
 pub fn start() -> Log {
     let (out, lines) = sync_channel(WAITING);
     std::thread::spawn(|| write_out(lines));
-    env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("info"))
+    env_logger::Builder::from_env(env_logger::Env::default().default_filter_or(FILTER))
         .target(env_logger::Target::Pipe(Box::new(Lines(out.clone()))))
         .init();
     Log(out)
--- a/dispatcher/src/reducer/mod.rs
+++ b/dispatcher/src/reducer/mod.rs
@@ -153,6 +153,11 @@
         self.desk.objects_kept()
     }
 
+    /// The clients that would be closed for want of descriptors, and as many more as may take their places.
+    pub fn resting(&self, now: Nanos) -> Vec<u32> {
+        self.desk.clients.resting(2 * IDLE_AT_ONCE, now)
+    }
+
     /// What is out at each node: as the decisions believe, and as it is.
     pub fn out(&self) -> Vec<(u32, u32)> {
         let nodes = (0..self.nodes_kept()).map(NodeId);
--- a/dispatcher/tests/dispatcher/clients.rs
+++ b/dispatcher/tests/dispatcher/clients.rs
@@ -65,8 +65,13 @@
     play.event(Event::Accepted(2, LOOPBACK));
     play.client(&request(7, "image", "9b1f", ",need=100"));
     play.take();
+    // A request of who has just come may be on its way.
+    play.event(Event::NoDescriptors);
+    play.trace.push_str("later\n");
+    play.pass(100);
     play.event(Event::NoDescriptors);
     expect![[r#"
+        later
         close Client(2)
     "#]]
     .assert_eq(&play.take());
--- a/relay/src/event_loop.rs
+++ b/relay/src/event_loop.rs
@@ -4,6 +4,7 @@
 use crate::config::Config;
 use crate::core::{Core, Effect, Event, StreamId};
 use crate::followers::{FollowerId, ForFollower};
+use crate::sparse::Sparse;
 use calloop::generic::Generic;
 use calloop::signals::{Signal, Signals};
 use calloop::{EventLoop, Interest, LoopHandle, Mode, PostAction, Readiness};
@@ -20,6 +21,8 @@
 
 mod connections;
 
+pub use connections::begin_connecting;
+
 /// Bytes read from one connection in one turn, so that none holds up the others.
 const READ_AT_ONCE: usize = 64 * 1024;
 /// Connections that may wait to be accepted.
@@ -30,6 +33,8 @@
 const SEND_BUFFER: usize = 32 * 1024;
 /// Without a descriptor for one who waits, nobody is accepted for so long.
 const REST: Duration = Duration::from_millis(100);
+/// So long the loop stands still where this machine can't do what it's asked for, so that it doesn't ask on and on.
+const PAUSE: Duration = Duration::from_millis(1);
 /// What the clock shows at the start, so that there is room for times before it.
 const EPOCH: Nanos = Nanos(86_400_000_000_000);
 
@@ -85,6 +90,9 @@
     dirty: Vec<Peer>,
     scratch: Vec<u8>,
     last_follower: u32,
+    complaints: Sparse,
+    /// The loop is to stand still for a moment.
+    pauses: bool,
 }
 
 fn listen(address: SocketAddr) -> io::Result<TcpListener> {
@@ -129,6 +137,8 @@
         dirty: Vec::new(),
         scratch: vec![0; READ_AT_ONCE],
         last_follower: 0,
+        complaints: Sparse::default(),
+        pauses: false,
     };
     let mut inbox = Inbox::default();
     let mut rests_until: Option<Instant> = None;
@@ -136,20 +146,34 @@
         carrier.reduce(Event::Tick);
         carrier.flush_all();
         let wait = Duration::from_nanos(carrier.core.idle().0);
-        event_loop.dispatch(wait, &mut inbox).map_err(said("event loop"))?;
+        // What it has found before it failed is in the inbox; the rest shows again.
+        if let Err(fault) = event_loop.dispatch(wait, &mut inbox) {
+            carrier.complain(format_args!("event loop: {fault}"));
+            carrier.pauses = true;
+        }
         // What is due is looked at before what has come: a process that was stopped has lapsed.
         let mut ready = std::mem::take(&mut inbox.ready);
         ready.sort_by_key(|(peer, _)| *peer);
         for (peer, readiness) in ready {
             carrier.ready(peer, readiness);
         }
-        if rests_until.is_some_and(|until| until <= Instant::now()) {
-            rests_until = None;
-            carrier.handle.enable(&listening).map_err(said("listener"))?;
-        }
-        if std::mem::take(&mut inbox.accept) && !carrier.accept(&listener) {
+        if rests_until.take_if(|until| *until <= Instant::now()).is_some()
+            && let Err(fault) = carrier.handle.enable(&listening)
+        {
+            carrier.complain(format_args!("listener: {fault}"));
             rests_until = Some(Instant::now() + REST);
-            carrier.handle.disable(&listening).map_err(said("listener"))?;
+        }
+        if std::mem::take(&mut inbox.accept) && rests_until.is_none() && !carrier.accept(&listener) {
+            match carrier.handle.disable(&listening) {
+                Ok(()) => rests_until = Some(Instant::now() + REST),
+                Err(fault) => {
+                    carrier.complain(format_args!("listener: {fault}"));
+                    carrier.pauses = true;
+                }
+            }
+        }
+        if std::mem::take(&mut carrier.pauses) {
+            std::thread::sleep(PAUSE);
         }
     }
     log::info!("{}: ends with {} followers", config.name, carrier.core.followers());
--- a/relay/src/event_loop/connections.rs
+++ b/relay/src/event_loop/connections.rs
@@ -1,11 +1,12 @@
 //! Sockets: accepted, connected, read, written and closed.
 
 use super::*;
+use crate::socket_errors::{AcceptError, ConnectError, TransferError, of_accept, of_connect, of_transfer};
 
 type Source = calloop::Dispatcher<'static, Generic<Rc<TcpStream>>, Inbox>;
 
-// Linux's number for a connection that is under way.
-const EINPROGRESS: i32 = 115;
+/// A call that signals interrupt is repeated so often at once.
+const REPEATS: u32 = 8;
 
 /// A connection, and what it has still to write.
 pub(super) struct Connection {
@@ -21,6 +22,8 @@
 pub(super) enum Flushed {
     /// So many bytes have left.
     Left(usize),
+    /// The same; the rest could not for want of something of this machine's own, or was interrupted.
+    Hindered(usize),
     /// The connection is broken.
     Broken,
 }
@@ -28,14 +31,19 @@
 impl Connection {
     /// Writes as much as goes.
     fn flush(&mut self) -> Flushed {
-        let before = self.at;
+        let (before, mut interrupted) = (self.at, 0);
         while self.at < self.unwritten.len() {
             match (&*self.stream).write(&self.unwritten[self.at..]) {
                 Ok(0) => return Flushed::Broken,
                 Ok(count) => self.at += count,
-                Err(fault) if fault.kind() == ErrorKind::Interrupted => {}
-                Err(fault) if fault.kind() == ErrorKind::WouldBlock => break,
-                Err(_) => return Flushed::Broken,
+                Err(fault) => match of_transfer(&fault) {
+                    TransferError::NotReady => break,
+                    TransferError::Interrupted if interrupted < REPEATS => interrupted += 1,
+                    TransferError::Interrupted | TransferError::OwnWant => {
+                        return Flushed::Hindered(self.at - before);
+                    }
+                    TransferError::Broken => return Flushed::Broken,
+                },
             }
         }
         let left = self.at - before;
@@ -47,11 +55,13 @@
 }
 
 impl Carrier {
-    /// Accepts what waits; tells whether there were descriptors for it.
+    /// Accepts what waits; tells whether the listener may go on at once.
     pub(super) fn accept(&mut self, listener: &TcpListener) -> bool {
+        let mut goes_on = true;
         for _ in 0..ACCEPTED_AT_ONCE {
             match listener.accept() {
                 Ok((stream, _)) => {
+                    goes_on = true;
                     self.last_follower += 1;
                     let id = FollowerId(self.last_follower);
                     // Without it the machine holds more than it might: heartbeats may then leave late unseen.
@@ -60,37 +70,53 @@
                         self.reduce(Event::FollowerCame(id));
                     }
                 }
-                Err(fault) if fault.kind() == ErrorKind::WouldBlock => return true,
-                Err(fault)
-                    if matches!(fault.kind(), ErrorKind::ConnectionAborted | ErrorKind::Interrupted) => {}
-                Err(fault) => {
-                    log::error!("accept: {fault}");
-                    return false;
-                }
+                Err(fault) => match of_accept(&fault) {
+                    AcceptError::Empty => return true,
+                    // Where nothing but errors comes, it isn't asked on and on.
+                    AcceptError::OfOneConnection => {
+                        self.complain(format_args!("accept: {fault}"));
+                        goes_on = false;
+                    }
+                    AcceptError::NoDescriptors | AcceptError::Unable => {
+                        self.complain(format_args!("accept: {fault}"));
+                        return false;
+                    }
+                },
             }
         }
-        true
+        goes_on
     }
 
     pub(super) fn connect(&mut self, stream: StreamId, address: SocketAddr) {
         let begin = || -> io::Result<TcpStream> {
             let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
             socket.set_nonblocking(true)?;
-            match socket.connect(&address.into()) {
-                // What is under way shows as writable later, or as an error.
-                Err(fault) if fault.raw_os_error() != Some(EINPROGRESS) => Err(fault),
-                _ => Ok(socket.into()),
+            begin_connecting(&socket, address)?;
+            Ok(socket.into())
+        };
+        let made = match begin() {
+            Ok(socket) => self.insert(Peer::Source(stream), socket, true),
+            Err(fault) => {
+                self.complain(format_args!("connect: {fault}"));
+                false
             }
         };
-        let made = begin().is_ok_and(|socket| self.insert(Peer::Source(stream), socket, true));
         if !made {
             self.reduce(Event::SourceEnded(stream));
         }
     }
 
+    /// One line of those that may come often.
+    pub(super) fn complain(&mut self, line: std::fmt::Arguments<'_>) {
+        let now = self.now();
+        self.complaints.warn(now, line);
+    }
+
     fn insert(&mut self, peer: Peer, stream: TcpStream, connecting: bool) -> bool {
         let interest = if connecting { Interest::WRITE } else { Interest::READ };
-        let prepared = stream.set_nonblocking(true).and_then(|()| stream.set_nodelay(true));
+        // Without it lines leave later, but they leave.
+        let _ = stream.set_nodelay(true);
+        let prepared = stream.set_nonblocking(true);
         let stream = Rc::new(stream);
         let generic = Generic::new(stream.clone(), interest, Mode::Level);
         let source = Source::new(generic, move |readiness, _, inbox: &mut Inbox| {
@@ -105,7 +131,8 @@
                 true
             }
             (prepared, registered) => {
-                log::error!("connection: {:?} {:?}", prepared.err(), registered.err());
+                let registered = registered.map(|token| self.handle.remove(token)).err();
+                self.complain(format_args!("connection: {:?} {registered:?}", prepared.err()));
                 false
             }
         }
@@ -160,8 +187,14 @@
                     Peer::Follower(id) => Event::FollowerSent(id, bytes),
                 });
             }
-            Err(fault) if matches!(fault.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => {}
-            Err(_) => self.closed(peer),
+            Err(fault) => match of_transfer(&fault) {
+                TransferError::NotReady | TransferError::Interrupted => {}
+                TransferError::OwnWant => {
+                    self.complain(format_args!("connection: {fault}"));
+                    self.pauses = true;
+                }
+                TransferError::Broken => self.closed(peer),
+            },
         }
         self.scratch = scratch;
     }
@@ -184,14 +217,17 @@
         if connection.connecting || connection.unwritten.is_empty() {
             return;
         }
-        match connection.flush() {
-            Flushed::Broken => self.closed(peer),
-            Flushed::Left(bytes) => {
-                self.set_interest(peer);
-                if let (Peer::Follower(id), true) = (peer, bytes > 0) {
-                    self.reduce(Event::FollowerTook(id, bytes));
-                }
+        let bytes = match connection.flush() {
+            Flushed::Broken => return self.closed(peer),
+            Flushed::Left(bytes) => bytes,
+            Flushed::Hindered(bytes) => {
+                self.pauses = true;
+                bytes
             }
+        };
+        self.set_interest(peer);
+        if let (Peer::Follower(id), true) = (peer, bytes > 0) {
+            self.reduce(Event::FollowerTook(id, bytes));
         }
     }
 
@@ -207,7 +243,25 @@
         source.interest = interest;
         drop(source);
         if let Err(fault) = self.handle.update(&connection.token) {
-            log::error!("connection: {fault}");
+            self.complain(format_args!("connection: {fault}"));
+        }
+    }
+}
+
+/// Begins to connect; what goes on in the background shows as writable later, or as an error. A call that was interrupted may
+/// or may not have begun: made again, it tells.
+pub fn begin_connecting(socket: &Socket, address: SocketAddr) -> io::Result<()> {
+    for _ in 0..REPEATS {
+        match socket.connect(&address.into()) {
+            Err(fault) if fault.kind() == ErrorKind::Interrupted => {}
+            Err(fault) => {
+                return match of_connect(&fault) {
+                    ConnectError::UnderWay | ConnectError::Connected => Ok(()),
+                    _ => Err(fault),
+                };
+            }
+            Ok(()) => return Ok(()),
         }
     }
+    Ok(())
 }
--- a/relay/src/lib.rs
+++ b/relay/src/lib.rs
@@ -14,5 +14,6 @@
 pub mod lines;
 pub mod retention;
 pub mod snapshot;
+pub mod socket_errors;
 pub mod sources;
 pub mod sparse;
--- a/relay/tests/relay/main.rs
+++ b/relay/tests/relay/main.rs
@@ -12,4 +12,5 @@
 mod random;
 mod retention;
 mod snapshot;
+mod socket_errors;
 mod sockets;
