--- a/dispatcher/tests/dispatcher/relay_process.rs
+++ b/dispatcher/tests/dispatcher/relay_process.rs
@@ -1,7 +1,8 @@
 //! Replicas as processes between a stand-in of the change log and a dispatcher.
 
 use crate::common::{CONFIG, message};
-use crate::rig::{LONG, answer};
+use crate::rig::{LONG, answer, processor_s};
+use copperroute_fault_injection::{Call, FaultPlan, Span, preload};
 use std::io::{BufRead, BufReader, Write};
 use std::net::{TcpListener, TcpStream};
 use std::path::PathBuf;
@@ -18,17 +19,29 @@
 
 impl Program {
     fn start(command: &str, name: &str, config: &str) -> Program {
+        Program::failing(&FaultPlan::new(0), command, name, config)
+    }
+
+    /// The same with system calls that fail as a plan says.
+    fn failing(plan: &FaultPlan, command: &str, name: &str, config: &str) -> Program {
         let path = std::env::temp_dir().join(format!("copperroute-{}-{name}.json", std::process::id()));
         std::fs::write(&path, config).expect("a temporary file");
         let mut program = Command::new(env!("CARGO_BIN_EXE_copperroute"));
+        if *plan != FaultPlan::new(0) {
+            preload(&mut program, plan);
+        }
         let child = program.arg(command).arg("--config").arg(&path).spawn().expect("it starts");
         Program { child, config: path }
     }
 
     fn replica(name: &str, listen: &str, source: &str, kind: &str) -> Program {
+        Program::start("relay", name, &Program::of_replica(name, listen, source, kind))
+    }
+
+    /// A replica's configuration.
+    fn of_replica(name: &str, listen: &str, source: &str, kind: &str) -> String {
         let source = format!("{{\"address\":\"{source}\",\"kind\":\"{kind}\"}}");
-        let config = format!("{{\"name\":\"{name}\",\"listen\":\"{listen}\",\"sources\":[{source}]}}");
-        Program::start("relay", name, &config)
+        format!("{{\"name\":\"{name}\",\"listen\":\"{listen}\",\"sources\":[{source}]}}")
     }
 }
 
@@ -141,3 +154,42 @@
     assert!(Command::new("sh").args(["-c", &kill]).status().expect("a shell").success());
     assert_eq!(replica.child.wait().expect("it ends").code(), Some(0));
 }
+
+/// Whatever calls of the replica fail, each follower is told the list, and a drain comes through.
+#[test]
+fn a_replica_whose_system_calls_fail_serves_all_its_followers() {
+    let (log, events) = change_log();
+    events.lock().expect("nobody panicked").push(list(1, "active"));
+    let accepts =
+        [libc::ECONNABORTED, libc::EPROTO, libc::ETIMEDOUT, libc::ENETUNREACH, libc::ENFILE, libc::ENOBUFS];
+    let plan = FaultPlan::new(4)
+        .fail(Call::Accept, &accepts, 2, Span::ALWAYS)
+        .fail(Call::Connect, &[libc::EINTR], 2, Span::ALWAYS)
+        .fail(Call::Recv, &[libc::EINTR, libc::EAGAIN, libc::ENOMEM], 3, Span::ALWAYS)
+        .fail(Call::Send, &[libc::EINTR, libc::EAGAIN, libc::ENOBUFS], 3, Span::ALWAYS)
+        .fail(Call::Setsockopt, &[libc::ENOBUFS], 3, Span::ALWAYS)
+        .short(3);
+    let (first, listen) = (own(2, 1), own(2, 2));
+    let config = Program::of_replica("failing", &first, &log, "change-log");
+    let replica = Program::failing(&plan, "relay", "failing", &config);
+    let config = CONFIG.replace("127.0.0.1:5050", &listen).replace("127.0.0.1:2379", &first);
+    let _dispatcher = Program::start("serve", "dispatcher-of-failing", &config);
+    until_health(&listen, "UP");
+    let followers: Vec<_> = (0..30)
+        .map(|_| {
+            let mut follower = TcpStream::connect(&first).expect("it listens");
+            follower.set_read_timeout(Some(LONG)).expect("a timeout");
+            follower.write_all(b"since 0\n").expect("it reads");
+            follower
+        })
+        .collect();
+    for (number, follower) in followers.iter().enumerate() {
+        let mut lines = BufReader::new(follower).lines();
+        let told = lines.find(|line| line.as_ref().map_or(true, |line| line.contains("fleet")));
+        assert!(matches!(told, Some(Ok(_))), "follower {number}: {told:?}, {plan}");
+    }
+    events.lock().expect("nobody panicked").push(list(2, "leaving"));
+    until_health(&listen, "DOWN");
+    let used = processor_s(replica.child.id());
+    assert!(used < 5.0, "{used} s of the processor, {plan}");
+}
