--- a/dispatcher/tests/dispatcher/main.rs
+++ b/dispatcher/tests/dispatcher/main.rs
@@ -2,19 +2,26 @@
 
 mod agreed;
 mod clients;
+mod clocks;
+mod clocks_process;
 mod common;
 mod copies;
 mod crossings;
 mod crossings_full;
 mod deadlines;
 mod driver;
+#[path = "../../../store/tests/faulty/mod.rs"]
+mod faulty;
 mod fleet;
+mod folders;
+mod folders_process;
 mod gone;
 mod gone_sockets;
 mod growth;
 mod last_list;
 mod life;
 mod loopback;
+mod outside_time;
 mod pulls;
 mod relay_process;
 mod request_cost;
