--- a/dispatcher/src/event_loop/writing.rs
+++ b/dispatcher/src/event_loop/writing.rs
@@ -1,6 +1,8 @@
 //! Bytes on their way out: given, retracted, held back, written, and the end behind them.
 
+use super::connections::REPEATS;
 use super::*;
+use copperroute_relay::socket_errors::{TransferError, of_transfer};
 
 impl Carrier {
     /// Writes what is left, then ends the sending side.
@@ -53,8 +55,10 @@
         if left > before {
             self.reduce(Event::Written(peer, left));
         }
-        if flushed.is_err() {
-            self.broken(peer);
+        match flushed {
+            Err(fault) if of_transfer(&fault) == TransferError::Broken => self.broken(peer),
+            Err(fault) => self.wants(&fault),
+            Ok(()) => {}
         }
     }
 
@@ -94,14 +98,15 @@
         source.interest = interest;
         drop(source);
         if let Err(fault) = self.handle.update(&connection.token) {
-            log::error!("connection: {fault}");
+            self.complaints.warn(self.clock.now(), format_args!("connection: {fault}"));
         }
     }
 }
 
 impl Connection {
-    /// Writes as much as goes.
+    /// Writes as much as goes. An error that is not of a broken connection leaves the rest for later.
     pub(super) fn flush(&mut self) -> io::Result<()> {
+        let mut interrupted = 0;
         while self.at < self.unwritten.len() {
             match (&*self.stream).write(&self.unwritten[self.at..]) {
                 Ok(0) => return Err(ErrorKind::WriteZero.into()),
@@ -109,9 +114,11 @@
                     self.at += count;
                     self.left += count as u64;
                 }
-                Err(fault) if fault.kind() == ErrorKind::Interrupted => {}
-                Err(fault) if fault.kind() == ErrorKind::WouldBlock => return Ok(()),
-                Err(fault) => return Err(fault),
+                Err(fault) => match of_transfer(&fault) {
+                    TransferError::NotReady => return Ok(()),
+                    TransferError::Interrupted if interrupted < REPEATS => interrupted += 1,
+                    _ => return Err(fault),
+                },
             }
         }
         self.unwritten = Vec::new();
