--- a/dispatcher/src/event_loop/connections.rs
+++ b/dispatcher/src/event_loop/connections.rs
@@ -1,6 +1,7 @@
-//! Sockets: accepted, connected, read, written and closed.
+//! Connections: read, written and closed.
 
 use super::*;
+use copperroute_relay::socket_errors::{ConnectError, TransferError, of_connect, of_transfer};
 
 /// A connection, and what it has still to write.
 pub(super) struct Connection {
@@ -12,6 +13,8 @@
     pub(super) reads: bool,
     pub(super) unwritten: Vec<u8>,
     pub(super) at: usize,
+    /// When what is unwritten was asked for.
+    pub(super) asked_at: Nanos,
     /// Bytes that have left in all.
     pub(super) left: u64,
     /// The sending side ends once all is written.
@@ -19,77 +22,11 @@
 }
 
 impl Carrier {
-    /// Accepts what waits; tells whether there were descriptors for it.
-    pub(super) fn accept(&mut self, listener: &TcpListener, most: usize) -> bool {
-        for _ in 0..most {
-            match listener.accept() {
-                Ok((stream, from)) => {
-                    self.last_client += 1;
-                    let peer = Peer::Client(self.last_client);
-                    if self.insert(peer, stream, false) {
-                        self.reduce(Event::Accepted(self.last_client, from.ip()));
-                    }
-                }
-                Err(fault) if fault.kind() == ErrorKind::WouldBlock => return true,
-                Err(fault)
-                    if matches!(fault.kind(), ErrorKind::ConnectionAborted | ErrorKind::Interrupted) => {}
-                Err(fault) => {
-                    self.complaints.warn(self.clock.now(), format_args!("accept: {fault}"));
-                    self.reduce(Event::NoDescriptors);
-                    return false;
-                }
-            }
-        }
-        true
-    }
-
-    pub(super) fn connect(&mut self, peer: Peer, address: SocketAddr) {
-        let begin = || -> io::Result<TcpStream> {
-            let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
-            socket.set_nonblocking(true)?;
-            match socket.connect(&address.into()) {
-                // What is under way shows as writable later, or as an error.
-                Err(fault) if fault.raw_os_error() != Some(EINPROGRESS) => Err(fault),
-                _ => Ok(socket.into()),
-            }
-        };
-        let begun = begin().or_else(|fault| {
-            // Being out of descriptors says nothing of the other side.
-            if matches!(fault.raw_os_error(), Some(EMFILE | ENFILE)) {
-                self.make_room();
-                return begin();
-            }
-            Err(fault)
-        });
-        let own_fault = |fault: &io::Error| OWN_FAULTS.contains(&fault.raw_os_error().unwrap_or_default());
-        match begun {
-            // Nothing was asked of the other side yet: what lacks is this machine's own.
-            Err(fault) if own_fault(&fault) => {
-                self.complaints.warn(self.clock.now(), format_args!("connect: {fault}"));
-                self.reduce(Event::Unopened(peer));
-            }
-            Err(_) => self.reduce(Event::Closed(peer)),
-            Ok(stream) => {
-                if !self.insert(peer, stream, true) {
-                    self.reduce(Event::Unopened(peer));
-                }
-            }
-        }
-    }
-
-    /// Frees descriptors at once: what is closed for that is closed before the caller goes on.
-    fn make_room(&mut self) {
-        for effect in self.reducer.reduce(self.clock.now(), Event::NoDescriptors) {
-            match effect {
-                Effect::Close(peer) => self.close(peer),
-                other => self.effects.push_back(other),
-            }
-        }
-    }
-
     pub(super) fn insert(&mut self, peer: Peer, stream: TcpStream, connecting: bool) -> bool {
         let interest = if connecting { Interest::WRITE } else { Interest::READ };
-        let prepared = stream.set_nonblocking(true).and_then(|()| stream.set_nodelay(true));
+        // Without it answers leave later, but they leave.
+        let _ = stream.set_nodelay(true);
+        let prepared = again(|| stream.set_nonblocking(true));
         let stream = Rc::new(stream);
         let generic = Generic::new(stream.clone(), interest, Mode::Level);
         let source = Source::new(generic, move |readiness, _, inbox: &mut Inbox| {
@@ -99,14 +36,26 @@
         let registered = self.handle.register_dispatcher(source.clone());
         match (prepared, registered) {
             (Ok(()), Ok(token)) => {
-                let (unwritten, at, left, reads, shuts) = (Vec::new(), 0, 0, true, false);
-                let connection =
-                    Connection { stream, source, token, connecting, reads, unwritten, at, left, shuts };
+                let connection = Connection {
+                    stream,
+                    source,
+                    token,
+                    connecting,
+                    reads: true,
+                    unwritten: Vec::new(),
+                    at: 0,
+                    asked_at: Nanos::ZERO,
+                    left: 0,
+                    shuts: false,
+                };
                 self.connections.insert(peer, connection);
                 true
             }
             (prepared, registered) => {
-                log::error!("connection: {:?} {:?}", prepared.err(), registered.err());
+                let (prepared, registered) =
+                    (prepared.err(), registered.map(|token| self.handle.remove(token)).err());
+                let line = format_args!("connection: {prepared:?} {registered:?}");
+                self.complaints.warn(self.clock.now(), line);
                 false
             }
         }
@@ -143,7 +92,23 @@
                     self.reduce(Event::Connected(peer));
                     self.closed(peer);
                 }
-                _ => self.closed(peer),
+                Ok(Some(fault)) if of_connect(&fault) == ConnectError::Unreachable => self.closed(peer),
+                // Of this machine's own, or the call that asks has failed.
+                Ok(Some(fault)) | Err(fault) => {
+                    self.complaints.warn(self.clock.now(), format_args!("connect: {fault}"));
+                    self.close(peer);
+                    self.reduce(Event::Unopened(peer));
+                }
+            }
+            return false;
+        }
+        // Its end is all that is still heard of it: what it was ready for before is left unread.
+        if matches!(peer, Peer::Client(_)) && !connection.reads {
+            let waits_for_end = connection.waits_for_nothing();
+            match waits_for_end {
+                true => self.closed(peer),
+                false if readiness.writable => self.flush(peer),
+                false => {}
             }
             return false;
         }
@@ -175,10 +140,12 @@
     }
 
     /// Reads once; tells how many bytes came. What is behind them shows in the next turn.
-    fn read(&mut self, peer: Peer) -> usize {
+    pub(super) fn read(&mut self, peer: Peer) -> usize {
         let Some(connection) = self.connections.get_mut(&peer) else { return 0 };
         let mut scratch = std::mem::take(&mut self.scratch);
-        let came = match (&*connection.stream).read(&mut scratch) {
+        // While another read brings a connection that lacks a descriptor, there is none.
+        scratch.resize(READ_AT_ONCE, 0);
+        let came = match connection.read(&mut scratch) {
             // A client may still read, and is to hear what becomes of what it asked for.
             Ok(0) if matches!(peer, Peer::Client(_)) => {
                 self.reduce(Event::Ended(peer));
@@ -189,12 +156,18 @@
                 0
             }
             Ok(count) => {
+                if matches!(peer, Peer::Client(_)) {
+                    self.tell_unread();
+                }
                 self.reduce(Event::Received(peer, &scratch[..count]));
                 count
             }
-            Err(fault) if matches!(fault.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => 0,
-            Err(_) => {
-                self.closed(peer);
+            Err(fault) => {
+                match of_transfer(&fault) {
+                    TransferError::NotReady => {}
+                    TransferError::Interrupted | TransferError::OwnWant => self.wants(&fault),
+                    TransferError::Broken => self.closed(peer),
+                }
                 0
             }
         };
@@ -202,11 +175,29 @@
         came
     }
 
+    /// Tells for how long what is read now may have lain unread, where that has changed.
+    fn tell_unread(&mut self) {
+        let unread = self.freshness.unread_for(self.clock.now());
+        if std::mem::replace(&mut self.unread, unread) != unread {
+            self.reduce(Event::Unread(unread));
+        }
+    }
+
+    /// A read or write could not be done for want of something of this machine's own, or was interrupted: it's tried again in
+    /// the next turn, which doesn't come at once.
+    pub(super) fn wants(&mut self, fault: &io::Error) {
+        if of_transfer(fault) == TransferError::OwnWant {
+            self.complaints.warn(self.clock.now(), format_args!("connection: {fault}"));
+        }
+        self.pauses = true;
+    }
+
     /// A write has failed: what the other side had sent before is told first. An answer among it must not count as
     /// broken off, or its download might run twice.
-    fn broken(&mut self, peer: Peer) {
+    pub(super) fn broken(&mut self, peer: Peer) {
+        let reads = |c: &Connection| c.reads || !matches!(peer, Peer::Client(_));
         for _ in 0..READS_OF_BROKEN {
-            if self.read(peer) == 0 {
+            if !self.connections.get(&peer).is_some_and(reads) || self.read(peer) == 0 {
                 break;
             }
         }
@@ -221,8 +212,9 @@
             self.accept(&listener, BACKLOG as usize);
             self.handle.remove(self.listening);
         }
+        let read = self.connections.iter().filter(|(_, connection)| connection.reads);
         let mut clients: Vec<_> =
-            self.connections.keys().copied().filter(|peer| matches!(peer, Peer::Client(_))).collect();
+            read.map(|(peer, _)| *peer).filter(|peer| matches!(peer, Peer::Client(_))).collect();
         clients.sort();
         for peer in clients {
             let mut reads = 0;
@@ -232,82 +224,8 @@
         }
         self.reduce(Event::ReadLast);
     }
-
-    /// Writes what is left, then ends the sending side.
-    pub(super) fn shut(&mut self, peer: Peer) {
-        if let Some(connection) = self.connections.get_mut(&peer) {
-            connection.shuts = true;
-            self.dirty.push(peer);
-        }
-    }
-
-    /// Drops bytes that have not left, from a place on.
-    pub(super) fn retract(&mut self, peer: Peer, from: u64) {
-        if let Some(connection) = self.connections.get_mut(&peer) {
-            let kept = from.saturating_sub(connection.left) as usize;
-            connection.unwritten.truncate(connection.at + kept);
-        }
-        // With nothing left to write it must not wait to write: it would be ready for ever.
-        self.set_interest(peer);
-    }
-
-    pub(super) fn write(&mut self, peer: Peer, bytes: Vec<u8>) {
-        let Some(connection) = self.connections.get_mut(&peer) else { return };
-        match connection.unwritten.is_empty() {
-            true => connection.unwritten = bytes,
-            false => connection.unwritten.extend_from_slice(&bytes),
-        }
-        self.dirty.push(peer);
-    }
-
-    /// Writes what has gathered in this turn; what leaves may bring more to write.
-    pub(super) fn flush_all(&mut self) {
-        while let Some(peer) = self.dirty.pop() {
-            self.flush(peer);
-        }
-    }
-
-    pub(super) fn flush(&mut self, peer: Peer) {
-        let Some(connection) = self.connections.get_mut(&peer) else { return };
-        if connection.connecting || (connection.unwritten.is_empty() && !connection.shuts) {
-            return;
-        }
-        let before = connection.left;
-        let flushed = connection.flush();
-        let left = connection.left;
-        self.set_interest(peer);
-        // First what has left: a pull that left whole may have run, though the connection has ended.
-        if left > before {
-            self.reduce(Event::Written(peer, left));
-        }
-        if flushed.is_err() {
-            self.broken(peer);
-        }
-    }
-
-    /// Follows what the connection waits for.
-    pub(super) fn set_interest(&mut self, peer: Peer) {
-        let Some(connection) = self.connections.get(&peer) else { return };
-        let writable = connection.connecting || !connection.unwritten.is_empty();
-        let interest = Interest { readable: connection.reads && !connection.connecting, writable };
-        let mut source = connection.source.as_source_mut();
-        if (source.interest.readable, source.interest.writable) == (interest.readable, interest.writable) {
-            return;
-        }
-        source.interest = interest;
-        drop(source);
-        if let Err(fault) = self.handle.update(&connection.token) {
-            log::error!("connection: {fault}");
-        }
-    }
 }
 
-// Linux's numbers: a connection is under way; the process, or the machine, is out of descriptors.
-const EINPROGRESS: i32 = 115;
-const EMFILE: i32 = 24;
-const ENFILE: i32 = 23;
-/// Out of memory, of descriptors (both), of addresses, of room for them.
-const OWN_FAULTS: [i32; 5] = [12, ENFILE, EMFILE, 99, 105];
 /// Bytes of a client that are read in one turn: 32 requests of 48 KB, the most that may be open on a connection, and as
 /// much again for what lies behind them, so that nothing is sent for a client whose abort or end has come.
 const BYTES_OF_CLIENT: usize = 2 * 32 * 50_000;
@@ -315,27 +233,32 @@
 const READS_OF_CLIENT: u32 = 256;
 /// Reads of a connection that has failed, or at the end, at most: a peer that never stops is not heard out.
 const READS_OF_BROKEN: usize = 16;
+/// A call that signals interrupt is repeated so often at once.
+pub(super) const REPEATS: u32 = 8;
+
+/// Makes a call again if it fails, so often at most.
+fn again(mut call: impl FnMut() -> io::Result<()>) -> io::Result<()> {
+    let tried = (1..REPEATS).any(|_| call().is_ok());
+    if tried { Ok(()) } else { call() }
+}
 
 impl Connection {
-    /// Writes as much as goes.
-    pub(super) fn flush(&mut self) -> io::Result<()> {
-        while self.at < self.unwritten.len() {
-            match (&*self.stream).write(&self.unwritten[self.at..]) {
-                Ok(0) => return Err(ErrorKind::WriteZero.into()),
-                Ok(count) => {
-                    self.at += count;
-                    self.left += count as u64;
+    /// Whether only an end, or a fault, can show.
+    fn waits_for_nothing(&self) -> bool {
+        let interest = self.source.as_source_ref().interest;
+        !interest.readable && !interest.writable
+    }
+
+    /// Reads once.
+    fn read(&self, to: &mut [u8]) -> io::Result<usize> {
+        let mut interrupted = 0;
+        loop {
+            match (&*self.stream).read(to) {
+                Err(fault) if fault.kind() == ErrorKind::Interrupted && interrupted < REPEATS => {
+                    interrupted += 1;
                 }
-                Err(fault) if fault.kind() == ErrorKind::Interrupted => {}
-                Err(fault) if fault.kind() == ErrorKind::WouldBlock => return Ok(()),
-                Err(fault) => return Err(fault),
+                other => return other,
             }
         }
-        self.unwritten = Vec::new();
-        self.at = 0;
-        if std::mem::take(&mut self.shuts) {
-            self.stream.shutdown(Shutdown::Write)?;
-        }
-        Ok(())
     }
 }
--- a/dispatcher/src/nodes/mod.rs
+++ b/dispatcher/src/nodes/mod.rs
@@ -10,7 +10,7 @@
 use copperroute_protocol::hex::Hex;
 use copperroute_protocol::nodes::{Decoder, Fetch, encode_abort, encode_fetch};
 use copperroute_settings::Connections;
-use std::collections::{HashMap, VecDeque};
+use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::net::SocketAddr;
 
 /// Bytes of pulls handed to a connection at once; what waits longer can still be dropped unsent.
@@ -35,13 +35,24 @@
 
 use connection::{Connection, Written};
 
+/// A node's start, as the change log told it.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct Start {
+    /// Its Unix millisecond.
+    pub unix_ms: u64,
+    /// When it was on the dispatcher's clock, as far as is known: no earlier than that for sure.
+    pub at: Nanos,
+    /// Its number can't be right: the start was heard of live, so `at` is when that was.
+    pub is_doubted: bool,
+}
+
 /// A node's place in the list, and its connections.
 #[derive(Debug)]
 pub struct Pool {
     /// Where it listens.
     pub address: Option<SocketAddr>,
-    /// Its start, by which a later one under its id is told apart.
-    pub started: Nanos,
+    /// Its start, by which a later one under its id is told apart; none for long ago.
+    pub start: Option<Start>,
     /// Whether it takes work.
     pub readiness: Readiness,
     /// Its connections.
@@ -60,6 +71,8 @@
     most: usize,
     ids: Ids<String>,
     pools: Slots<Pool>,
+    /// The nodes at each address, so that a line of the list is not compared with those of all others.
+    addresses: BTreeSet<(SocketAddr, u32)>,
     connections: HashMap<u32, Connection>,
     last: u32,
     /// Nothing is read from them for now.
@@ -80,6 +93,7 @@
             most,
             ids: Ids::default(),
             pools: Slots::default(),
+            addresses: BTreeSet::new(),
             connections: HashMap::new(),
             last: 0,
             held_back: false,
