--- a/dispatcher/tests/dispatcher/main.rs
+++ b/dispatcher/tests/dispatcher/main.rs
@@ -12,6 +12,7 @@
 mod faulty;
 mod fleet;
 mod folders;
+mod folders_place;
 mod folders_process;
 mod gone;
 mod gone_sockets;
