--- a/dispatcher/src/event_loop/mod.rs
+++ b/dispatcher/src/event_loop/mod.rs
@@ -3,7 +3,8 @@
 use crate::clock::Clock;
 use crate::config::{Config, Sources};
 use crate::deadlines::Deadlines;
-use crate::effects::{Due, Effect, Event, Peer};
+use crate::effects::{Behind, Due, Effect, Event, Peer};
+use crate::freshness::{Freshness, PutOff};
 use crate::keeper::{self, Keeper};
 use crate::logs::{self, Sparse};
 use crate::purge_cover::purges_are_told_after;
@@ -28,7 +29,9 @@
 use std::time::{Duration, SystemTime};
 
 mod connections;
+mod opening;
 mod startup;
+mod writing;
 
 use connections::Connection;
 use startup::{listen, modified, open_disk, open_list};
@@ -41,10 +44,10 @@
 const ACCEPTED_AT_ONCE: usize = 64;
 /// How often it is looked whether the operator's file has changed, where versions of rules come with it.
 const WATCHED: Duration = Duration::from_secs(1);
-/// What is due waits for so many turns at most while bytes still come.
-const TURNS_FIRST: u32 = 16;
 /// Without a descriptor for a client that waits, the listener rests for so long.
-const REST: Duration = Duration::from_millis(20);
+const REST: Nanos = Nanos(20_000_000);
+/// So long the loop stands still where this machine can't do what it's asked for, so that it doesn't ask on and on.
+const PAUSE: Duration = Duration::from_millis(1);
 
 type Source = calloop::Dispatcher<'static, Generic<Rc<TcpStream>>, Inbox>;
 
@@ -53,7 +56,6 @@
 struct Inbox {
     ready: Vec<(Peer, Readiness)>,
     accept: bool,
-    rested: bool,
     terminate: bool,
     reload: bool,
     disk: Vec<Told>,
@@ -96,6 +98,10 @@
     /// Where clients connect; none at the end.
     listener: Option<Rc<TcpListener>>,
     listening: RegistrationToken,
+    /// The listener rests until then.
+    rests_until: Option<Nanos>,
+    /// The loop is to stand still for a moment.
+    pauses: bool,
     /// What the reducer has asked for and is not carried out yet, in order: carrying out one thing may bring more.
     effects: VecDeque<Effect>,
     carrying: bool,
@@ -103,6 +109,13 @@
     deadlines: Deadlines<Due>,
     /// Connections with something new to write.
     dirty: Vec<Peer>,
+    /// Connections to nodes that are not written to before clients are looked at again.
+    held_back: Vec<Peer>,
+    freshness: Freshness,
+    /// When what is asked for now was asked for.
+    asked_at: Nanos,
+    /// For how long what clients have sent may have lain unread, as the reducer was told last.
+    unread: Nanos,
     /// Room for what is read.
     scratch: Vec<u8>,
     /// All that clients have sent is to be told, for the last time.
@@ -161,10 +174,16 @@
         connections: HashMap::new(),
         listener: Some(listener),
         listening,
+        rests_until: None,
+        pauses: false,
         effects: VecDeque::new(),
         carrying: false,
         deadlines: Deadlines::default(),
         dirty: Vec::new(),
+        held_back: Vec::new(),
+        freshness: Freshness::new(clock.now()),
+        asked_at: Nanos::ZERO,
+        unread: Nanos::ZERO,
         scratch: vec![0; READ_AT_ONCE],
         reads_last: false,
         last_client: 0,
@@ -174,7 +193,7 @@
         keeper,
     };
     let mut inbox = Inbox::default();
-    let (mut due, mut put_off) = (Vec::new(), 0);
+    let (mut due, mut put_off) = (Vec::new(), PutOff::default());
     if let Some((location, disk)) = disk {
         let (tell, told) = channel();
         carrier
@@ -204,11 +223,22 @@
     carrier.reduce(Event::Started);
     while !carrier.stopped {
         carrier.flush_all();
-        // What was put off waits for nothing.
-        let wait = if put_off > 0 { Some(Duration::ZERO) } else { carrier.until_first_deadline() };
-        event_loop.dispatch(wait, &mut inbox).map_err(said("event loop"))?;
+        // What was put off, or held back, waits for nothing.
+        let began = carrier.clock.now();
+        let at_once = put_off.is_on() || !carrier.dirty.is_empty();
+        let wait = if at_once { Some(Duration::ZERO) } else { carrier.until_first_deadline(began) };
+        let dispatched = event_loop.dispatch(wait, &mut inbox);
+        let found = carrier.clock.now();
+        match dispatched {
+            Ok(()) => carrier.freshness.looked(began, wait, found),
+            // What it has found before it failed is in the inbox; the rest shows again.
+            Err(fault) => {
+                carrier.complaints.warn(found, format_args!("event loop: {fault}"));
+                carrier.pauses = true;
+            }
+        }
         // Due is what was so by now: what falls due while this turn reads has the next one read before it.
-        carrier.deadlines.take_due(carrier.clock.now(), &mut due);
+        carrier.deadlines.take_due(found, &mut due);
         if std::mem::take(&mut inbox.terminate) {
             carrier.reduce(Event::Terminate);
         }
@@ -229,28 +259,16 @@
             more |= carrier.ready(peer, readiness);
         }
         std::mem::take(&mut inbox.disk).into_iter().for_each(|told| carrier.disk_told(told));
-        put_off = if more && !due.is_empty() && put_off < TURNS_FIRST { put_off + 1 } else { 0 };
-        if put_off == 0 {
+        if !put_off.puts_off(found, more && !due.is_empty()) {
             due.drain(..).for_each(|due| carrier.reduce(Event::Due(due)));
         }
-        let listener = carrier.listener.clone();
-        if std::mem::take(&mut inbox.rested) && listener.is_some() {
-            carrier.handle.enable(&listening).map_err(said("listener"))?;
-        }
-        let waits = std::mem::take(&mut inbox.accept);
-        if let Some(listener) = listener.filter(|_| waits)
-            && !carrier.accept(&listener, ACCEPTED_AT_ONCE)
-        {
-            carrier.handle.disable(&listening).map_err(said("listener"))?;
-            let rested = carrier.handle.insert_source(Timer::from_duration(REST), |_, _, inbox| {
-                inbox.rested = true;
-                TimeoutAction::Drop
-            });
-            rested.map_err(|fault| said("timer")(fault.error))?;
-        }
+        carrier.listen_on(std::mem::take(&mut inbox.accept));
         if std::mem::take(&mut carrier.reads_last) {
             carrier.read_last();
         }
+        if std::mem::take(&mut carrier.pauses) {
+            std::thread::sleep(PAUSE);
+        }
     }
     carrier.flush_all();
     if let Some(disk) = carrier.disk.take() {
@@ -266,9 +284,9 @@
 impl Carrier {
     /// How long the loop may wait for the first deadline, to the nanosecond: a wait that ended before it would only be
     /// followed by a further one. Nothing where none stands.
-    fn until_first_deadline(&self) -> Option<Duration> {
-        let first = self.deadlines.first()?;
-        Some(Duration::from_nanos(first.since(self.clock.now()).0))
+    fn until_first_deadline(&self, now: Nanos) -> Option<Duration> {
+        let first = self.deadlines.first().into_iter().chain(self.rests_until).min()?;
+        Some(Duration::from_nanos(first.since(now).0))
     }
 
     /// Arms a deadline. Once many stand, those of requests that have ended are forgotten.
@@ -282,7 +300,9 @@
     /// Hands in an event. What it asks for is carried out behind what was asked for before, as carrying that out may
     /// have brought this event.
     fn reduce(&mut self, event: Event<'_>) {
-        self.effects.extend(self.reducer.reduce(self.clock.now(), event));
+        let now = self.clock.now();
+        self.effects.extend(self.reducer.reduce(now, event));
+        self.asked_at = now;
         if std::mem::replace(&mut self.carrying, true) {
             return;
         }
@@ -317,7 +337,7 @@
                 }
                 self.set_interest(peer);
             }
-            Effect::Shut(peer) => self.shut(peer),
+            Effect::Shut(peer, behind) => self.shut(peer, behind),
             Effect::Close(peer) => self.close(peer),
             Effect::ReadLast => self.reads_last = true,
             Effect::Arm(at, due) => self.arm(at, due),
