--- a/dispatcher/tests/dispatcher/main.rs
+++ b/dispatcher/tests/dispatcher/main.rs
@@ -15,6 +15,7 @@
 mod faulty;
 mod fleet;
 mod folders;
+mod folders_place;
 mod folders_process;
 mod freshness;
 mod gone;
