--- a/dispatcher/src/event_loop/mod.rs
+++ b/dispatcher/src/event_loop/mod.rs
@@ -7,6 +7,7 @@
 use crate::freshness::{Freshness, PutOff};
 use crate::keeper::{self, Keeper};
 use crate::logs::{self, Sparse};
+use crate::purge_cover::purges_are_told_after;
 use crate::reducer::Reducer;
 use calloop::channel::{Sender, channel};
 use calloop::generic::Generic;
@@ -14,8 +15,9 @@
 use calloop::timer::{TimeoutAction, Timer};
 use calloop::{EventLoop, Interest, LoopHandle, Mode, PostAction, Readiness, RegistrationToken};
 use copperroute::interface::Nanos;
+use copperroute_protocol::changes::Known;
 use copperroute_settings::operator::{Numbers, SyncWhen};
-use copperroute_store::disk::{Disk, Limits, Sync};
+use copperroute_store::disk::{Disk, Found, Limits, Location, Sync};
 use copperroute_store::record::Facts;
 use copperroute_store::worker::{Answers, Worker};
 use socket2::{Domain, Protocol, Socket, Type};
@@ -27,6 +29,7 @@
 use std::time::{Duration, SystemTime};
 
 mod connections;
+mod opening;
 mod startup;
 mod writing;
 
@@ -42,7 +45,9 @@
 /// How often it is looked whether the operator's file has changed, where versions of rules come with it.
 const WATCHED: Duration = Duration::from_secs(1);
 /// Without a descriptor for a client that waits, the listener rests for so long.
-const REST: Duration = Duration::from_millis(20);
+const REST: Nanos = Nanos(20_000_000);
+/// So long the loop stands still where this machine can't do what it's asked for, so that it doesn't ask on and on.
+const PAUSE: Duration = Duration::from_millis(1);
 
 type Source = calloop::Dispatcher<'static, Generic<Rc<TcpStream>>, Inbox>;
 
@@ -51,17 +56,19 @@
 struct Inbox {
     ready: Vec<(Peer, Readiness)>,
     accept: bool,
-    rested: bool,
     terminate: bool,
     reload: bool,
     disk: Vec<Told>,
 }
 
 /// What the disk's thread tells.
-struct Told {
-    ticket: u64,
-    copy: Option<(Facts, Vec<u8>)>,
-    off: bool,
+enum Told {
+    /// A copy was read for a ticket, or none is there.
+    Read(u64, Option<(Facts, Vec<u8>)>),
+    /// The disk is off.
+    Off,
+    /// It is there again, empty, under this number.
+    Ready(u64),
 }
 
 /// Brings it to the loop.
@@ -69,13 +76,17 @@
 
 impl Answers for Bring {
     fn read(&self, ticket: u64, copy: Option<(Facts, Vec<u8>)>) {
-        let _ = self.0.send(Told { ticket, copy, off: false });
+        let _ = self.0.send(Told::Read(ticket, copy));
     }
 
     fn marked(&self, _seq: u64) {}
 
     fn off(&self) {
-        let _ = self.0.send(Told { ticket: 0, copy: None, off: true });
+        let _ = self.0.send(Told::Off);
+    }
+
+    fn ready(&self, opened: u64) {
+        let _ = self.0.send(Told::Ready(opened));
     }
 }
 
@@ -87,6 +98,10 @@
     /// Where clients connect; none at the end.
     listener: Option<Rc<TcpListener>>,
     listening: RegistrationToken,
+    /// The listener rests until then.
+    rests_until: Option<Nanos>,
+    /// The loop is to stand still for a moment.
+    pauses: bool,
     /// What the reducer has asked for and is not carried out yet, in order: carrying out one thing may bring more.
     effects: VecDeque<Effect>,
     carrying: bool,
@@ -146,9 +161,10 @@
         limits.memory_mb,
         limits.sockets
     );
-    let disk = open_disk(&config)?;
     let clock = Clock::start();
     let keeper = open_list(&mut config, &clock)?;
+    // What is known may have come from the last good list: the disk is judged by that.
+    let disk = open_disk(&config)?;
     let watched = config.agreeing.is_some();
     let reducer = Reducer::new(config, clock.epoch());
     let mut carrier = Carrier {
@@ -158,6 +174,8 @@
         connections: HashMap::new(),
         listener: Some(listener),
         listening,
+        rests_until: None,
+        pauses: false,
         effects: VecDeque::new(),
         carrying: false,
         deadlines: Deadlines::default(),
@@ -176,7 +194,7 @@
     };
     let mut inbox = Inbox::default();
     let (mut due, mut put_off) = (Vec::new(), PutOff::default());
-    if let Some(disk) = disk {
+    if let Some((location, disk)) = disk {
         let (tell, told) = channel();
         carrier
             .handle
@@ -186,9 +204,11 @@
                 }
             })
             .map_err(|fault| said("disk")(fault.error))?;
-        let (prints, marked) = (disk.prints(), disk.seq());
-        carrier.disk = Some(Worker::start(disk, Bring(tell)));
-        carrier.reduce(Event::DiskReady(&prints, marked));
+        let there = disk.as_ref().ok().map(|disk| (disk.prints(), disk.seq()));
+        carrier.disk = Some(Worker::start_at(location, disk, Bring(tell)));
+        if let Some((prints, marked)) = there {
+            carrier.reduce(Event::DiskReady(&prints, marked));
+        }
     }
     if let Some(path) = sources.operator.clone().filter(|_| watched) {
         let mut seen = modified(&path);
@@ -207,9 +227,16 @@
         let began = carrier.clock.now();
         let at_once = put_off.is_on() || !carrier.dirty.is_empty();
         let wait = if at_once { Some(Duration::ZERO) } else { carrier.until_first_deadline(began) };
-        event_loop.dispatch(wait, &mut inbox).map_err(said("event loop"))?;
+        let dispatched = event_loop.dispatch(wait, &mut inbox);
         let found = carrier.clock.now();
-        carrier.freshness.looked(began, wait, found);
+        match dispatched {
+            Ok(()) => carrier.freshness.looked(began, wait, found),
+            // What it has found before it failed is in the inbox; the rest shows again.
+            Err(fault) => {
+                carrier.complaints.warn(found, format_args!("event loop: {fault}"));
+                carrier.pauses = true;
+            }
+        }
         // Due is what was so by now: what falls due while this turn reads has the next one read before it.
         carrier.deadlines.take_due(found, &mut due);
         if std::mem::take(&mut inbox.terminate) {
@@ -231,31 +258,17 @@
         for (peer, readiness) in ready {
             more |= carrier.ready(peer, readiness);
         }
-        for told in std::mem::take(&mut inbox.disk) {
-            let copy = told.copy.as_ref().map(|(facts, body)| (*facts, body.as_slice()));
-            carrier.reduce(if told.off { Event::DiskOff } else { Event::CopyRead(told.ticket, copy) });
-        }
+        std::mem::take(&mut inbox.disk).into_iter().for_each(|told| carrier.disk_told(told));
         if !put_off.puts_off(found, more && !due.is_empty()) {
             due.drain(..).for_each(|due| carrier.reduce(Event::Due(due)));
         }
-        let listener = carrier.listener.clone();
-        if std::mem::take(&mut inbox.rested) && listener.is_some() {
-            carrier.handle.enable(&listening).map_err(said("listener"))?;
-        }
-        let waits = std::mem::take(&mut inbox.accept);
-        if let Some(listener) = listener.filter(|_| waits)
-            && !carrier.accept(&listener, ACCEPTED_AT_ONCE)
-        {
-            carrier.handle.disable(&listening).map_err(said("listener"))?;
-            let rested = carrier.handle.insert_source(Timer::from_duration(REST), |_, _, inbox| {
-                inbox.rested = true;
-                TimeoutAction::Drop
-            });
-            rested.map_err(|fault| said("timer")(fault.error))?;
-        }
+        carrier.listen_on(std::mem::take(&mut inbox.accept));
         if std::mem::take(&mut carrier.reads_last) {
             carrier.read_last();
         }
+        if std::mem::take(&mut carrier.pauses) {
+            std::thread::sleep(PAUSE);
+        }
     }
     carrier.flush_all();
     if let Some(disk) = carrier.disk.take() {
@@ -272,7 +285,7 @@
     /// How long the loop may wait for the first deadline, to the nanosecond: a wait that ended before it would only be
     /// followed by a further one. Nothing where none stands.
     fn until_first_deadline(&self, now: Nanos) -> Option<Duration> {
-        let first = self.deadlines.first()?;
+        let first = self.deadlines.first().into_iter().chain(self.rests_until).min()?;
         Some(Duration::from_nanos(first.since(now).0))
     }
 
@@ -299,6 +312,20 @@
         self.carrying = false;
     }
 
+    fn disk_told(&mut self, told: Told) {
+        match told {
+            Told::Read(ticket, copy) => {
+                let copy = copy.as_ref().map(|(facts, body)| (*facts, body.as_slice()));
+                self.reduce(Event::CopyRead(ticket, copy));
+            }
+            Told::Off => self.reduce(Event::DiskOff),
+            Told::Ready(opened) => {
+                self.disk.iter_mut().for_each(|disk| disk.resume(opened));
+                self.reduce(Event::DiskReady(&[], 0));
+            }
+        }
+    }
+
     fn carry_out(&mut self, effect: Effect) {
         match effect {
             Effect::Connect(peer, address) => self.connect(peer, address),
--- a/dispatcher/tests/dispatcher/main.rs
+++ b/dispatcher/tests/dispatcher/main.rs
@@ -2,6 +2,8 @@
 
 mod agreed;
 mod clients;
+mod clocks;
+mod clocks_process;
 mod common;
 mod copies;
 mod crossings;
@@ -9,7 +11,11 @@
 mod deadlines;
 mod driver;
 mod ending;
+#[path = "../../../store/tests/faulty/mod.rs"]
+mod faulty;
 mod fleet;
+mod folders;
+mod folders_process;
 mod freshness;
 mod gone;
 mod gone_sockets;
@@ -17,6 +23,7 @@
 mod last_list;
 mod life;
 mod loopback;
+mod outside_time;
 mod pulls;
 mod relay_process;
 mod request_cost;
@@ -25,6 +32,7 @@
 mod run_line;
 mod stopped;
 mod storm;
+mod system_calls;
 mod time_left;
 mod two_streams;
 mod two_streams_process;
