--- a/dispatcher/src/reducer/mod.rs
+++ b/dispatcher/src/reducer/mod.rs
@@ -43,6 +43,8 @@
 /// that is shorter: what came last has come 0.6 s after it, and 0.7 s after it nothing is waited for.
 const DRAINED_AFTER: Nanos = Nanos(500_000_000);
 const LONGEST_DRAIN: Nanos = Nanos(3_000_000_000);
+/// However short the longest expiry is, what comes last is still taken.
+const SHORTEST_DRAIN: Nanos = Nanos(620_000_000);
 /// A line may have taken so long on its way.
 const LATEST_LINE: Nanos = Nanos(1_000_000_000);
 /// A heartbeat of one of two streams may have taken so long on its way, where no agreement says so.
@@ -159,6 +161,11 @@
         self.desk.objects_kept()
     }
 
+    /// The clients that would be closed for want of descriptors, and as many more as may take their places.
+    pub fn resting(&self, now: Nanos) -> Vec<u32> {
+        self.desk.clients.resting(2 * IDLE_AT_ONCE, now)
+    }
+
     /// What is out at each node: as the decisions believe, and as it is.
     pub fn out(&self) -> Vec<(u32, u32)> {
         let nodes = (0..self.nodes_kept()).map(NodeId);
@@ -191,6 +198,8 @@
             Event::Received(Peer::ChangeLog(number), bytes) => self.change_log_received(now, number, bytes),
             Event::Written(Peer::Client(number), total) => self.desk.client_written(number, total),
             Event::Written(Peer::Node(number), total) => self.desk.node_written(number, total),
+            Event::Stale(Peer::Node(number)) => self.desk.renew(number),
+            Event::Unread(span) => self.desk.unread = span,
             Event::Closed(Peer::Client(number)) => self.client_closed(now, number),
             Event::Ended(Peer::Client(number)) => self.client_ended(now, number),
             Event::Closed(Peer::Node(number)) | Event::Ended(Peer::Node(number)) => {
@@ -212,6 +221,7 @@
             Event::Terminate => {
                 if self.life.move_to(Phase::Draining) {
                     let drained = self.longest_expiry().min(LONGEST_DRAIN).after(DRAINED_AFTER);
+                    let drained = drained.max(SHORTEST_DRAIN);
                     let armed = [(LAST_REQUESTS, Due::LastRequests), (drained, Due::Drained)];
                     self.desk.effects.extend(armed.map(|(span, due)| Effect::Arm(now.after(span), due)));
                 }
@@ -224,15 +234,14 @@
             Event::CopyRead(ticket, copy) => self.copy_read(now, ticket, copy),
             Event::DiskOff => {
                 self.copies.iter_mut().for_each(Copies::disk_off);
-                let mut waiting: Vec<_> = self.reading.keys().copied().collect();
-                waiting.sort();
-                waiting.into_iter().for_each(|dl| self.go_on(now, DlId(dl)));
+                self.go_on_without_disk(now);
             }
             Event::NoDescriptors => {
                 self.desk.clients.make_room(IDLE_AT_ONCE, now, &mut self.desk.effects);
             }
             Event::Connected(Peer::Client(_))
             | Event::Unopened(Peer::Client(_))
+            | Event::Stale(Peer::Client(_) | Peer::ChangeLog(_))
             | Event::Written(Peer::ChangeLog(_), _) => {}
         }
         self.hand_on_ends(now);
@@ -316,10 +325,11 @@
                 // Nobody waits that long for an answer: such a client has vanished.
                 for number in self.desk.clients.stuck(now, self.client_patience()) {
                     self.complaints.warn(now, format_args!("client: takes nothing, closed"));
-                    self.client_closed(now, number);
+                    self.client_dismissed(now, number);
                 }
+                // What one of them has asked before is answered.
                 for number in self.desk.clients.overdue(now) {
-                    self.client_shut(now, number);
+                    self.desk.close_when_answered(number);
                 }
                 self.desk.clients.sweep(now, &mut self.desk.effects);
                 self.log.watch(now, &mut self.desk.effects);
