--- a/dispatcher/tests/dispatcher/main.rs
+++ b/dispatcher/tests/dispatcher/main.rs
@@ -2,6 +2,8 @@
 
 mod agreed;
 mod clients;
+mod clocks;
+mod clocks_process;
 mod common;
 mod copies;
 mod crossings;
@@ -15,6 +17,7 @@
 mod last_list;
 mod life;
 mod loopback;
+mod outside_time;
 mod pulls;
 mod relay_process;
 mod request_cost;
@@ -22,6 +25,7 @@
 mod rules_text;
 mod run_line;
 mod storm;
+mod system_calls;
 mod two_streams;
 mod two_streams_process;
 mod two_streams_sum;
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -49,6 +49,8 @@
 const UNEVEN: f64 = 1.5; // or this many times the location's mean
 const PRIOR_COUNT: f64 = 4.0; // own pulls out that weigh as much as what hits took
 const IN_TIME: f64 = 0.9; // of the target time
+const LARGE: f64 = 2.0; // times the mean sending time of its content type
+const LATE_SHARE: f64 = 0.15; // of large downloads that would come late, but before their client gives up
 const FILL_WEIGHT: f64 = 1.3; // a fill keeps this much more of its target time in reserve than a hit
 const COLD_LOAD: f64 = 0.5; // of what the rule bears, and never over what the node can do
 const FILL_LEEWAY: f64 = 0.5; // fills that use up more of what the target time leaves crowd the link
@@ -181,6 +183,11 @@
         self.nodes.get_mut(id).into_iter().for_each(|n| n.aside_until = n.aside_until.max(until));
     }
 
+    /// More is known of when a node started: earlier than it was listed with.
+    pub fn node_started_earlier(&mut self, id: NodeId, at: Nanos) {
+        self.nodes.started_earlier(id, at);
+    }
+
     /// A call to discovery failed: the old list stands, and the subscription is asked for again.
     pub fn list_failed(&mut self, _now: Nanos, out: &mut impl Outbox) {
         out.arm(ASK_AGAIN, u64::MAX);
