--- a/dispatcher/tests/dispatcher/main.rs
+++ b/dispatcher/tests/dispatcher/main.rs
@@ -1,6 +1,7 @@
 //! The reducer by hand, and the program on loopback sockets.
 
 mod agreed;
+mod broken_connections;
 mod clients;
 mod clocks;
 mod clocks_process;
--- a/dispatcher/tests/dispatcher/system_calls.rs
+++ b/dispatcher/tests/dispatcher/system_calls.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 /// Longer than it takes until a plan that was written holds.
-const TAKES_OVER: Duration = Duration::from_millis(120);
+pub const TAKES_OVER: Duration = Duration::from_millis(120);
 /// Clients at once, and what each asks.
 const CLIENTS: u64 = 6;
 const REQUESTS: u64 = 10;
@@ -24,8 +24,8 @@
 const MOST_LINES: usize = 80;
 
 /// A program that serves while a plan makes its calls fail, with nodes that answer all at once.
-struct Trial {
-    rig: Rig,
+pub struct Trial {
+    pub rig: Rig,
     plan: PathBuf,
     log: PathBuf,
     /// How often nodes were asked, by id.
@@ -33,7 +33,7 @@
 }
 
 impl Trial {
-    fn start(name: &str) -> Trial {
+    pub fn start(name: &str) -> Trial {
         let path = |kind: &str| {
             std::env::temp_dir().join(format!("copperroute-calls-{}-{name}.{kind}", std::process::id()))
         };
@@ -49,7 +49,7 @@
     }
 
     /// From now on calls fail by this plan.
-    fn fails(&self, plan: &FaultPlan) {
+    pub fn fails(&self, plan: &FaultPlan) {
         // A plan that is half written would be passed over.
         std::fs::write(&self.plan, plan.to_string()).expect("written");
         sleep(TAKES_OVER);
@@ -65,15 +65,20 @@
             })
             .collect();
         let unserved = clients.into_iter().flat_map(|client| client.join().expect("it ends")).collect();
+        self.posts_ran_once(plan);
+        unserved
+    }
+
+    /// No node was asked for a post that any node was asked for before.
+    pub fn posts_ran_once(&self, plan: &FaultPlan) {
         for (id, times) in self.asked.lock().expect("nobody panicked").iter() {
             // Those of odd clients are posts.
             assert!(*times == 1 || !id.ends_with('f'), "post {id} was asked for {times} times, {plan}");
         }
-        unserved
     }
 
     /// It serves on, and has not filled its log.
-    fn ends(&self, plan: &FaultPlan) {
+    pub fn ends(&self, plan: &FaultPlan) {
         std::fs::write(&self.plan, FaultPlan::new(0).to_string()).expect("written");
         sleep(TAKES_OVER);
         assert_eq!(self.ask(plan), Vec::<String>::new(), "after {plan}");
