--- a/dispatcher/src/changes/mod.rs
+++ b/dispatcher/src/changes/mod.rs
@@ -203,6 +203,13 @@
         }
     }
 
+    /// A connection could not be made for want of this machine's own, which says nothing of the service.
+    pub fn unopened(&mut self, connection: u32, now: Nanos, effects: &mut Vec<Effect>) {
+        if let Some(of) = self.of(connection) {
+            self.streams[of].unopened(now, effects);
+        }
+    }
+
     fn give_up(&mut self, of: usize, now: Nanos, why: &str, effects: &mut Vec<Effect>) {
         self.merge.ended(of);
         self.streams[of].give_up(now, why, effects);
--- a/dispatcher/src/changes/stream.rs
+++ b/dispatcher/src/changes/stream.rs
@@ -109,6 +109,12 @@
         effects.push(Effect::Arm(at, Due::ChangeLog));
     }
 
+    /// The connection could not be made for want of this machine's own: it is tried again.
+    pub(super) fn unopened(&mut self, now: Nanos, effects: &mut Vec<Effect>) {
+        self.connection = None;
+        effects.push(Effect::Arm(self.calls.unopened(now), Due::ChangeLog));
+    }
+
     /// Whether it is open and has been silent for too long.
     pub(super) fn is_silent(&self, now: Nanos) -> bool {
         self.connection.is_some() && self.calls.is_silent(now)
--- a/dispatcher/src/reducer/mod.rs
+++ b/dispatcher/src/reducer/mod.rs
@@ -206,9 +206,10 @@
                 self.desk.node_closed(number)
             }
             Event::Unopened(Peer::Node(number)) => self.desk.node_unopened(number),
-            Event::Closed(Peer::ChangeLog(number))
-            | Event::Ended(Peer::ChangeLog(number))
-            | Event::Unopened(Peer::ChangeLog(number)) => {
+            Event::Unopened(Peer::ChangeLog(number)) => {
+                self.log.unopened(number, now, &mut self.desk.effects);
+            }
+            Event::Closed(Peer::ChangeLog(number)) | Event::Ended(Peer::ChangeLog(number)) => {
                 self.log.closed(number, now, &mut self.desk.effects);
                 self.change_log_told(now);
             }
--- a/dispatcher/tests/dispatcher/main.rs
+++ b/dispatcher/tests/dispatcher/main.rs
@@ -39,5 +39,6 @@
 mod two_streams;
 mod two_streams_process;
 mod two_streams_sum;
+mod unopened_change_log;
 mod unread;
 mod unsent;
--- a/src/calls.rs
+++ b/src/calls.rs
@@ -29,6 +29,9 @@
 /// Rounds where nothing is told of what the service bears: the first, and the longest.
 const BLIND: Nanos = Nanos(200_000_000);
 const BLIND_MOST: Nanos = Nanos(3_200_000_000);
+/// A call that could not be made for want of this machine's own is tried again after so long at the most, and half of it
+/// at the least; where rounds are told, at the own place that follows that.
+const WANTED: Nanos = Nanos(1_000_000_000);
 
 /// What the operators tell of the list service.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -235,6 +238,16 @@
         !matches!(self.line, Line::Waiting(_)) && now.since(self.heard) > SILENT_AFTER
     }
 
+    /// A call could not be made for want of this machine's own: returns when it is tried again. It has never reached the
+    /// service, so it is none in vain, and costs it nothing; where rounds are told it waits for a place of its own in
+    /// one, as many may be free of their wants at one moment.
+    pub fn unopened(&mut self, now: Nanos) -> Nanos {
+        let after = now.after(Nanos::from_secs(WANTED.secs() * (0.5 + 0.5 * self.chance.share())));
+        let at = if self.s.calls_per_s.is_some() { self.next(after) } else { after };
+        self.move_to(Line::Waiting(at));
+        at
+    }
+
     /// A call, or a stream, has ended: returns when it calls next, and whether staff are to be told that it is lost.
     pub fn ended(&mut self, now: Nanos) -> (Nanos, bool) {
         let steady = matches!(self.line, Line::Following(at) if self.heard.since(at) >= STEADY);
--- a/tests/module/calls.rs
+++ b/tests/module/calls.rs
@@ -222,3 +222,44 @@
     assert_eq!(calls.overslept(at.after(ms(200))), None);
     assert_eq!(Calls::new(told(300, None), 1, UNIX).overslept(ms(9_000)), None);
 }
+
+#[test]
+fn calls_that_could_not_be_made_are_none_in_vain() {
+    for (settings, most) in [(told(300, None), ms(1_000)), (told(300, Some(60.0)), ms(1_000 + 6_250))] {
+        let mut calls = Calls::new(settings, 1, UNIX);
+        let mut at = calls.started(ms(0), true);
+        for _ in 0..30 {
+            calls.called(at);
+            let next = calls.unopened(at);
+            assert!(next.since(at) >= ms(500) && next.since(at) <= most, "{:?} after {at:?}", next.since(at));
+            at = next;
+        }
+        // The first in vain is the first: its wait is the shortest, and no line is due yet.
+        calls.called(at);
+        let (next, news) = calls.ended(at);
+        let first = if settings.calls_per_s.is_some() { ms(6_251) } else { ms(200) };
+        assert!(next.since(at) <= first && !news, "{:?}", next.since(at));
+    }
+}
+
+/// Want ends for all at one moment: no second has more calls than rounds are laid out for.
+#[test]
+fn calls_after_a_want_of_all_stay_within_what_the_service_bears() {
+    let free = ms(30_000);
+    let mut made: Vec<Nanos> = (0..300)
+        .map(|seed| {
+            let mut calls = Calls::new(told(300, Some(60.0)), seed, UNIX);
+            let mut at = calls.started(ms(0), true);
+            while at < free {
+                calls.called(at);
+                at = calls.unopened(at);
+            }
+            at
+        })
+        .collect();
+    made.sort();
+    let within = |from: Nanos| made.iter().filter(|at| **at >= from && at.since(from) < ms(1_000)).count();
+    let peak = made.iter().map(|from| within(*from)).max().unwrap_or_default();
+    assert!(peak <= 72, "{peak} calls in a second; 48 are laid out for, unevenly");
+    assert!(made.iter().all(|at| at.since(free) <= ms(7_250)), "{:?}", made.last());
+}
