--- a/dispatcher/tests/dispatcher/clocks.rs
+++ b/dispatcher/tests/dispatcher/clocks.rs
@@ -42,11 +42,18 @@
     pulls
 }
 
+/// The change log is followed, and two heartbeats have come in time: what it tells next is heard of live.
+fn follow_live(play: &mut Play) {
+    play.log(1, "1");
+    play.pass(1_000);
+    play.log(1, "1");
+}
+
 /// What goes to a cache that has just started and to another in eight seconds from 1 s after its start on.
 fn sent_to_a_cold_cache(off_ms: i64) -> [usize; 2] {
     let mut play = play(off_ms, 0);
     pulls(&mut play, 1, 20, 100);
-    play.log(1, "1");
+    follow_live(&mut play);
     play.log(1, &listed(2, "s-a", 6001, START_MS + play.passed_ms()));
     play.pass(1_000);
     pulls(&mut play, 100, 160, 50)
@@ -150,7 +157,7 @@
 fn a_purge_told_live_with_an_old_number_counts_as_just_now() {
     let mut play = play(0, 0);
     pulls(&mut play, 1, 10, 100);
-    play.log(1, "1");
+    follow_live(&mut play);
     play.log(
         1,
         &format!(r#"{{"seq":2,"invalidate":{{"object":"{OBJECT}","time":{}}}}}"#, START_MS - 3_600_000),
@@ -164,7 +171,7 @@
 fn a_purge_out_of_a_queue_is_as_old_as_its_number_says() {
     let mut play = play(0, 0);
     pulls(&mut play, 1, 10, 100);
-    play.log(1, "1");
+    follow_live(&mut play);
     // The process is stopped; what came meanwhile is read at once.
     play.stop(20_000);
     let purged_ms = START_MS + play.passed_ms() - 10_000;
--- a/dispatcher/tests/dispatcher/rig.rs
+++ b/dispatcher/tests/dispatcher/rig.rs
@@ -49,6 +49,9 @@
     address
 }
 
+/// So many programs listen at addresses that differ in the third number; the numbers above are other tests'.
+const RIGS_PER_HOST: u32 = 240;
+
 /// A program that serves, with stand-ins all around.
 pub struct Rig {
     pub program: Child,
@@ -85,7 +88,8 @@
         // An address of its own: a port that was free a moment ago may be another test's by now.
         static RIGS: AtomicU32 = AtomicU32::new(0);
         let rig = RIGS.fetch_add(1, Ordering::Relaxed);
-        let address = format!("127.{}.{}.1:5050", 1 + std::process::id() % 250, rig);
+        let (net, host) = (rig % RIGS_PER_HOST, 1 + rig / RIGS_PER_HOST);
+        let address = format!("127.{}.{net}.{host}:5050", 1 + std::process::id() % 250);
         let mut config = CONFIG.replace("127.0.0.1:5050", &address);
         config = config.replace("127.0.0.1:2379", &log.local_addr().expect("an address").to_string());
         for expiry in ["5.0", "3.0"] {
