--- a/dispatcher/tests/dispatcher/common.rs
+++ b/dispatcher/tests/dispatcher/common.rs
@@ -78,6 +78,8 @@
     pub trace: String,
     /// What the disk was asked under.
     pub tickets: Vec<u64>,
+    /// The last good list, as it was last kept.
+    pub kept: Option<Vec<u8>>,
 }
 
 impl Play {
@@ -97,7 +99,8 @@
         let reducer = Reducer::new(config, Epoch::at(wall_ms * 1_000_000));
         let (armed, given, carried, places) = Default::default();
         let (now, trace, tickets) = (Nanos(EPOCH_NS), String::new(), Vec::new());
-        let mut play = Play { reducer, now, armed, given, places, carried, calm: true, trace, tickets };
+        let (calm, kept) = (true, None);
+        let mut play = Play { reducer, now, armed, given, places, carried, calm, trace, tickets, kept };
         play.event(Event::Started);
         play.event(Event::Accepted(1, LOOPBACK));
         play.trace.clear();
@@ -169,6 +172,7 @@
                 }
                 Effect::KeepList(bytes) => {
                     let _ = writeln!(self.trace, "list: keep {} bytes", bytes.len());
+                    self.kept = Some(bytes);
                 }
                 Effect::Exit => self.trace.push_str("exit\n"),
             }
--- a/dispatcher/tests/dispatcher/main.rs
+++ b/dispatcher/tests/dispatcher/main.rs
@@ -23,6 +23,7 @@
 mod gone_sockets;
 mod growth;
 mod last_list;
+mod last_list_clocks;
 mod life;
 mod loopback;
 mod outside_time;
