--- a/Makefile
+++ b/Makefile
@@ -1,6 +1,6 @@
 CONFIG ?= deploy/example.json
 
-SCENARIO ?= lab/scenarios/trunk-outage.json
+SCENARIO ?= crates/testbed/scenarios/trunk-outage.json
 
 .PHONY: build test lint run check lab cold agree capacity bench
 
@@ -23,26 +23,26 @@
 check: build
 	target/release/copperroute check --config $(CONFIG)
 
-# Plays SCENARIO in the lab; results and report go to target/lab.
+# Plays SCENARIO in the lab; results and report go to target/testbed.
 lab: build
-	target/release/copperroute-lab run $(SCENARIO)
+	target/release/copperroute-testbed run $(SCENARIO)
 
 # Plays every scenario of cold starts and of the list service; ends at the first that fails.
 cold: build
-	for file in lab/scenarios/lists-*.json lab/scenarios/cold-*.json; do \
-		target/release/copperroute-lab run $$file --out target/lab/$$(basename $$file .json) || exit 1; done
+	for file in crates/testbed/scenarios/lists-*.json crates/testbed/scenarios/cold-*.json; do \
+		target/release/copperroute-testbed run $$file --out target/testbed/$$(basename $$file .json) || exit 1; done
 
 # Plays every scenario of versions of rules; ends at the first that fails. agree-half is there to fail.
 agree: build
-	for file in lab/scenarios/agree-*.json; do case $$file in *agree-half*) continue;; esac; \
-		target/release/copperroute-lab run $$file --out target/lab/$$(basename $$file .json) || exit 1; done
+	for file in crates/testbed/scenarios/agree-*.json; do case $$file in *agree-half*) continue;; esac; \
+		target/release/copperroute-testbed run $$file --out target/testbed/$$(basename $$file .json) || exit 1; done
 
 # Plays the ordinary day of the whole fleet, compressed, before the change log alone and before six replicas of it, some three
 # minutes each; both are played, and it ends with 1 if either misses a bound.
 capacity: build
 	ended=0; for name in capacity-590 capacity-590-replicas; do \
-		target/release/copperroute-lab capacity lab/scenarios/$$name.json --out target/lab/$$name || ended=1; done; exit $$ended
+		target/release/copperroute-testbed capacity crates/testbed/scenarios/$$name.json --out target/testbed/$$name || ended=1; done; exit $$ended
 
 # Times the structures of the decisions beside plain ones.
 bench:
-	cargo bench --bench structures
+	cargo bench -p copperroute-routing --bench structures
--- a/store/benches/store.rs
+++ b/crates/cache-store/benches/store.rs
@@ -1,8 +1,8 @@
 //! The store's structures beside plain ones: `cargo bench -p copperroute-store`.
 
-use copperroute::interface::mix;
-use copperroute_store::index::{Index, Place};
-use copperroute_store::sketch::Sketch;
+use copperroute_cache_store::index::{Index, Place};
+use copperroute_cache_store::sketch::Sketch;
+use copperroute_routing::interface::mix;
 use divan::{Bencher, black_box};
 use std::collections::{BTreeMap, HashMap};
 
--- a/store/benches/tiers.rs
+++ b/crates/cache-store/benches/tiers.rs
@@ -1,13 +1,13 @@
 //! What tiers and rules of admission are worth, and what the disk costs: `cargo bench -p copperroute-store --bench tiers`.
 //! Prints tables; times are of this machine, to be read beside each other.
 
-use copperroute::interface::mix;
-use copperroute::structures::random::Random;
-use copperroute_store::admission::{Seen, Tier};
-use copperroute_store::disk::{Disk, Limits, Sync};
-use copperroute_store::memory::Memory;
-use copperroute_store::record::{Facts, Key};
-use copperroute_store::sketch::Sketch;
+use copperroute_cache_store::admission::{Seen, Tier};
+use copperroute_cache_store::disk::{Disk, Limits, Sync};
+use copperroute_cache_store::memory::Memory;
+use copperroute_cache_store::record::{Facts, Key};
+use copperroute_cache_store::sketch::Sketch;
+use copperroute_routing::interface::mix;
+use copperroute_routing::structures::random::Random;
 use std::collections::HashMap;
 use std::path::Path;
 use std::sync::Arc;
--- a/store/src/admission.rs
+++ b/crates/cache-store/src/admission.rs
@@ -2,7 +2,7 @@
 //! to hold a copy: it is kept where rate times the hops that it saves exceeds the storage cost of its tier. No
 //! input or output.
 
-use copperroute::interface::Nanos;
+use copperroute_routing::interface::Nanos;
 
 /// Seconds within which a copy of mean size must be asked for again to be worth its place: the horizon that storage
 /// cost is one over, for each tier. Memory is dearer than disk.
--- a/store/src/record.rs
+++ b/crates/cache-store/src/record.rs
@@ -3,7 +3,7 @@
 //! Layout, little-endian: magic 4, kind 1, content type 1, group 2, part 4, object 16, etag 16, made 8, length of the
 //! body 4, checksum of the body 4, checksum of all before 4; then the body. Checksums are CRC-32C.
 
-use copperroute::interface::mix;
+use copperroute_routing::interface::mix;
 
 /// Bytes of a record without its body.
 pub const HEAD: usize = 64;
--- a/store/src/reopening.rs
+++ b/crates/cache-store/src/reopening.rs
@@ -1,6 +1,6 @@
 //! When a disk that failed is tried again. A decision only: the caller has the clock and the disk.
 
-use copperroute::interface::Nanos;
+use copperroute_routing::interface::Nanos;
 
 /// The first wait. Most trouble is a disk that was full or slow for a moment; a try empties the store, so sooner would
 /// spare little.
--- a/store/src/sketch.rs
+++ b/crates/cache-store/src/sketch.rs
@@ -1,6 +1,6 @@
 //! A frequency sketch: how often keys were seen lately, in a fixed number of small counters. A baseline of admission.
 
-use copperroute::interface::mix;
+use copperroute_routing::interface::mix;
 
 /// Rows of counters; an estimate is the least of them.
 const ROWS: usize = 4;
--- a/store/src/worker.rs
+++ b/crates/cache-store/src/worker.rs
@@ -6,7 +6,7 @@
 use crate::disk::{Disk, Location};
 use crate::record::{Facts, Key};
 use crate::reopening::Reopening;
-use copperroute::interface::Nanos;
+use copperroute_routing::interface::Nanos;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::mpsc::{Receiver, RecvTimeoutError, SyncSender, TrySendError, sync_channel};
--- a/store/tests/faulty/mod.rs
+++ b/crates/cache-store/tests/faulty/mod.rs
@@ -1,6 +1,6 @@
 //! A file system in memory with a page cache: any operation can fail or be torn, and a crash leaves what Linux may leave.
 
-use copperroute_store::files::{Files, Handle, Open};
+use copperroute_cache_store::files::{Files, Handle, Open};
 use std::collections::BTreeMap;
 use std::io;
 use std::ops::Range;
--- a/store/tests/folders.rs
+++ b/crates/cache-store/tests/folders.rs
@@ -1,9 +1,9 @@
 //! A folder whose disk fails, is full or stops at any moment: no purge is forgotten over a restart, nothing torn or lost
 //! is served, and the store comes back by itself.
 
-use copperroute_store::disk::{Disk, Limits, Location, Sync};
-use copperroute_store::purges::Purges;
-use copperroute_store::record::{Facts, Key};
+use copperroute_cache_store::disk::{Disk, Limits, Location, Sync};
+use copperroute_cache_store::purges::Purges;
+use copperroute_cache_store::record::{Facts, Key};
 use faulty::{Fault, Kind, Loss, Memory};
 use proptest::prelude::*;
 use std::path::Path;
--- a/store/tests/older_files.rs
+++ b/crates/cache-store/tests/older_files.rs
@@ -1,7 +1,7 @@
 //! A folder written by an earlier version of the program (fixtures, by commit) stays readable as it is.
 
-use copperroute_store::disk::{Disk, Limits, Sync, inspect};
-use copperroute_store::record::Key;
+use copperroute_cache_store::disk::{Disk, Limits, Sync, inspect};
+use copperroute_cache_store::record::Key;
 use expect_test::expect;
 use std::path::{Path, PathBuf};
 
--- a/store/tests/returning.rs
+++ b/crates/cache-store/tests/returning.rs
@@ -1,10 +1,10 @@
 //! A disk that failed, was slow or could not be told of a purge comes back by itself, and nobody waits for it.
 
-use copperroute::interface::Nanos;
-use copperroute_store::disk::{Disk, Limits, Location, Sync};
-use copperroute_store::record::{Facts, Key};
-use copperroute_store::reopening::{FIRST_WAIT, LONGEST_WAIT, Reopening, WELL_AFTER};
-use copperroute_store::worker::{Answers, Worker};
+use copperroute_cache_store::disk::{Disk, Limits, Location, Sync};
+use copperroute_cache_store::record::{Facts, Key};
+use copperroute_cache_store::reopening::{FIRST_WAIT, LONGEST_WAIT, Reopening, WELL_AFTER};
+use copperroute_cache_store::worker::{Answers, Worker};
+use copperroute_routing::interface::Nanos;
 use expect_test::expect;
 use faulty::{Fault, Kind, Loss, Memory};
 use proptest::prelude::*;
--- a/store/tests/store.rs
+++ b/crates/cache-store/tests/store.rs
@@ -1,12 +1,12 @@
 //! The store against the simplest model, with every cut and flip, and through kills.
 
-use copperroute_store::disk::{Disk, Found, Limits, Sync};
-use copperroute_store::index::{Index, Place};
-use copperroute_store::memory::Memory;
-use copperroute_store::purges::Purges;
-use copperroute_store::record::{Facts, Head, Key};
-use copperroute_store::snapshot::Snapshot;
-use copperroute_store::worker::{Answers, Worker};
+use copperroute_cache_store::disk::{Disk, Found, Limits, Sync};
+use copperroute_cache_store::index::{Index, Place};
+use copperroute_cache_store::memory::Memory;
+use copperroute_cache_store::purges::Purges;
+use copperroute_cache_store::record::{Facts, Head, Key};
+use copperroute_cache_store::snapshot::Snapshot;
+use copperroute_cache_store::worker::{Answers, Worker};
 use proptest::prelude::*;
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Write};
@@ -375,7 +375,7 @@
     let mut out = std::io::stdout();
     for step in 1..1_000_000_u64 {
         let now = run * 1_000_000 + step;
-        let number = (copperroute::interface::mix(now) % 300) as u32;
+        let number = (copperroute_routing::interface::mix(now) % 300) as u32;
         if step.is_multiple_of(20) {
             disk.purge_object(object(number), now, now).expect("a mark");
             // Told only once it is marked.
--- a/relay/src/config.rs
+++ b/crates/change-log-replica/src/config.rs
@@ -2,7 +2,7 @@
 
 use crate::followers::{FollowerSettings, TURN};
 use crate::retention::RetentionSettings;
-use copperroute::interface::{Nanos, stable_hash};
+use copperroute_routing::interface::{Nanos, stable_hash};
 use schemars::JsonSchema;
 use serde::Deserialize;
 use std::net::SocketAddr;
--- a/relay/src/core.rs
+++ b/crates/change-log-replica/src/core.rs
@@ -16,9 +16,9 @@
 use crate::retention::{Retention, RetentionSettings};
 use crate::sources::Sources;
 use crate::sparse::Sparse;
-use copperroute::calls::{CallSettings, Calls};
-use copperroute::interface::Nanos;
 use copperroute_protocol::changes::encode_since;
+use copperroute_routing::calls::{CallSettings, Calls};
+use copperroute_routing::interface::Nanos;
 use std::net::SocketAddr;
 
 mod stream;
--- a/relay/src/core/stream.rs
+++ b/crates/change-log-replica/src/core/stream.rs
@@ -3,7 +3,7 @@
 use super::{Core, Doubt, Effect, Phase};
 use crate::faults::Fault;
 use crate::lines::{EventLine, Kind, Line};
-use copperroute::interface::Nanos;
+use copperroute_routing::interface::Nanos;
 
 /// So many heartbeats in a row with a lower number than was heard: the source has begun anew.
 const BEHIND: u32 = 3;
--- a/relay/src/event_loop.rs
+++ b/crates/change-log-replica/src/event_loop.rs
@@ -9,7 +9,7 @@
 use calloop::signals::{Signal, Signals};
 use calloop::{EventLoop, Interest, LoopHandle, Mode, PostAction, Readiness};
 use connections::Connection;
-use copperroute::interface::{Nanos, stable_hash};
+use copperroute_routing::interface::{Nanos, stable_hash};
 use socket2::{Domain, Protocol, SockRef, Socket, Type};
 use std::collections::{HashMap, VecDeque};
 use std::io::{self, ErrorKind, Read, Write};
--- a/relay/src/followers.rs
+++ b/crates/change-log-replica/src/followers.rs
@@ -5,7 +5,7 @@
 
 use crate::lines::{Ask, Asked};
 use crate::retention::{Retention, Start};
-use copperroute::interface::Nanos;
+use copperroute_routing::interface::Nanos;
 use std::collections::{BTreeMap, VecDeque};
 
 /// Bytes that a follower which is behind is sent in one turn, beside the line that they end in.
--- a/relay/src/heartbeat.rs
+++ b/crates/change-log-replica/src/heartbeat.rs
@@ -4,8 +4,8 @@
 //! is too long for a line a second may have waited on its way for as long, and so may all that come right behind it:
 //! these are not passed on, so that a follower's lease never begins later than it would at the change log itself.
 
-use copperroute::change_log::Heartbeats as Arrivals;
-use copperroute::interface::Nanos;
+use copperroute_routing::change_log::Heartbeats as Arrivals;
+use copperroute_routing::interface::Nanos;
 
 /// After so long without a heartbeat that can be vouched for, a replica is current no more.
 pub const LAPSES_AFTER: Nanos = Nanos(2_000_000_000);
--- a/relay/src/lines.rs
+++ b/crates/change-log-replica/src/lines.rs
@@ -1,8 +1,8 @@
 //! The change log's lines as bytes: each is read for its number and what a replica needs of it, and kept as it came.
 
-use copperroute::interface::stable_hash;
 use copperroute_protocol::changes::Change;
 use copperroute_protocol::incoming::{Incoming, Unreadable};
+use copperroute_routing::interface::stable_hash;
 use serde::Deserialize;
 
 /// The longest line that is taken, as in the codec that dispatchers use.
--- a/relay/src/retention.rs
+++ b/crates/change-log-replica/src/retention.rs
@@ -3,7 +3,7 @@
 
 use crate::lines::{EventLine, Kind};
 use crate::snapshot::Snapshot;
-use copperroute::interface::Nanos;
+use copperroute_routing::interface::Nanos;
 use std::collections::VecDeque;
 
 /// What an event takes beside the bytes of its line.
--- a/relay/src/sparse.rs
+++ b/crates/change-log-replica/src/sparse.rs
@@ -1,6 +1,6 @@
 //! Lines that others cause at will: some are written, the rest is counted.
 
-use copperroute::interface::Nanos;
+use copperroute_routing::interface::Nanos;
 
 /// Lines within `PERIOD`, so that who causes them can't fill the log.
 const LINES: u32 = 10;
--- a/relay/tests/relay/common.rs
+++ b/crates/change-log-replica/tests/relay/common.rs
@@ -1,12 +1,12 @@
 //! What several tests need.
 
-use copperroute::interface::Nanos;
-use copperroute_relay::config::{Config, Source, SourceKind};
-use copperroute_relay::core::{Core, Effect, Event, StreamId};
-use copperroute_relay::faults::Faults;
-use copperroute_relay::followers::{FollowerId, FollowerSettings, ForFollower};
-use copperroute_relay::lines::{Decoder, EventLine, Line};
-use copperroute_relay::retention::RetentionSettings;
+use copperroute_change_log_replica::config::{Config, Source, SourceKind};
+use copperroute_change_log_replica::core::{Core, Effect, Event, StreamId};
+use copperroute_change_log_replica::faults::Faults;
+use copperroute_change_log_replica::followers::{FollowerId, FollowerSettings, ForFollower};
+use copperroute_change_log_replica::lines::{Decoder, EventLine, Line};
+use copperroute_change_log_replica::retention::RetentionSettings;
+use copperroute_routing::interface::Nanos;
 use std::collections::VecDeque;
 use std::fmt::Write;
 use std::net::SocketAddr;
--- a/relay/tests/relay/config.rs
+++ b/crates/change-log-replica/tests/relay/config.rs
@@ -1,7 +1,7 @@
 //! The configuration file: what is taken, and what is said of what is not.
 
 use crate::common::secs;
-use copperroute_relay::config::{Config, SourceKind};
+use copperroute_change_log_replica::config::{Config, SourceKind};
 
 const GOOD: &str = r#"{"name": "r1", "listen": "10.0.0.9:2379",
     "sources": [{"address": "10.0.0.1:2379", "kind": "change-log"}, {"address": "10.0.0.2:2379", "kind": "replica"}]}"#;
--- a/relay/tests/relay/core.rs
+++ b/crates/change-log-replica/tests/relay/core.rs
@@ -1,8 +1,8 @@
 //! Traces of one replica: what it asks, tells and ends.
 
 use crate::common::{Player, config, delta, list, purge, secs};
-use copperroute_relay::core::Phase;
-use copperroute_relay::faults::{Fault, Faults};
+use copperroute_change_log_replica::core::Phase;
+use copperroute_change_log_replica::faults::{Fault, Faults};
 use expect_test::expect;
 
 /// A replica that is current at event 3 since second 1, with the change log and a replica as sources.
--- a/relay/tests/relay/cycles.rs
+++ b/crates/change-log-replica/tests/relay/cycles.rs
@@ -3,7 +3,7 @@
 use crate::common::secs;
 use crate::network::{Network, Party};
 use crate::random::{Follower, replicas};
-use copperroute_relay::faults::{Fault, Faults};
+use copperroute_change_log_replica::faults::{Fault, Faults};
 
 /// Heartbeats that replicas write from ten seconds after the change log went away on, and when followers last heard one.
 fn after_the_log(seed: u64, sources: &[&[u8]], faults: Faults, trouble: impl Fn(&mut Network)) -> u64 {
--- a/relay/tests/relay/followers.rs
+++ b/crates/change-log-replica/tests/relay/followers.rs
@@ -1,10 +1,10 @@
 //! What is borne of followers, and what slow ones are told.
 
 use crate::common::{Player, at, config, list, purge, secs};
-use copperroute_relay::config::Config;
-use copperroute_relay::core::{Core, Effect, Event, StreamId};
-use copperroute_relay::followers::{FollowerId, ForFollower};
-use copperroute_relay::retention::RetentionSettings;
+use copperroute_change_log_replica::config::Config;
+use copperroute_change_log_replica::core::{Core, Effect, Event, StreamId};
+use copperroute_change_log_replica::followers::{FollowerId, ForFollower};
+use copperroute_change_log_replica::retention::RetentionSettings;
 use expect_test::expect;
 
 /// Current at an event of this number since second 1, with a config changed.
--- a/relay/tests/relay/heartbeat.rs
+++ b/crates/change-log-replica/tests/relay/heartbeat.rs
@@ -1,7 +1,7 @@
 //! Which heartbeats can be vouched for.
 
 use crate::common::{at, secs};
-use copperroute_relay::heartbeat::Heartbeats;
+use copperroute_change_log_replica::heartbeat::Heartbeats;
 
 #[test]
 fn what_comes_after_a_silence_may_have_waited_and_is_not_vouched_for() {
--- a/relay/tests/relay/lines.rs
+++ b/crates/change-log-replica/tests/relay/lines.rs
@@ -1,8 +1,8 @@
 //! Lines are read for their numbers and kept as they came.
 
 use crate::common::{delta, list, purge};
-use copperroute::chance::Chance;
-use copperroute_relay::lines::{Ask, Asked, Decoder, Kind, Line};
+use copperroute_change_log_replica::lines::{Ask, Asked, Decoder, Kind, Line};
+use copperroute_routing::chance::Chance;
 use proptest::prelude::*;
 
 fn lines(bytes: &[u8], seed: u64) -> Vec<Line> {
--- a/relay/tests/relay/network.rs
+++ b/crates/change-log-replica/tests/relay/network.rs
@@ -2,12 +2,12 @@
 //! is drawn from a seed, so that a run repeats.
 
 use crate::common::{START, address, secs};
-use copperroute::chance::Chance;
-use copperroute::interface::Nanos;
-use copperroute_relay::config::Config;
-use copperroute_relay::core::{Core, Effect, Event, StreamId};
-use copperroute_relay::faults::Faults;
-use copperroute_relay::followers::{FollowerId, ForFollower};
+use copperroute_change_log_replica::config::Config;
+use copperroute_change_log_replica::core::{Core, Effect, Event, StreamId};
+use copperroute_change_log_replica::faults::Faults;
+use copperroute_change_log_replica::followers::{FollowerId, ForFollower};
+use copperroute_routing::chance::Chance;
+use copperroute_routing::interface::Nanos;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
--- a/relay/tests/relay/random.rs
+++ b/crates/change-log-replica/tests/relay/random.rs
@@ -3,10 +3,10 @@
 
 use crate::common::{START, address, at, config, delta, list, purge, secs};
 use crate::network::{Network, Party};
-use copperroute::chance::Chance;
-use copperroute::interface::Nanos;
-use copperroute_relay::config::{Config, Source, SourceKind};
-use copperroute_relay::faults::{Fault, Faults};
+use copperroute_change_log_replica::config::{Config, Source, SourceKind};
+use copperroute_change_log_replica::faults::{Fault, Faults};
+use copperroute_routing::chance::Chance;
+use copperroute_routing::interface::Nanos;
 use serde_json::Value;
 use std::net::SocketAddr;
 
--- a/relay/tests/relay/retention.rs
+++ b/crates/change-log-replica/tests/relay/retention.rs
@@ -1,7 +1,7 @@
 //! What is held, beside the simplest model: all events ever pushed, and which of them the bounds leave.
 
 use crate::common::{at, delta, event, list, purge, secs};
-use copperroute_relay::retention::{Retention, RetentionSettings, Start};
+use copperroute_change_log_replica::retention::{Retention, RetentionSettings, Start};
 use proptest::prelude::*;
 use serde_json::Value;
 
--- a/relay/tests/relay/snapshot.rs
+++ b/crates/change-log-replica/tests/relay/snapshot.rs
@@ -1,7 +1,7 @@
 //! The state that a whole list holds.
 
 use crate::common::{delta, event, list, purge};
-use copperroute_relay::snapshot::Snapshot;
+use copperroute_change_log_replica::snapshot::Snapshot;
 use serde_json::{Value, json};
 
 fn after(lines: &[(String, bool)]) -> Option<Value> {
--- a/relay/tests/relay/socket_errors.rs
+++ b/crates/change-log-replica/tests/relay/socket_errors.rs
@@ -1,6 +1,6 @@
 //! Every error that Linux's manual names for calls on sockets, and what it means.
 
-use copperroute_relay::socket_errors::{
+use copperroute_change_log_replica::socket_errors::{
     AcceptError, ConnectError, TransferError, of_accept, of_connect, of_transfer,
 };
 use std::io::{self, ErrorKind};
--- a/relay/tests/relay/sockets.rs
+++ b/crates/change-log-replica/tests/relay/sockets.rs
@@ -1,10 +1,10 @@
 //! The event loop on loopback sockets: a stand-in of the change log, replicas in threads, and followers.
 
 use crate::common::{delta, list, purge, secs};
-use copperroute_relay::config::{Config, Source, SourceKind};
-use copperroute_relay::event_loop::{Stop, serve_until};
-use copperroute_relay::followers::FollowerSettings;
-use copperroute_relay::retention::RetentionSettings;
+use copperroute_change_log_replica::config::{Config, Source, SourceKind};
+use copperroute_change_log_replica::event_loop::{Stop, serve_until};
+use copperroute_change_log_replica::followers::FollowerSettings;
+use copperroute_change_log_replica::retention::RetentionSettings;
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex};
--- a/agreement/benches/switch.rs
+++ b/crates/config-rollout/benches/switch.rs
@@ -1,12 +1,12 @@
 //! What a switch of rules takes: `cargo bench -p copperroute-agreement`.
 
-use copperroute::interface::*;
-use copperroute::policy::Dispatcher;
-use copperroute_agreement::core::Agreement;
-use copperroute_agreement::faults::Faults;
-use copperroute_agreement::issue::{Ground, Issue};
-use copperroute_agreement::rules::RuleSet;
-use copperroute_agreement::terms::Terms;
+use copperroute_config_rollout::core::Agreement;
+use copperroute_config_rollout::faults::Faults;
+use copperroute_config_rollout::issue::{Ground, Issue};
+use copperroute_config_rollout::rules::RuleSet;
+use copperroute_config_rollout::terms::Terms;
+use copperroute_routing::interface::*;
+use copperroute_routing::policy::Dispatcher;
 use divan::{Bencher, black_box};
 
 const S: u64 = 1_000_000_000;
--- a/agreement/src/core.rs
+++ b/crates/config-rollout/src/core.rs
@@ -9,7 +9,7 @@
 use crate::issue::{Ground, Issue, Refusal, Version};
 use crate::lease::Lease;
 use crate::rules::RuleSet;
-use copperroute::interface::Nanos;
+use copperroute_routing::interface::Nanos;
 use std::collections::VecDeque;
 use std::fmt;
 
--- a/agreement/src/issue.rs
+++ b/crates/config-rollout/src/issue.rs
@@ -3,7 +3,7 @@
 use crate::faults::{Fault, Faults};
 use crate::rules::RuleSet;
 use crate::terms::Terms;
-use copperroute::interface::stable_hash;
+use copperroute_routing::interface::stable_hash;
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value};
 use std::fmt;
--- a/agreement/src/lease.rs
+++ b/crates/config-rollout/src/lease.rs
@@ -3,8 +3,8 @@
 
 use crate::faults::{Fault, Faults};
 use crate::terms::Terms;
-use copperroute::change_log::Heartbeats;
-use copperroute::interface::Nanos;
+use copperroute_routing::change_log::Heartbeats;
+use copperroute_routing::interface::Nanos;
 
 /// A lease on being up to date.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
--- a/agreement/src/lists.rs
+++ b/crates/config-rollout/src/lists.rs
@@ -1,6 +1,6 @@
 //! The versions of the list of nodes: a list that is older than one that was taken would undo its drains.
 
-use copperroute::interface::stable_hash;
+use copperroute_routing::interface::stable_hash;
 use std::fmt;
 
 /// Why a list is not taken.
--- a/agreement/src/rules.rs
+++ b/crates/config-rollout/src/rules.rs
@@ -4,7 +4,7 @@
 //! nothing. Settings that no stand-in could see another dispatcher break are no rules (docs/agreement.md lists them):
 //! where clients and nodes are, memory, descriptors, connections, seeds, log levels, target times, benefits.
 
-use copperroute::interface::{Nanos, Readiness, Repeat, Settings};
+use copperroute_routing::interface::{Nanos, Readiness, Repeat, Settings};
 use serde_json::{Map, Value, json};
 use std::fmt;
 
@@ -131,7 +131,7 @@
 impl RuleSet {
     /// What the platform's settings say, with the expiries of the content types.
     pub fn of(s: &Settings, expiries: &[Nanos]) -> RuleSet {
-        let of = |(told, expiry): (&copperroute::interface::ContentType, &Nanos)| {
+        let of = |(told, expiry): (&copperroute_routing::interface::ContentType, &Nanos)| {
             let repeat = match told.repeat {
                 Repeat::NonRetriable => 0.0,
                 Repeat::Deduped { .. } => 1.0,
--- a/agreement/src/terms.rs
+++ b/crates/config-rollout/src/terms.rs
@@ -1,6 +1,6 @@
 //! What the operators state of clocks and ways, and the time that follows from it.
 
-use copperroute::interface::Nanos;
+use copperroute_routing::interface::Nanos;
 
 /// The list service tells a line each second.
 const LINE: Nanos = Nanos(1_000_000_000);
--- a/agreement/tests/agreement/common.rs
+++ b/crates/config-rollout/tests/agreement/common.rs
@@ -1,11 +1,11 @@
 //! Rules of a small fleet, and versions of them.
 
-use copperroute::interface::{ColdStart, ContentType, Nanos, Repeat, Settings, ZoneId};
-use copperroute_agreement::core::Agreement;
-use copperroute_agreement::faults::Faults;
-use copperroute_agreement::issue::{Ground, Issue};
-use copperroute_agreement::rules::RuleSet;
-use copperroute_agreement::terms::Terms;
+use copperroute_config_rollout::core::Agreement;
+use copperroute_config_rollout::faults::Faults;
+use copperroute_config_rollout::issue::{Ground, Issue};
+use copperroute_config_rollout::rules::RuleSet;
+use copperroute_config_rollout::terms::Terms;
+use copperroute_routing::interface::{ColdStart, ContentType, Nanos, Repeat, Settings, ZoneId};
 use serde_json::{Map, Value, json};
 
 /// So many milliseconds.
--- a/agreement/tests/agreement/core.rs
+++ b/crates/config-rollout/tests/agreement/core.rs
@@ -1,11 +1,11 @@
 //! On which rules one dispatcher acts, as traces.
 
 use crate::common::{TERMS, dispatcher, issue, ms, object};
-use copperroute::interface::Nanos;
-use copperroute_agreement::core::Agreement;
-use copperroute_agreement::faults::Faults;
-use copperroute_agreement::issue::{Issue, written_digest};
-use copperroute_agreement::rules::Field;
+use copperroute_config_rollout::core::Agreement;
+use copperroute_config_rollout::faults::Faults;
+use copperroute_config_rollout::issue::{Issue, written_digest};
+use copperroute_config_rollout::rules::Field;
+use copperroute_routing::interface::Nanos;
 use expect_test::expect;
 use serde_json::json;
 use std::fmt::Write as _;
--- a/agreement/tests/agreement/every_ordering.rs
+++ b/crates/config-rollout/tests/agreement/every_ordering.rs
@@ -6,7 +6,7 @@
 //! clock within the stated error.
 
 use crate::ordering_model::{Kind, Small};
-use copperroute_agreement::faults::Fault;
+use copperroute_config_rollout::faults::Fault;
 use stateright::{Checker, Model};
 
 /// Looks at every ordering: whether the judge found nothing, and how many states there were.
--- a/agreement/tests/agreement/ordering_model.rs
+++ b/crates/config-rollout/tests/agreement/ordering_model.rs
@@ -1,11 +1,11 @@
 //! The model of every ordering in the small: the state of three dispatchers and a log, the steps, and the judge.
 
 use crate::common::{dispatcher, issue, ms};
-use copperroute_agreement::core::Agreement;
-use copperroute_agreement::faults::{Fault, Faults};
-use copperroute_agreement::issue::{Issue, written_digest};
-use copperroute_agreement::rules::Field;
-use copperroute_agreement::terms::Terms;
+use copperroute_config_rollout::core::Agreement;
+use copperroute_config_rollout::faults::{Fault, Faults};
+use copperroute_config_rollout::issue::{Issue, written_digest};
+use copperroute_config_rollout::rules::Field;
+use copperroute_config_rollout::terms::Terms;
 use serde_json::json;
 use stateright::{Model, Property};
 use std::sync::Arc;
@@ -16,8 +16,8 @@
 const BASE: u64 = 6;
 const FLOOR: u64 = 2;
 
-const fn ms_of(s: u64) -> copperroute::interface::Nanos {
-    copperroute::interface::Nanos(s * 1_000_000_000)
+const fn ms_of(s: u64) -> copperroute_routing::interface::Nanos {
+    copperroute_routing::interface::Nanos(s * 1_000_000_000)
 }
 
 /// What an issuer writes.
--- a/agreement/tests/agreement/rules.rs
+++ b/crates/config-rollout/tests/agreement/rules.rs
@@ -1,9 +1,9 @@
 //! What a rule is, and which of two is the stricter.
 
 use crate::common::{base, ms, object, saying, settings, types};
-use copperroute::interface::Readiness::{Draining, Gone, Ready};
-use copperroute::interface::Repeat;
-use copperroute_agreement::rules::{RuleSet, differences, stricter_state};
+use copperroute_config_rollout::rules::{RuleSet, differences, stricter_state};
+use copperroute_routing::interface::Readiness::{Draining, Gone, Ready};
+use copperroute_routing::interface::Repeat;
 use expect_test::expect;
 use proptest::prelude::*;
 use serde_json::json;
--- a/dispatcher/benches/deadlines.rs
+++ b/crates/dispatcher/benches/deadlines.rs
@@ -5,8 +5,8 @@
 
 use calloop::timer::{TimeoutAction, Timer};
 use calloop::{EventLoop, RegistrationToken};
-use copperroute::interface::Nanos;
 use copperroute_dispatcher::deadlines::Deadlines;
+use copperroute_routing::interface::Nanos;
 use divan::counter::ItemsCount;
 use divan::{Bencher, black_box};
 use std::time::{Duration, Instant};
--- a/dispatcher/src/agreed.rs
+++ b/crates/dispatcher/src/agreed.rs
@@ -2,11 +2,11 @@
 
 use crate::config::{Agreeing, Config};
 use crate::logs::Sparse;
-use copperroute::interface::{Nanos, Settings};
-use copperroute_agreement::core::{Agreement, Why};
-use copperroute_agreement::issue::{Issue, Refusal};
-use copperroute_agreement::lists::Lists;
+use copperroute_config_rollout::core::{Agreement, Why};
+use copperroute_config_rollout::issue::{Issue, Refusal};
+use copperroute_config_rollout::lists::Lists;
 use copperroute_protocol::changes::Change;
+use copperroute_routing::interface::{Nanos, Settings};
 
 /// The agreement, with what the platform's settings say.
 #[derive(Debug)]
--- a/dispatcher/src/attempt.rs
+++ b/crates/dispatcher/src/attempt.rs
@@ -1,7 +1,7 @@
 //! The name of one attempt: which request it belongs to, and its number. It stands below effects and node connections, which
 //! both speak of attempts.
 
-use copperroute::interface::DlId;
+use copperroute_routing::interface::DlId;
 
 /// One attempt of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/dispatcher/src/changes/mod.rs
+++ b/crates/dispatcher/src/changes/mod.rs
@@ -1,15 +1,15 @@
 //! The change log as this dispatcher follows it: at one address, or by streams from two replicas. Each stream is made
-//! anew when it ends, is silent, or says what can't be; which events count, `copperroute::change_log` decides.
+//! anew when it ends, is silent, or says what can't be; which events count, `copperroute_routing::change_log` decides.
 
 mod stream;
 pub mod stricter;
 
 use crate::effects::{Due, Effect};
 use crate::logs::Sparse;
-use copperroute::calls::{CallSettings, Calls};
-use copperroute::change_log::{Arrival, Content, Heartbeat, Merge, Reason, Step};
-use copperroute::interface::{Nanos, mix, stable_hash};
 use copperroute_protocol::changes::{Change, Line};
+use copperroute_routing::calls::{CallSettings, Calls};
+use copperroute_routing::change_log::{Arrival, Content, Heartbeat, Merge, Reason, Step};
+use copperroute_routing::interface::{Nanos, mix, stable_hash};
 use std::net::SocketAddr;
 use stream::Stream;
 
--- a/dispatcher/src/changes/stream.rs
+++ b/crates/dispatcher/src/changes/stream.rs
@@ -1,10 +1,10 @@
-//! One stream of the change log: its connection and decoder. When it is called, `copperroute::calls` decides.
+//! One stream of the change log: its connection and decoder. When it is called, `copperroute_routing::calls` decides.
 
 use crate::effects::{Due, Effect, Peer};
-use copperroute::calls::{CallSettings, Calls};
-use copperroute::interface::Nanos;
 use copperroute_protocol::changes::{Decoder, Line, encode_since};
 use copperroute_protocol::incoming::Unreadable;
+use copperroute_routing::calls::{CallSettings, Calls};
+use copperroute_routing::interface::Nanos;
 use std::fmt;
 use std::net::SocketAddr;
 
--- a/dispatcher/src/clients.rs
+++ b/crates/dispatcher/src/clients.rs
@@ -2,8 +2,8 @@
 
 use crate::effects::{Behind, Effect, Peer};
 use crate::lingering::Lingering;
-use copperroute::interface::{DlId, Nanos, stable_hash};
 use copperroute_protocol::clients::{Answer, Decoder, encode};
+use copperroute_routing::interface::{DlId, Nanos, stable_hash};
 use std::collections::HashMap;
 use std::net::IpAddr;
 
--- a/dispatcher/src/clock.rs
+++ b/crates/dispatcher/src/clock.rs
@@ -1,6 +1,6 @@
 //! The one clock: it only goes forward, and Unix times are turned into it here alone.
 
-use copperroute::interface::Nanos;
+use copperroute_routing::interface::Nanos;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// What the clock shows at the start, so that there is room for times before it.
--- a/dispatcher/src/config.rs
+++ b/crates/dispatcher/src/config.rs
@@ -1,12 +1,12 @@
 //! The configuration file: what the operators tell one dispatcher.
 
-use copperroute::calls::CallSettings;
-use copperroute::change_log::{Replica, followed};
-use copperroute::interface::{Settings, stable_hash};
-use copperroute_agreement::faults::Faults;
-use copperroute_agreement::issue::{Ground, Issue};
-use copperroute_agreement::rules::RuleSet;
+use copperroute_config_rollout::faults::Faults;
+use copperroute_config_rollout::issue::{Ground, Issue};
+use copperroute_config_rollout::rules::RuleSet;
 use copperroute_protocol::changes::Known;
+use copperroute_routing::calls::CallSettings;
+use copperroute_routing::change_log::{Replica, followed};
+use copperroute_routing::interface::{Settings, stable_hash};
 use copperroute_settings::operator::{DiskTier, LastList, Operator};
 use copperroute_settings::{Connections, Names, Offer, Options};
 use serde::Deserialize;
@@ -203,7 +203,7 @@
 
 #[cfg(feature = "faults")]
 fn faults() -> Faults {
-    use copperroute_agreement::faults::Fault;
+    use copperroute_config_rollout::faults::Fault;
     let named = std::env::var("COPPERROUTE_FAULT").ok().and_then(|name| Fault::named(&name));
     named.map_or(Faults::default(), Faults::of)
 }
--- a/dispatcher/src/copies.rs
+++ b/crates/dispatcher/src/copies.rs
@@ -1,12 +1,12 @@
 //! Copies of the dispatcher's own, in memory: kept as the store's admission decides, served where the link is free
 //! and no purge forbids it.
 
-use copperroute::interface::{ContentType, Nanos, Repeat};
+use copperroute_cache_store::admission::{OwnLink, Seen, Tier, may_serve};
+use copperroute_cache_store::memory::Memory;
+use copperroute_cache_store::purges::Purges;
+use copperroute_cache_store::record::{Facts, Key};
 use copperroute_protocol::hex::Hex;
-use copperroute_store::admission::{OwnLink, Seen, Tier, may_serve};
-use copperroute_store::memory::Memory;
-use copperroute_store::purges::Purges;
-use copperroute_store::record::{Facts, Key};
+use copperroute_routing::interface::{ContentType, Nanos, Repeat};
 use std::collections::HashSet;
 use std::sync::Arc;
 
--- a/dispatcher/src/deadlines.rs
+++ b/crates/dispatcher/src/deadlines.rs
@@ -11,7 +11,7 @@
 //! *Moment of forgetting*: when a deadline is taken as due, or in the pass over all of them that [`Deadlines::forget`]
 //! makes. A pass looks at each deadline once and comes after at least half as many were armed: a constant cost for each.
 
-use copperroute::interface::Nanos;
+use copperroute_routing::interface::Nanos;
 use std::collections::BTreeMap;
 
 /// With fewer deadlines than this none is looked for that nobody waits for: they take less than half a megabyte.
--- a/dispatcher/src/desk/mod.rs
+++ b/crates/dispatcher/src/desk/mod.rs
@@ -7,16 +7,16 @@
 use crate::copies::{self, Offered};
 use crate::effects::{Due, Effect};
 use crate::nodes::{Next, Nodes, Pool, PullRef, Start};
-use copperroute::interface::{
-    DlId, Download, Nanos, NodeId, ObjectId, Outbox, Outcome, Pull, PullEnd, Readiness, Remark, Report,
-};
-use copperroute::state::Slots;
-use copperroute::structures::ids::Ids;
+use copperroute_cache_store::record::Facts;
 use copperroute_protocol::clients::{Answer, Request};
 use copperroute_protocol::hex::Hex;
 use copperroute_protocol::nodes::{self, Fetch};
+use copperroute_routing::interface::{
+    DlId, Download, Nanos, NodeId, ObjectId, Outbox, Outcome, Pull, PullEnd, Readiness, Remark, Report,
+};
+use copperroute_routing::state::Slots;
+use copperroute_routing::structures::ids::Ids;
 use copperroute_settings::Connections;
-use copperroute_store::record::Facts;
 
 mod list;
 mod outbox;
--- a/dispatcher/src/effects.rs
+++ b/crates/dispatcher/src/effects.rs
@@ -3,8 +3,8 @@
 
 use crate::attempt::PullRef;
 use crate::config::Config;
-use copperroute::interface::{DlId, Nanos};
-use copperroute_store::record::{Facts, Key};
+use copperroute_cache_store::record::{Facts, Key};
+use copperroute_routing::interface::{DlId, Nanos};
 use std::net::{IpAddr, SocketAddr};
 use std::sync::Arc;
 
--- a/dispatcher/src/event_loop/connections.rs
+++ b/crates/dispatcher/src/event_loop/connections.rs
@@ -1,7 +1,7 @@
 //! Connections: read, written and closed.
 
 use super::*;
-use copperroute_relay::socket_errors::{ConnectError, TransferError, of_connect, of_transfer};
+use copperroute_change_log_replica::socket_errors::{ConnectError, TransferError, of_connect, of_transfer};
 
 /// A connection, and what it has still to write.
 pub(super) struct Connection {
--- a/dispatcher/src/event_loop/opening.rs
+++ b/crates/dispatcher/src/event_loop/opening.rs
@@ -1,8 +1,8 @@
 //! Connections as they begin: clients are accepted, nodes and the change log are connected to.
 
 use super::*;
-use copperroute_relay::event_loop::begin_connecting;
-use copperroute_relay::socket_errors::{AcceptError, ConnectError, of_accept, of_connect};
+use copperroute_change_log_replica::event_loop::begin_connecting;
+use copperroute_change_log_replica::socket_errors::{AcceptError, ConnectError, of_accept, of_connect};
 
 impl Carrier {
     /// Accepts those who wait, or lets the listener rest for a while, or ends its rest. What can't be done now is tried again.
--- a/dispatcher/src/event_loop/writing.rs
+++ b/crates/dispatcher/src/event_loop/writing.rs
@@ -2,7 +2,7 @@
 
 use super::connections::REPEATS;
 use super::*;
-use copperroute_relay::socket_errors::{TransferError, of_transfer};
+use copperroute_change_log_replica::socket_errors::{TransferError, of_transfer};
 
 impl Carrier {
     /// Writes what is left, then ends the sending side.
--- a/dispatcher/src/freshness.rs
+++ b/crates/dispatcher/src/freshness.rs
@@ -2,7 +2,7 @@
 //! that takes long, lies between a look at sockets and a write: a client may have gone meanwhile, and a deadline that was
 //! written down has come nearer. No input or output; time comes with each call.
 
-use copperroute::interface::Nanos;
+use copperroute_routing::interface::Nanos;
 use std::time::Duration;
 
 /// Nothing begins to leave for a node that was encoded, or whose clients were last looked at, longer ago than this. An
--- a/dispatcher/src/keeper.rs
+++ b/crates/dispatcher/src/keeper.rs
@@ -2,10 +2,10 @@
 //! disk holds up nothing. A list that could not be written is tried again, unless a newer one comes first.
 
 use crate::last_list::{self, LARGEST};
-use copperroute::interface::Nanos;
+use copperroute_cache_store::files::{FileSystem, Files, read_whole, replace};
+use copperroute_cache_store::reopening::Reopening;
 use copperroute_protocol::changes::Known;
-use copperroute_store::files::{FileSystem, Files, read_whole, replace};
-use copperroute_store::reopening::Reopening;
+use copperroute_routing::interface::Nanos;
 use std::io;
 use std::path::{Path, PathBuf};
 use std::sync::mpsc::{Receiver, RecvTimeoutError, SyncSender, TrySendError, sync_channel};
--- a/dispatcher/src/last_list.rs
+++ b/crates/dispatcher/src/last_list.rs
@@ -4,8 +4,8 @@
 //! configuration's `known`. SAVED is the Unix millisecond at which the service was last heard, OF tells whose it is,
 //! CRC is CRC-32C of all before it on the line and of the JSON.
 
-use copperroute::interface::Nanos;
 use copperroute_protocol::changes::{Change, Fleet, Known, Listed, Purge, State};
+use copperroute_routing::interface::Nanos;
 use std::collections::BTreeMap;
 
 /// A change is written at the latest after this long, and a list that did not change anew after the other, so that
--- a/dispatcher/src/lingering.rs
+++ b/crates/dispatcher/src/lingering.rs
@@ -2,7 +2,7 @@
 //! number of bytes, and what comes is dropped. Closed at once over unread bytes it would be reset, and the reset can take
 //! with it answers that were written. No input or output; time comes with each call.
 
-use copperroute::interface::Nanos;
+use copperroute_routing::interface::Nanos;
 use std::collections::VecDeque;
 
 /// A client on the other side of a slow network has read the end, and closed, by then.
--- a/dispatcher/src/main.rs
+++ b/crates/dispatcher/src/main.rs
@@ -1,13 +1,13 @@
 //! `copperroute`: the dispatcher on sockets.
 
 use clap::{Args, Parser, Subcommand};
-use copperroute::change_log;
+use copperroute_cache_store::disk::inspect;
+use copperroute_cache_store::record::Head;
+use copperroute_change_log_replica::config::Config as RelayConfig;
 use copperroute_dispatcher::config::{Agreeing, Config, Sources};
 use copperroute_dispatcher::{event_loop, logs, rules_text};
-use copperroute_relay::config::Config as RelayConfig;
+use copperroute_routing::change_log;
 use copperroute_settings::operator::Operator;
-use copperroute_store::disk::inspect;
-use copperroute_store::record::Head;
 use std::io::Write;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -206,7 +206,8 @@
         Command::Relay { config } => {
             let config = RelayConfig::read(&config).map_err(|fault| (UNUSABLE, fault))?;
             let mut log = None;
-            let served = copperroute_relay::event_loop::serve(&config, || log = Some(logs::start()));
+            let served =
+                copperroute_change_log_replica::event_loop::serve(&config, || log = Some(logs::start()));
             if let Some(log) = log {
                 log.finish();
             }
--- a/dispatcher/src/nodes/mod.rs
+++ b/crates/dispatcher/src/nodes/mod.rs
@@ -3,12 +3,12 @@
 pub use crate::attempt::PullRef;
 use crate::effects::{Due, Effect, Peer};
 use crate::logs::Sparse;
-use copperroute::fleet::connection_back_off::{ConnectionBackOff, NodeBackOff};
-use copperroute::interface::{Nanos, NodeId, Outcome, Readiness};
-use copperroute::state::Slots;
-use copperroute::structures::ids::Ids;
 use copperroute_protocol::hex::Hex;
 use copperroute_protocol::nodes::{Decoder, Fetch, encode_abort, encode_fetch};
+use copperroute_routing::fleet::connection_back_off::{ConnectionBackOff, NodeBackOff};
+use copperroute_routing::interface::{Nanos, NodeId, Outcome, Readiness};
+use copperroute_routing::state::Slots;
+use copperroute_routing::structures::ids::Ids;
 use copperroute_settings::Connections;
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::net::SocketAddr;
--- a/dispatcher/src/outside_time.rs
+++ b/crates/dispatcher/src/outside_time.rs
@@ -9,8 +9,8 @@
 //! newer ones are heard. No I/O; time comes with each call.
 
 use crate::clock::Epoch;
-use copperroute::interface::Nanos;
 use copperroute_protocol::changes::Change;
+use copperroute_routing::interface::Nanos;
 
 /// A wall clock that is ahead of all that was told by no more than this agrees with it: what is told is underway for
 /// some of that, and events and answers come more than once a second.
--- a/dispatcher/src/reducer/mod.rs
+++ b/crates/dispatcher/src/reducer/mod.rs
@@ -15,20 +15,20 @@
 use crate::nodes::{Pool, Start};
 use crate::outside_time::OutsideTime;
 use crate::phases::{Life, Phase};
-use copperroute::change_log::Heartbeats;
-use copperroute::fleet::connection_back_off::NodeBackOff;
-use copperroute::fleet::duplicate_filter::{DuplicateFilter, MOST_IDS, Verdict};
-use copperroute::interface::{
-    DlId, Download, Nanos, NodeEntry, NodeId, Outbox as _, Readiness, Repeat, Settings, TypeId, UNTOLD,
-    ZoneId, mix, stable_hash,
-};
-use copperroute::policy::Dispatcher;
-use copperroute_agreement::rules::RuleSet;
+use copperroute_cache_store::record::{Facts, Key};
+use copperroute_config_rollout::rules::RuleSet;
 use copperroute_protocol::changes::{Change, Fleet, Listed, Purge};
 use copperroute_protocol::clients::{Answer, Message, Request};
 use copperroute_protocol::hex::Hex;
+use copperroute_routing::change_log::Heartbeats;
+use copperroute_routing::fleet::connection_back_off::NodeBackOff;
+use copperroute_routing::fleet::duplicate_filter::{DuplicateFilter, MOST_IDS, Verdict};
+use copperroute_routing::interface::{
+    DlId, Download, Nanos, NodeEntry, NodeId, Outbox as _, Readiness, Repeat, Settings, TypeId, UNTOLD,
+    ZoneId, mix, stable_hash,
+};
+use copperroute_routing::policy::Dispatcher;
 use copperroute_settings::place;
-use copperroute_store::record::{Facts, Key};
 use std::collections::HashMap;
 
 mod changes;
--- a/dispatcher/src/rules_text.rs
+++ b/crates/dispatcher/src/rules_text.rs
@@ -2,8 +2,8 @@
 //! versions would be taken.
 
 use crate::config::Agreeing;
-use copperroute_agreement::issue::{Issue, Refusal, Version};
-use copperroute_agreement::rules::{RuleSet, differences};
+use copperroute_config_rollout::issue::{Issue, Refusal, Version};
+use copperroute_config_rollout::rules::{RuleSet, differences};
 use std::fmt::Write as _;
 use std::path::Path;
 
--- a/dispatcher/tests/dispatcher/clocks.rs
+++ b/crates/dispatcher/tests/dispatcher/clocks.rs
@@ -1,9 +1,9 @@
 //! A dispatcher whose wall clock is off, by seconds or by an hour, beside one whose clock is right.
 
 use crate::common::{CONFIG, Play, START_MS, request};
+use copperroute_cache_store::record::{Facts, Key};
 use copperroute_dispatcher::config::Config;
 use copperroute_dispatcher::effects::Event;
-use copperroute_store::record::{Facts, Key};
 
 /// Wall clocks that are off by so many milliseconds.
 const OFF_MS: [i64; 4] = [5_000, -5_000, 3_600_000, -3_600_000];
--- a/dispatcher/tests/dispatcher/common.rs
+++ b/crates/dispatcher/tests/dispatcher/common.rs
@@ -1,16 +1,16 @@
 //! A reducer played by hand: events go in, and what it asks for is printed.
 
-use copperroute::interface::Nanos;
 use copperroute_dispatcher::clock::Epoch;
 use copperroute_dispatcher::config::Config;
 use copperroute_dispatcher::effects::{Behind, Due, Effect, Event, Peer};
 use copperroute_dispatcher::reducer::Reducer;
+use copperroute_routing::interface::Nanos;
 use std::collections::HashMap;
 use std::fmt::Write as _;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
 /// A small fleet: two caches, two parents, an origin.
-pub const CONFIG: &str = include_str!("../../../deploy/example.json");
+pub const CONFIG: &str = include_str!("../../../../deploy/example.json");
 
 /// Where clients come from.
 pub const LOOPBACK: IpAddr = IpAddr::V4(Ipv4Addr::LOCALHOST);
--- a/dispatcher/tests/dispatcher/copies.rs
+++ b/crates/dispatcher/tests/dispatcher/copies.rs
@@ -1,9 +1,9 @@
 //! Copies of the dispatcher's own: kept, served, and let go, as reducer traces.
 
 use crate::common::{CONFIG, Play, message, request};
+use copperroute_cache_store::record::Facts;
 use copperroute_dispatcher::config::Config;
 use copperroute_dispatcher::effects::Event;
-use copperroute_store::record::Facts;
 use expect_test::expect;
 
 fn play(bytes: usize) -> Play {
@@ -94,7 +94,7 @@
 /// A disk that has the object's first part, as its print says, and a change log that has told all.
 fn with_disk() -> Play {
     let mut play = play(1_000_000);
-    let key = copperroute_store::record::Key { content_type: 0, object: *b"7f3a000000000000", part: 0 };
+    let key = copperroute_cache_store::record::Key { content_type: 0, object: *b"7f3a000000000000", part: 0 };
     play.event(Event::DiskReady(&[key.print()], 1));
     play
 }
--- a/dispatcher/tests/dispatcher/deadlines.rs
+++ b/crates/dispatcher/tests/dispatcher/deadlines.rs
@@ -1,7 +1,7 @@
 //! The event loop's deadlines: their order, what is due, what is forgotten, and what each costs.
 
-use copperroute::interface::Nanos;
 use copperroute_dispatcher::deadlines::{Deadlines, FORGOTTEN_FROM};
+use copperroute_routing::interface::Nanos;
 use proptest::prelude::*;
 use std::time::{Duration, Instant};
 
--- a/dispatcher/tests/dispatcher/driver/bytes.rs
+++ b/crates/dispatcher/tests/dispatcher/driver/bytes.rs
@@ -1,8 +1,8 @@
 //! Bytes on their way to nodes: what begins to leave is judged then, what has come whole counts as come.
 
 use super::world::{WINDOW, World};
-use copperroute::interface::Nanos;
 use copperroute_dispatcher::effects::{Event, Peer};
+use copperroute_routing::interface::Nanos;
 
 impl World {
     /// Bytes leave: what begins to leave must still be wanted, and where it goes must still take it.
--- a/dispatcher/tests/dispatcher/driver/world.rs
+++ b/crates/dispatcher/tests/dispatcher/driver/world.rs
@@ -2,11 +2,11 @@
 
 use super::story::{CLIENTS, NODES, Step};
 use crate::common::{CONFIG, LOOPBACK, request};
-use copperroute::interface::Nanos;
 use copperroute_dispatcher::clock::Epoch;
 use copperroute_dispatcher::config::Config;
 use copperroute_dispatcher::effects::{Due, Effect, Event, Peer};
 use copperroute_dispatcher::reducer::Reducer;
+use copperroute_routing::interface::Nanos;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
 /// Content types: image may run again, post once only, vote again within `WINDOW`.
--- a/dispatcher/tests/dispatcher/fleet.rs
+++ b/crates/dispatcher/tests/dispatcher/fleet.rs
@@ -92,7 +92,7 @@
         let addresses: Vec<_> = (0..PROCESSES).map(address).collect();
         let path = |address: &String| {
             let path = std::env::temp_dir().join(format!("copperroute-{}.json", address.replace(':', "-")));
-            let seed = format!("{:016x}", copperroute::interface::stable_hash(address.as_bytes()));
+            let seed = format!("{:016x}", copperroute_routing::interface::stable_hash(address.as_bytes()));
             let own = config.replace("127.0.0.1:5050", address).replace("8c1f30d27a5be964", &seed);
             std::fs::write(&path, own).expect("a temporary file");
             path
--- a/dispatcher/tests/dispatcher/folders_place.rs
+++ b/crates/dispatcher/tests/dispatcher/folders_place.rs
@@ -3,8 +3,8 @@
 
 use crate::common::{CONFIG, message, request};
 use crate::rig::{Asked, LONG, UNHURRIED, answer, stand_in};
+use copperroute_cache_store::record::{HEAD, Head};
 use copperroute_fault_injection::{FaultPlan, preload};
-use copperroute_store::record::{HEAD, Head};
 use std::io::{BufRead, BufReader, Write};
 use std::net::{TcpListener, TcpStream};
 use std::path::PathBuf;
--- a/dispatcher/tests/dispatcher/freshness.rs
+++ b/crates/dispatcher/tests/dispatcher/freshness.rs
@@ -1,9 +1,9 @@
 //! The order of looks at sockets and of writes, on a clock that is stepped by hand.
 
-use copperroute::interface::Nanos;
 use copperroute_dispatcher::freshness::{
     Freshness, LONGEST_PUT_OFF, MOST_LOOKS, PutOff, STALE_AFTER, TURNS_FIRST,
 };
+use copperroute_routing::interface::Nanos;
 use std::time::Duration;
 
 /// So many milliseconds after the loop's start.
--- a/dispatcher/tests/dispatcher/last_list.rs
+++ b/crates/dispatcher/tests/dispatcher/last_list.rs
@@ -1,11 +1,11 @@
 //! The last good list over a restart: what is kept, and what does not do.
 
 use crate::common::{CONFIG, Play};
-use copperroute::interface::Nanos;
 use copperroute_dispatcher::config::Config;
 use copperroute_dispatcher::keeper::{Keeper, find};
 use copperroute_dispatcher::last_list::{LastList, decode, encode};
 use copperroute_protocol::changes::{Change, Known};
+use copperroute_routing::interface::Nanos;
 use copperroute_settings::operator::LastList as Told;
 use expect_test::expect;
 
--- a/dispatcher/tests/dispatcher/last_list_clocks.rs
+++ b/crates/dispatcher/tests/dispatcher/last_list_clocks.rs
@@ -1,11 +1,11 @@
 //! The last good list between two lives of a dispatcher whose wall clock was set meanwhile: see docs/clocks.md.
 
 use crate::common::{CONFIG, Play, START_MS, request};
-use copperroute::interface::Nanos;
 use copperroute_dispatcher::clock::Epoch;
 use copperroute_dispatcher::config::Config;
 use copperroute_dispatcher::last_list::decode;
 use copperroute_dispatcher::outside_time::OutsideTime;
+use copperroute_routing::interface::Nanos;
 use copperroute_settings::operator::LastList as Told;
 use expect_test::expect;
 
--- a/dispatcher/tests/dispatcher/main.rs
+++ b/crates/dispatcher/tests/dispatcher/main.rs
@@ -12,7 +12,7 @@
 mod deadlines;
 mod driver;
 mod ending;
-#[path = "../../../store/tests/faulty/mod.rs"]
+#[path = "../../../cache-store/tests/faulty/mod.rs"]
 mod faulty;
 mod fleet;
 mod folders;
--- a/dispatcher/tests/dispatcher/outside_time.rs
+++ b/crates/dispatcher/tests/dispatcher/outside_time.rs
@@ -1,8 +1,8 @@
 //! What time it is outside, by witnesses: drawn clocks, ways and times.
 
-use copperroute::interface::Nanos;
 use copperroute_dispatcher::clock::Epoch;
 use copperroute_dispatcher::outside_time::{AGREES, KEPT, OutsideTime, SETTLED_AFTER};
+use copperroute_routing::interface::Nanos;
 use proptest::prelude::*;
 
 /// The Unix millisecond that it is outside as a play begins, and what the monotonic clock then shows.
--- a/dispatcher/tests/dispatcher/rules_text.rs
+++ b/crates/dispatcher/tests/dispatcher/rules_text.rs
@@ -1,7 +1,7 @@
 //! Versions as staff read them.
 
 use crate::common::CONFIG;
-use copperroute_agreement::issue::{Issue, written_digest};
+use copperroute_config_rollout::issue::{Issue, written_digest};
 use copperroute_dispatcher::config::{Agreeing, Config};
 use copperroute_dispatcher::rules_text::{check, diff, show};
 use copperroute_settings::operator::Operator;
--- a/dispatcher/tests/dispatcher/run_line.rs
+++ b/crates/dispatcher/tests/dispatcher/run_line.rs
@@ -9,7 +9,7 @@
 use std::process::{Child, Command};
 use std::time::{Duration, Instant};
 
-const ROOT: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/..");
+const ROOT: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../..");
 
 /// The words of the `run` line after `exec`.
 fn run_line() -> Vec<String> {
--- a/dispatcher/tests/dispatcher/stopped.rs
+++ b/crates/dispatcher/tests/dispatcher/stopped.rs
@@ -3,7 +3,7 @@
 
 use crate::common::{message, request};
 use crate::rig::{Asked, Rig, answer, reset};
-use copperroute::structures::random::Random;
+use copperroute_routing::structures::random::Random;
 use std::collections::HashMap;
 use std::io::Write;
 use std::net::TcpStream;
--- a/dispatcher/tests/dispatcher/storm.rs
+++ b/crates/dispatcher/tests/dispatcher/storm.rs
@@ -1,12 +1,12 @@
 //! Everything goes wrong at random, by a seed: the rules that connections can break still hold.
 
 use crate::common::{CONFIG, LOOPBACK, message, request};
-use copperroute::interface::Nanos;
-use copperroute::structures::random::Random;
 use copperroute_dispatcher::clock::Epoch;
 use copperroute_dispatcher::config::Config;
 use copperroute_dispatcher::effects::{Due, Effect, Event, Peer};
 use copperroute_dispatcher::reducer::Reducer;
+use copperroute_routing::interface::Nanos;
+use copperroute_routing::structures::random::Random;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
 
--- a/dispatcher/tests/dispatcher/time_left.rs
+++ b/crates/dispatcher/tests/dispatcher/time_left.rs
@@ -1,8 +1,8 @@
 //! The time that a pull tells its node is what its client has left as the first byte leaves. Events in, effects out.
 
 use crate::common::{CONFIG, Play, request};
-use copperroute::interface::Nanos;
 use copperroute_dispatcher::effects::{Event, Peer};
+use copperroute_routing::interface::Nanos;
 use expect_test::expect;
 
 /// The time that the last pull told.
--- a/dispatcher/tests/dispatcher/two_streams_sum.rs
+++ b/crates/dispatcher/tests/dispatcher/two_streams_sum.rs
@@ -1,10 +1,10 @@
 //! The calls of 590 dispatchers, each of which follows two of six replicas, counted at each replica.
 
-use copperroute::calls::CallSettings;
-use copperroute::change_log::{Replica, followed};
-use copperroute::interface::{Nanos, stable_hash};
 use copperroute_dispatcher::changes::{ChangeLog, ChangeLogSettings};
 use copperroute_dispatcher::effects::{Due, Effect, Peer};
+use copperroute_routing::calls::CallSettings;
+use copperroute_routing::change_log::{Replica, followed};
+use copperroute_routing::interface::{Nanos, stable_hash};
 use copperroute_settings::operator::Operator;
 use serde_json::json;
 use std::collections::BTreeMap;
--- a/dispatcher/tests/dispatcher/unsent.rs
+++ b/crates/dispatcher/tests/dispatcher/unsent.rs
@@ -1,9 +1,9 @@
 //! Events in, effects out: what was ordered and has not left is never sent once it must not be, without sockets.
 
 use crate::common::{CONFIG, LOOPBACK, Play, message, request};
-use copperroute::interface::Nanos;
 use copperroute_dispatcher::effects::{Event, Peer};
 use copperroute_dispatcher::lingering::Lingering;
+use copperroute_routing::interface::Nanos;
 use expect_test::expect;
 
 /// A line of the change log on a cache.
--- a/checks/tests/checks/change_log/dispatcher.rs
+++ b/crates/model-checks/tests/checks/change_log/dispatcher.rs
@@ -2,7 +2,7 @@
 
 use super::model::Fault;
 use super::parts::{Link, Message, PROPAGATION_BOUND, clock};
-use copperroute::change_log::{Arrival, Content, Heartbeat, Merge, Step};
+use copperroute_routing::change_log::{Arrival, Content, Heartbeat, Merge, Step};
 
 /// What no ordering may bring about.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
--- a/checks/tests/checks/change_log/parts.rs
+++ b/crates/model-checks/tests/checks/change_log/parts.rs
@@ -1,7 +1,7 @@
 //! Links and replicas.
 
-use copperroute::interface::Nanos;
-use copperroute_relay::heartbeat::Heartbeats;
+use copperroute_change_log_replica::heartbeat::Heartbeats;
+use copperroute_routing::interface::Nanos;
 use std::collections::VecDeque;
 
 /// Where the clock begins, in seconds.
--- a/protocol/src/changes.rs
+++ b/crates/protocol/src/changes.rs
@@ -1,7 +1,7 @@
 //! The change log: one JSON value a line, and the events that the configuration holds from before.
 
 use crate::incoming::{Incoming, Unreadable};
-use copperroute::interface::Readiness;
+use copperroute_routing::interface::Readiness;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
--- a/protocol/src/nodes.rs
+++ b/crates/protocol/src/nodes.rs
@@ -2,7 +2,7 @@
 
 use crate::hex::Hex;
 use crate::incoming::{Incoming, Unreadable, digits, fields};
-use copperroute::interface::{Nanos, Outcome, Pull, Remark, Report};
+use copperroute_routing::interface::{Nanos, Outcome, Pull, Remark, Report};
 use std::fmt::Write as _;
 
 const LONGEST_LINE: usize = 1024;
--- a/protocol/tests/codecs.rs
+++ b/crates/protocol/tests/codecs.rs
@@ -1,9 +1,9 @@
 //! The codecs, fed whole, byte by byte and in random cuts: the same messages come out.
 
-use copperroute::interface::{Nanos, NodeId, Pull};
-use copperroute::structures::random::Random;
 use copperroute_protocol::hex::Hex;
 use copperroute_protocol::{changes, clients, nodes};
+use copperroute_routing::interface::{Nanos, NodeId, Pull};
+use copperroute_routing::structures::random::Random;
 use expect_test::expect;
 
 fn hex(text: &str) -> Hex {
--- a/benches/purges.rs
+++ b/crates/routing/benches/purges.rs
@@ -1,7 +1,7 @@
 //! Purges by how many are held, beside a list that is searched: `cargo bench --bench purges`.
 
-use copperroute::interface::{Nanos, mix};
-use copperroute::purges::{Purged, Purges};
+use copperroute_routing::interface::{Nanos, mix};
+use copperroute_routing::purges::{Purged, Purges};
 use divan::{Bencher, black_box};
 
 /// Six a second over 7 s; an hour's backlog; more.
--- a/benches/structures.rs
+++ b/crates/routing/benches/structures.rs
@@ -1,9 +1,9 @@
 //! The structures of overload control beside plain ones: `cargo bench --bench structures`.
 
-use copperroute::interface::Nanos;
-use copperroute::structures::generational_map::GenerationalMap;
-use copperroute::structures::ring_buffer::RingBuffer;
-use copperroute::structures::timer_wheel::TimerWheel;
+use copperroute_routing::interface::Nanos;
+use copperroute_routing::structures::generational_map::GenerationalMap;
+use copperroute_routing::structures::ring_buffer::RingBuffer;
+use copperroute_routing::structures::timer_wheel::TimerWheel;
 use divan::{Bencher, black_box};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
@@ -17,7 +17,7 @@
 }
 
 fn print(at: u64) -> u64 {
-    copperroute::interface::mix(at)
+    copperroute_routing::interface::mix(at)
 }
 
 /// A wheel of so many slots, three quarters full; then reservations as time passes.
--- a/tests/module/change_log/merge.rs
+++ b/crates/routing/tests/module/change_log/merge.rs
@@ -1,7 +1,7 @@
 //! Two streams as one sequence, as traces.
 
 use super::merge_play::Play;
-use copperroute::change_log::{Arrival, Content};
+use copperroute_routing::change_log::{Arrival, Content};
 use expect_test::expect;
 
 #[test]
--- a/tests/module/change_log/merge_play.rs
+++ b/crates/routing/tests/module/change_log/merge_play.rs
@@ -1,7 +1,7 @@
 //! A player of what two streams tell the merge, and a printer of what it makes of that.
 
 use crate::common::ms;
-use copperroute::change_log::{Arrival, Content, Heartbeat, Merge, Step};
+use copperroute_routing::change_log::{Arrival, Content, Heartbeat, Merge, Step};
 use std::fmt::Write as _;
 
 /// A merge with two streams that are asked for.
--- a/tests/module/change_log/random.rs
+++ b/crates/routing/tests/module/change_log/random.rs
@@ -2,7 +2,7 @@
 //! counter of what was applied, and the times at which each stream's heartbeats came.
 
 use crate::common::ms;
-use copperroute::change_log::{Arrival, Content, Heartbeat, Merge, Step};
+use copperroute_routing::change_log::{Arrival, Content, Heartbeat, Merge, Step};
 use proptest::prelude::*;
 use std::collections::{BTreeSet, VecDeque};
 
--- a/tests/module/change_log/selection.rs
+++ b/crates/routing/tests/module/change_log/selection.rs
@@ -1,6 +1,6 @@
 //! Which two replicas a dispatcher follows.
 
-use copperroute::change_log::{Replica, followed, most_followers};
+use copperroute_routing::change_log::{Replica, followed, most_followers};
 use std::net::SocketAddr;
 
 /// Replicas of zones named by letters, as in "aabbcc".
--- a/tests/module/changed.rs
+++ b/crates/routing/tests/module/changed.rs
@@ -1,7 +1,7 @@
 //! Rules that change while downloads are out.
 
 use crate::common::*;
-use copperroute::interface::*;
+use copperroute_routing::interface::*;
 use expect_test::expect;
 
 /// The most pulls that a download takes whose nodes all refuse, by seeds, with other rules in force once it is out.
--- a/tests/module/cold.rs
+++ b/crates/routing/tests/module/cold.rs
@@ -1,11 +1,11 @@
 //! What cold nodes are sent: by one dispatcher, and by the sum of hundreds.
 
 use crate::common::*;
-use copperroute::fleet::origin_limiter::OriginLimiter;
-use copperroute::fleet::slow_start::{Rate, TokenBucket, keep_one_cold};
-use copperroute::interface::*;
-use copperroute::state::TypeRow;
-use copperroute::structures::random::Random;
+use copperroute_routing::fleet::origin_limiter::OriginLimiter;
+use copperroute_routing::fleet::slow_start::{Rate, TokenBucket, keep_one_cold};
+use copperroute_routing::interface::*;
+use copperroute_routing::state::TypeRow;
+use copperroute_routing::structures::random::Random;
 use expect_test::expect;
 use proptest::prelude::*;
 
@@ -78,7 +78,7 @@
 }
 
 /// A location of ten dispatchers whose caches have all just started.
-fn all_cold(now: Nanos) -> (copperroute::policy::Dispatcher, Trace) {
+fn all_cold(now: Nanos) -> (copperroute_routing::policy::Dispatcher, Trace) {
     let mut s = settings();
     (s.dispatchers, s.zone_dispatchers) = (10, 10);
     let (mut module, mut trace) = start(s);
--- a/tests/module/cold_fleet.rs
+++ b/crates/routing/tests/module/cold_fleet.rs
@@ -2,9 +2,9 @@
 //! comes to the two nodes of all together.
 
 use crate::common::*;
-use copperroute::interface::*;
-use copperroute::policy::Dispatcher;
-use copperroute::structures::random::Random;
+use copperroute_routing::interface::*;
+use copperroute_routing::policy::Dispatcher;
+use copperroute_routing::structures::random::Random;
 use std::collections::BTreeMap;
 
 /// A node that starts, and how it is asked.
--- a/tests/module/cold_sum.rs
+++ b/crates/routing/tests/module/cold_sum.rs
@@ -5,8 +5,8 @@
 
 use crate::cold_fleet::{Case, Restarts, WORK_S};
 use crate::common::*;
-use copperroute::fleet::slow_start::{Rate, TokenBucket};
-use copperroute::interface::*;
+use copperroute_routing::fleet::slow_start::{Rate, TokenBucket};
+use copperroute_routing::interface::*;
 use proptest::prelude::*;
 
 /// The bound that the module keeps to.
--- a/tests/module/common.rs
+++ b/crates/routing/tests/module/common.rs
@@ -1,7 +1,7 @@
 //! A dispatcher in a small location, and a printer of what it sends.
 
-use copperroute::interface::*;
-use copperroute::policy::Dispatcher;
+use copperroute_routing::interface::*;
+use copperroute_routing::policy::Dispatcher;
 use std::fmt::Write as _;
 
 /// Prints each thing that the module sends as a line, and keeps the timers that it arms.
--- a/tests/module/conduct.rs
+++ b/crates/routing/tests/module/conduct.rs
@@ -1,7 +1,7 @@
 //! Clients' conduct: ids that come again, and what is kept of them.
 
-use copperroute::fleet::duplicate_filter::{DuplicateFilter, Verdict};
-use copperroute::interface::Nanos;
+use copperroute_routing::fleet::duplicate_filter::{DuplicateFilter, Verdict};
+use copperroute_routing::interface::Nanos;
 use expect_test::expect;
 
 const SECOND: u64 = 1_000_000_000;
--- a/tests/module/failures.rs
+++ b/crates/routing/tests/module/failures.rs
@@ -1,7 +1,7 @@
 //! What was found to fail, and what the module does about it.
 
 use crate::common::*;
-use copperroute::interface::*;
+use copperroute_routing::interface::*;
 use expect_test::expect;
 
 /// Counts the lines that hold each of `names`.
--- a/tests/module/largest.rs
+++ b/crates/routing/tests/module/largest.rs
@@ -3,9 +3,9 @@
 //! thirds as often as their content type, on any other at least half as often.
 
 use crate::common::*;
-use copperroute::chance::Chance;
-use copperroute::interface::*;
-use copperroute::policy::Dispatcher;
+use copperroute_routing::chance::Chance;
+use copperroute_routing::interface::*;
+use copperroute_routing::policy::Dispatcher;
 use std::collections::BTreeMap;
 
 /// A day.
--- a/tests/module/listed.rs
+++ b/crates/routing/tests/module/listed.rs
@@ -1,9 +1,9 @@
 //! The listed nodes by what they are: the same as a search through all of them, at less work.
 
 use crate::common::*;
-use copperroute::interface::*;
-use copperroute::listed::{Home, Listed, Role, counted, key_of, share_of};
-use copperroute::nodes::{Node, Nodes};
+use copperroute_routing::interface::*;
+use copperroute_routing::listed::{Home, Listed, Role, counted, key_of, share_of};
+use copperroute_routing::nodes::{Node, Nodes};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
--- a/tests/module/opening.rs
+++ b/crates/routing/tests/module/opening.rs
@@ -1,8 +1,8 @@
 //! Connections to nodes: when one more may be opened.
 
 use crate::common::ms;
-use copperroute::fleet::connection_back_off::{ConnectionBackOff, NodeBackOff};
-use copperroute::interface::Nanos;
+use copperroute_routing::fleet::connection_back_off::{ConnectionBackOff, NodeBackOff};
+use copperroute_routing::interface::Nanos;
 use expect_test::expect;
 use std::collections::VecDeque;
 use std::fmt::Write as _;
--- a/tests/module/ordinary.rs
+++ b/crates/routing/tests/module/ordinary.rs
@@ -1,7 +1,7 @@
 //! The ordinary path: MC3 decides what is kept, at which rank, and whether the parent keeps a copy.
 
 use crate::common::*;
-use copperroute::interface::*;
+use copperroute_routing::interface::*;
 use expect_test::expect;
 use std::fmt::Write as _;
 
--- a/tests/module/purges.rs
+++ b/crates/routing/tests/module/purges.rs
@@ -1,8 +1,8 @@
 //! Purges, beside the simplest model of them: a list of all that were told.
 
 use crate::common::ms;
-use copperroute::interface::Nanos;
-use copperroute::purges::{MOST_HELD, Purged, Purges};
+use copperroute_routing::interface::Nanos;
+use copperroute_routing::purges::{MOST_HELD, Purged, Purges};
 use proptest::prelude::*;
 
 /// All purges as they were told, searched from end to end.
--- a/tests/module/repeats.rs
+++ b/crates/routing/tests/module/repeats.rs
@@ -1,7 +1,7 @@
 //! Within which nodes, and until when, a repeat of a deduped download is known.
 
 use crate::common::*;
-use copperroute::interface::*;
+use copperroute_routing::interface::*;
 
 #[test]
 fn nodes_whose_zone_or_cell_is_not_told_share_it_with_nobody() {
--- a/tests/module/rules.rs
+++ b/crates/routing/tests/module/rules.rs
@@ -1,7 +1,7 @@
 //! The five rules, as decision traces.
 
 use crate::common::*;
-use copperroute::interface::*;
+use copperroute_routing::interface::*;
 use expect_test::expect;
 
 #[test]
--- a/tests/module/sizes.rs
+++ b/crates/routing/tests/module/sizes.rs
@@ -1,9 +1,9 @@
 //! What nodes can do, where the list gives no sizes or wrong ones.
 
 use crate::common::*;
-use copperroute::interface::*;
-use copperroute::policy::Dispatcher;
-use copperroute::size::{Size, Sizes};
+use copperroute_routing::interface::*;
+use copperroute_routing::policy::Dispatcher;
+use copperroute_routing::size::{Size, Sizes};
 use expect_test::expect;
 
 /// What a node of true size 6 is found to be after so many reports, or so many seconds of answers, by how it was listed.
--- a/tests/module/spared.rs
+++ b/crates/routing/tests/module/spared.rs
@@ -1,9 +1,9 @@
 //! An origin that is slow, set aside or stopped, and parents that bear nothing: who fetches then, and what still runs.
 
 use crate::common::*;
-use copperroute::interface::*;
-use copperroute::nodes::{Node, Nodes};
-use copperroute::policy::Dispatcher;
+use copperroute_routing::interface::*;
+use copperroute_routing::nodes::{Node, Nodes};
+use copperroute_routing::policy::Dispatcher;
 use expect_test::expect;
 
 /// Fails the origin eight times in a row, then asks for `more` downloads that must run there.
--- a/tests/module/storm_day.rs
+++ b/crates/routing/tests/module/storm_day.rs
@@ -1,8 +1,8 @@
 //! A day for tests of retry storms: a module, clients that come back to it, and nodes that answer or don't.
 
 use crate::common::{entry, ms, settings};
-use copperroute::interface::*;
-use copperroute::policy::Dispatcher;
+use copperroute_routing::interface::*;
+use copperroute_routing::policy::Dispatcher;
 use std::collections::{BTreeMap, HashMap};
 use std::fmt::Write as _;
 
--- a/tests/module/storms.rs
+++ b/crates/routing/tests/module/storms.rs
@@ -1,7 +1,7 @@
 //! Retry storms, as traces: a location of three caches, and clients that come back.
 
 use crate::storm_day::{Day, Try, told};
-use copperroute::interface::*;
+use copperroute_routing::interface::*;
 use expect_test::expect;
 use std::fmt::Write as _;
 
--- a/tests/module/structures.rs
+++ b/crates/routing/tests/module/structures.rs
@@ -1,9 +1,9 @@
 //! The structures that decisions stand on, beside the simplest possible models.
 
 use crate::common::ms;
-use copperroute::interface::Nanos;
-use copperroute::structures::generational_map::GenerationalMap;
-use copperroute::structures::timer_wheel::TimerWheel;
+use copperroute_routing::interface::Nanos;
+use copperroute_routing::structures::generational_map::GenerationalMap;
+use copperroute_routing::structures::timer_wheel::TimerWheel;
 use proptest::prelude::*;
 use std::collections::{BTreeMap, HashMap};
 
--- a/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -3,8 +3,8 @@
 
 pub mod operator;
 
-use copperroute::calls::CallSettings;
-use copperroute::interface::{ColdStart, ContentType, DedupScope, Nanos, Repeat, Settings, ZoneId};
+use copperroute_routing::calls::CallSettings;
+use copperroute_routing::interface::{ColdStart, ContentType, DedupScope, Nanos, Repeat, Settings, ZoneId};
 use serde_json::Value;
 use std::collections::HashMap;
 use std::str::FromStr;
--- a/settings/src/operator.rs
+++ b/crates/settings/src/operator.rs
@@ -1,11 +1,11 @@
 //! The operator's own file: JSON with a schema. What stands in it is off unless it is given.
 
 use crate::Read;
-use copperroute::calls::CallSettings;
-use copperroute::change_log;
-use copperroute::interface::{Nanos, StormSettings};
-use copperroute_agreement::issue::Issue;
-use copperroute_agreement::terms::Terms;
+use copperroute_config_rollout::issue::Issue;
+use copperroute_config_rollout::terms::Terms;
+use copperroute_routing::calls::CallSettings;
+use copperroute_routing::change_log;
+use copperroute_routing::interface::{Nanos, StormSettings};
 use schemars::JsonSchema;
 use serde::Deserialize;
 use std::net::SocketAddr;
--- a/settings/src/tests/operator.rs
+++ b/crates/settings/src/tests/operator.rs
@@ -1,17 +1,17 @@
 //! Tests of what `operator.rs` keeps to itself.
 
 use super::Operator;
-use copperroute::calls::CallSettings;
-use copperroute::interface::Nanos;
+use copperroute_routing::calls::CallSettings;
+use copperroute_routing::interface::Nanos;
 use expect_test::expect;
 
 #[test]
 fn the_users_platform_has_no_disk_that_lasts_and_tells_nothing_of_its_list_service() {
-    let told = include_str!("../../../deploy/platform.json");
+    let told = include_str!("../../../../deploy/platform.json");
     let platform = Operator::parse(told).expect("a good file");
     assert_eq!((platform.disk_tier(), platform.last_list()), (Ok(None), Ok(None)));
     assert_eq!((platform.lists, platform.agreement), (None, None));
-    let run = include_str!("../../../deploy/balancer.toml").lines().find(|line| line.starts_with("run"));
+    let run = include_str!("../../../../deploy/balancer.toml").lines().find(|line| line.starts_with("run"));
     let run = run.unwrap_or_default();
     // One process, by exec, with that file alone.
     assert!(
--- a/benchlink/src/door.rs
+++ b/crates/simulator-adapter/src/door.rs
@@ -1,7 +1,7 @@
 //! The door of one instance: wire ids to small indices and back, and the lines that it sends.
 
-use copperroute::interface::{DlId, Nanos, NodeId, ObjectId, Outbox, Pull};
-use copperroute::structures::ids::Ids;
+use copperroute_routing::interface::{DlId, Nanos, NodeId, ObjectId, Outbox, Pull};
+use copperroute_routing::structures::ids::Ids;
 use std::fmt::Write as _;
 
 /// What one instance knows of the wire's ids.
--- a/benchlink/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,4 +1,4 @@
-//! `copperroute-benchlink`: the bench's wire on standard input and output, the decisions behind it.
+//! `copperroute-simulator-adapter`: the bench's wire on standard input and output, the decisions behind it.
 
 mod door;
 mod wire;
@@ -9,7 +9,7 @@
     let input = io::stdin().lock();
     let output = BufWriter::new(io::stdout().lock());
     if let Err(fault) = wire::serve(input, output) {
-        eprintln!("copperroute-benchlink: {fault}");
+        eprintln!("copperroute-simulator-adapter: {fault}");
         std::process::exit(2);
     }
 }
--- a/benchlink/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -1,11 +1,11 @@
 //! The wire: batches of tab-set lines in, one reply to each out.
 
 use crate::door::Door;
-use copperroute::interface::{
+use copperroute_routing::interface::{
     Download, Nanos, NodeEntry, Outcome, PullEnd, Readiness, Remark, Report, TypeId, UNTOLD, ZoneId, mix,
     stable_hash,
 };
-use copperroute::policy::Dispatcher;
+use copperroute_routing::policy::Dispatcher;
 use copperroute_settings::Options;
 use std::collections::BTreeMap;
 use std::fmt;
--- a/lab/src/capacity/log.rs
+++ b/crates/testbed/src/capacity/log.rs
@@ -107,7 +107,8 @@
         let first = whole_list(1, &state.nodes);
         state.push(&first);
         for number in 0..backlog {
-            let object = format!("{:016x}", copperroute::interface::stable_hash(&number.to_le_bytes()));
+            let object =
+                format!("{:016x}", copperroute_routing::interface::stable_hash(&number.to_le_bytes()));
             let (seq, time) = (state.last() + 1, unix_us() / 1_000);
             state.push(&json!({"seq": seq, "invalidate": {"object": object, "time": time}}));
         }
--- a/lab/src/fleet_simulation/arrangement.rs
+++ b/crates/testbed/src/fleet_simulation/arrangement.rs
@@ -3,8 +3,8 @@
 
 use super::assumptions::{CALLS_SHARE, TOLD_AFTER};
 use super::topology::{self, Place};
-use copperroute::calls::CallSettings;
-use copperroute::interface::mix;
+use copperroute_routing::calls::CallSettings;
+use copperroute_routing::interface::mix;
 
 /// A way of changes.
 #[derive(Debug, Clone, Copy, PartialEq)]
--- a/lab/src/fleet_simulation/assumptions.rs
+++ b/crates/testbed/src/fleet_simulation/assumptions.rs
@@ -1,6 +1,6 @@
 //! What the simulation takes as given: the users' figures first, then what nobody has told and is assumed.
 
-use copperroute::interface::Nanos;
+use copperroute_routing::interface::Nanos;
 
 pub const SECOND: Nanos = Nanos(1_000_000_000);
 
--- a/lab/src/fleet_simulation/fault.rs
+++ b/crates/testbed/src/fleet_simulation/fault.rs
@@ -2,8 +2,8 @@
 
 use super::arrangement::Arrangement;
 use super::assumptions::*;
-use copperroute::chance::Chance;
-use copperroute::interface::Nanos;
+use copperroute_routing::chance::Chance;
+use copperroute_routing::interface::Nanos;
 
 /// The first fault begins then; all that is counted is counted from a little before.
 pub const BEGINS: Nanos = Nanos(30 * SECOND.0);
--- a/lab/src/fleet_simulation/follower.rs
+++ b/crates/testbed/src/fleet_simulation/follower.rs
@@ -2,16 +2,16 @@
 //! for versions. With two streams the first copy of an event counts; that merge is the simulation's own.
 
 use super::assumptions::*;
-use copperroute::calls::CallSettings;
-use copperroute::interface::Nanos;
-use copperroute_agreement::core::Agreement;
-use copperroute_agreement::faults::Faults;
-use copperroute_agreement::issue::{Ground, Issue};
-use copperroute_agreement::rules::RuleSet;
-use copperroute_agreement::terms::Terms;
+use copperroute_config_rollout::core::Agreement;
+use copperroute_config_rollout::faults::Faults;
+use copperroute_config_rollout::issue::{Ground, Issue};
+use copperroute_config_rollout::rules::RuleSet;
+use copperroute_config_rollout::terms::Terms;
 use copperroute_dispatcher::changes::{ChangeLog, ChangeLogSettings, Told};
 use copperroute_dispatcher::effects::Effect;
 use copperroute_protocol::changes::Change;
+use copperroute_routing::calls::CallSettings;
+use copperroute_routing::interface::Nanos;
 use serde_json::{Map, Value, json};
 use std::net::SocketAddr;
 
--- a/lab/src/fleet_simulation/measures.rs
+++ b/crates/testbed/src/fleet_simulation/measures.rs
@@ -5,7 +5,7 @@
 //! the dispatcher; or neither, and only the way of changes is to blame.
 
 use super::assumptions::*;
-use copperroute::interface::Nanos;
+use copperroute_routing::interface::Nanos;
 
 /// A span of time; one that still lasts ends at the end of time.
 #[derive(Debug, Clone, Copy)]
--- a/lab/src/fleet_simulation/members.rs
+++ b/crates/testbed/src/fleet_simulation/members.rs
@@ -4,8 +4,8 @@
 use super::follower::{Follower, News, Start};
 use super::source::Connection;
 use super::world::{Link, Occurrence, Payload, SWEEP_GROUPS, World};
-use copperroute::interface::{Nanos, mix};
 use copperroute_dispatcher::effects::{Effect, Peer};
+use copperroute_routing::interface::{Nanos, mix};
 
 impl World {
     pub(super) fn is_open(&self, connection: &Connection) -> bool {
--- a/lab/src/fleet_simulation/mod.rs
+++ b/crates/testbed/src/fleet_simulation/mod.rs
@@ -19,7 +19,7 @@
 
 use arrangement::Arrangement;
 use assumptions::{CUT, SWEEP};
-use copperroute::interface::Nanos;
+use copperroute_routing::interface::Nanos;
 use fault::Kind;
 use report::Row;
 use trial::Plan;
--- a/lab/src/fleet_simulation/network.rs
+++ b/crates/testbed/src/fleet_simulation/network.rs
@@ -2,8 +2,8 @@
 
 use super::assumptions::*;
 use super::topology::Place;
-use copperroute::chance::Chance;
-use copperroute::interface::Nanos;
+use copperroute_routing::chance::Chance;
+use copperroute_routing::interface::Nanos;
 
 #[derive(Debug)]
 pub struct Network {
--- a/lab/src/fleet_simulation/record.rs
+++ b/crates/testbed/src/fleet_simulation/record.rs
@@ -2,8 +2,8 @@
 
 use super::assumptions::{UNIX_MS, VERSION_AHEAD_MS};
 use super::follower::rules;
-use copperroute::interface::{Nanos, mix};
-use copperroute_agreement::issue::{Issue, written_digest};
+use copperroute_config_rollout::issue::{Issue, written_digest};
+use copperroute_routing::interface::{Nanos, mix};
 use serde_json::json;
 
 /// Versions in turn say so many pulls.
--- a/lab/src/fleet_simulation/source.rs
+++ b/crates/testbed/src/fleet_simulation/source.rs
@@ -2,7 +2,7 @@
 
 use super::assumptions::{FALLS_AT, RISES_AT, SECOND};
 use super::topology::Place;
-use copperroute::interface::Nanos;
+use copperroute_routing::interface::Nanos;
 use std::collections::VecDeque;
 
 /// One connection of one stream of one follower, through all its restarts.
--- a/lab/src/fleet_simulation/sources.rs
+++ b/crates/testbed/src/fleet_simulation/sources.rs
@@ -4,7 +4,7 @@
 use super::follower::Follower;
 use super::source::{Answer, Connection};
 use super::world::{Occurrence, Payload, World};
-use copperroute::interface::Nanos;
+use copperroute_routing::interface::Nanos;
 
 impl World {
     /// The last event that a source has.
--- a/lab/src/fleet_simulation/trial.rs
+++ b/crates/testbed/src/fleet_simulation/trial.rs
@@ -5,7 +5,7 @@
 use super::fault::Kind;
 use super::measures::{Over, quantile};
 use super::world::{Case, World};
-use copperroute::interface::Nanos;
+use copperroute_routing::interface::Nanos;
 
 /// Versions come so far apart where a run lasts minutes; the told pace where it lasts an hour.
 const VERSIONS_APART: Nanos = Nanos(10 * SECOND.0);
--- a/lab/src/fleet_simulation/world.rs
+++ b/crates/testbed/src/fleet_simulation/world.rs
@@ -10,9 +10,9 @@
 use super::record::Record;
 use super::source::{Connection, Source};
 use super::topology::{self, Place};
-use copperroute::chance::Chance;
-use copperroute::interface::{Nanos, mix};
 use copperroute_dispatcher::effects::Effect;
+use copperroute_routing::chance::Chance;
+use copperroute_routing::interface::{Nanos, mix};
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
--- a/lab/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,4 +1,4 @@
-//! `copperroute-lab`: plays failures and crowds of clients against real dispatchers on loopback.
+//! `copperroute-testbed`: plays failures and crowds of clients against real dispatchers on loopback.
 
 mod capacity;
 mod clients;
@@ -171,7 +171,7 @@
     },
     /// Lists the scenarios of a folder.
     List {
-        #[arg(default_value = "lab/scenarios")]
+        #[arg(default_value = "crates/testbed/scenarios")]
         folder: PathBuf,
     },
     /// Prints the schema of scenarios.
@@ -346,7 +346,7 @@
     match run(Arguments::parse().command) {
         Ok(()) => ExitCode::SUCCESS,
         Err((code, fault)) => {
-            eprintln!("copperroute-lab: {fault}");
+            eprintln!("copperroute-testbed: {fault}");
             ExitCode::from(code)
         }
     }
--- a/lab/src/many.rs
+++ b/crates/testbed/src/many.rs
@@ -1,9 +1,9 @@
 //! The decisions on calls of thousands of dispatchers, simulated: the same core as in the program, a list service that
 //! falls over, and the program's earlier back-off beside it.
 
-use copperroute::calls::{CallSettings, Calls};
-use copperroute::interface::Nanos;
-use copperroute::structures::random::Random;
+use copperroute_routing::calls::{CallSettings, Calls};
+use copperroute_routing::interface::Nanos;
+use copperroute_routing::structures::random::Random;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 
--- a/lab/src/many_rules.rs
+++ b/crates/testbed/src/many_rules.rs
@@ -1,14 +1,14 @@
 //! Thousands of dispatchers that agree on versions of rules, simulated: the same cores as in the program, for the
 //! agreement and for when the list service is called; streams that are lost by chance.
 
-use copperroute::calls::{CallSettings, Calls};
-use copperroute::interface::{ColdStart, Nanos, Settings, ZoneId};
-use copperroute::structures::random::Random;
-use copperroute_agreement::core::Agreement;
-use copperroute_agreement::faults::Faults;
-use copperroute_agreement::issue::{Ground, Issue, written_digest};
-use copperroute_agreement::rules::{Field, RuleSet};
-use copperroute_agreement::terms::Terms;
+use copperroute_config_rollout::core::Agreement;
+use copperroute_config_rollout::faults::Faults;
+use copperroute_config_rollout::issue::{Ground, Issue, written_digest};
+use copperroute_config_rollout::rules::{Field, RuleSet};
+use copperroute_config_rollout::terms::Terms;
+use copperroute_routing::calls::{CallSettings, Calls};
+use copperroute_routing::interface::{ColdStart, Nanos, Settings, ZoneId};
+use copperroute_routing::structures::random::Random;
 use serde_json::{Map, Value, json};
 use std::collections::VecDeque;
 
--- a/lab/src/nodes/mod.rs
+++ b/crates/testbed/src/nodes/mod.rs
@@ -7,7 +7,7 @@
 
 use crate::scenario::{ContentType, What};
 use crate::world::World;
-use copperroute::interface::stable_hash;
+use copperroute_routing::interface::stable_hash;
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
--- a/lab/src/slopes/growth.rs
+++ b/crates/testbed/src/slopes/growth.rs
@@ -108,7 +108,7 @@
 ) -> Result<(String, Vec<String>), String> {
     let (mut text, mut missed, mut number) = (String::new(), Vec::new(), 0_u8);
     let arguments: Vec<_> = std::env::args().skip(1).collect();
-    text += &format!("`copperroute-lab {}`\n", arguments.join(" "));
+    text += &format!("`copperroute-testbed {}`\n", arguments.join(" "));
     for per_s in &options.per_s {
         let mut rows: Vec<(usize, Vec<Needs>)> = Vec::new();
         for times in &options.times {
--- a/lab/src/slopes/load.rs
+++ b/crates/testbed/src/slopes/load.rs
@@ -123,7 +123,7 @@
     let timeout_ms = load.timeout.as_millis();
     let list = format!(
         "req={id:016x},timeout={timeout_ms},subject={:016x},block=0,family=1,need={:.1}",
-        copperroute::interface::mix(object),
+        copperroute_routing::interface::mix(object),
         load.told_kb
     );
     let tag = tag.to_string();
--- a/lab/src/slopes/mod.rs
+++ b/crates/testbed/src/slopes/mod.rs
@@ -120,14 +120,14 @@
     }
     let known = |name: &String| SLOPES.iter().find(|slope| slope.name == name);
     if let Some(unknown) = options.names.iter().find(|name| known(name).is_none()) {
-        return Err(format!("'{unknown}' is no slope; `copperroute-lab slopes list` prints them"));
+        return Err(format!("'{unknown}' is no slope; `copperroute-testbed slopes list` prints them"));
     }
     let named: Vec<_> = match options.names.is_empty() {
         true => SLOPES.iter().filter(|slope| slope.of_control).collect(),
         false => options.names.iter().filter_map(known).collect(),
     };
     let arguments: Vec<_> = std::env::args().skip(1).collect();
-    println!("`copperroute-lab {}`, seed {}\n", arguments.join(" "), options.seed);
+    println!("`copperroute-testbed {}`, seed {}\n", arguments.join(" "), options.seed);
     let mut runs = Runs { options, program: &program, out, net, begun: Instant::now(), number: 0 };
     for slope in named {
         let rows = runs.of(slope).await?;
--- a/lab/tests/capacity.rs
+++ b/crates/testbed/tests/capacity.rs
@@ -26,7 +26,7 @@
     change(&mut scenario);
     let file = folder.join(format!("{name}.json"));
     std::fs::write(&file, scenario.to_string()).expect("written");
-    let out = Command::new(env!("CARGO_BIN_EXE_copperroute-lab"))
+    let out = Command::new(env!("CARGO_BIN_EXE_copperroute-testbed"))
         .arg("capacity")
         .arg(&file)
         .arg("--out")
@@ -151,7 +151,7 @@
     let file = std::env::temp_dir().join(format!("copperroute-capacity-{}.json", std::process::id()));
     let bad = include_str!("../scenarios/capacity-small.json").replacen("\"seed\"", "\"sed\"", 1);
     std::fs::write(&file, bad).expect("written");
-    let out = Command::new(env!("CARGO_BIN_EXE_copperroute-lab")).arg("capacity").arg(&file).output();
+    let out = Command::new(env!("CARGO_BIN_EXE_copperroute-testbed")).arg("capacity").arg(&file).output();
     let out = out.expect("the lab starts");
     let text = String::from_utf8_lossy(&out.stderr).to_string();
     assert!(out.status.code() == Some(2) && text.contains("unknown field `sed`"), "{text}");
--- a/lab/tests/fleet.rs
+++ b/crates/testbed/tests/fleet.rs
@@ -13,7 +13,7 @@
     change(&mut scenario);
     let file = folder.join("played.json");
     std::fs::write(&file, scenario.to_string()).expect("written");
-    let out = Command::new(env!("CARGO_BIN_EXE_copperroute-lab"))
+    let out = Command::new(env!("CARGO_BIN_EXE_copperroute-testbed"))
         .arg("run")
         .arg(&file)
         .arg("--out")
--- a/lab/tests/short.rs
+++ b/crates/testbed/tests/short.rs
@@ -4,14 +4,14 @@
 
 fn lab(words: &[&str]) -> (Option<i32>, String) {
     let out =
-        Command::new(env!("CARGO_BIN_EXE_copperroute-lab")).args(words).output().expect("the lab starts");
+        Command::new(env!("CARGO_BIN_EXE_copperroute-testbed")).args(words).output().expect("the lab starts");
     let text = [out.stdout, out.stderr].concat();
     (out.status.code(), String::from_utf8_lossy(&text).trim_end().to_string())
 }
 
 #[test]
 fn a_short_trunk_outage_keeps_all_rules() {
-    let out = std::env::temp_dir().join(format!("copperroute-lab-{}", std::process::id()));
+    let out = std::env::temp_dir().join(format!("copperroute-testbed-{}", std::process::id()));
     let folder = out.to_string_lossy().to_string();
     let (code, text) = lab(&["run", "scenarios/trunk-outage-short.json", "--out", &folder, "--net", "76"]);
     assert_eq!(code, Some(0), "{text}");
@@ -22,7 +22,7 @@
 
 #[test]
 fn a_scenario_that_cannot_be_used_is_refused_with_its_place() {
-    let file = std::env::temp_dir().join(format!("copperroute-lab-{}.json", std::process::id()));
+    let file = std::env::temp_dir().join(format!("copperroute-testbed-{}.json", std::process::id()));
     let good = include_str!("../scenarios/trunk-outage-short.json");
     let cases = [
         (r#""rate": 40"#, r#""rate": 0"#, "clients.rate: 0; expected 0.1 to 20000"),
