--- a/crates/config-rollout/benches/switch.rs
+++ b/crates/config-rollout/benches/switch.rs
@@ -20,15 +20,15 @@
 struct Nobody;
 
 impl Outbox for Nobody {
-    fn pull(&mut self, _: DlId, _: &Pull) {}
-    fn call_off(&mut self, _: DlId, _: u32) {}
-    fn throttle(&mut self, _: DlId, _: Option<Nanos>) {}
-    fn abandon(&mut self, _: DlId) {}
+    fn pull(&mut self, _: RequestId, _: &Pull) {}
+    fn call_off(&mut self, _: RequestId, _: u32) {}
+    fn throttle(&mut self, _: RequestId, _: Option<Nanos>) {}
+    fn abandon(&mut self, _: RequestId) {}
     fn arm(&mut self, _: Nanos, _: u64) {}
     fn probe(&mut self, _node: NodeId) {}
     fn follow(&mut self) {}
     fn note(&mut self, _: &str) {}
-    fn release(&mut self, _: DlId) {}
+    fn release(&mut self, _: RequestId) {}
     fn release_object(&mut self, _: ObjectId) {}
 }
 
@@ -119,12 +119,12 @@
         started: Nanos::ZERO,
     };
     module.nodes_listed(Nanos(S), &[entry(0, 0), entry(1, 0), entry(2, 1), entry(3, 2)], &mut Nobody);
-    for dl in 0..in_hand {
-        let hash = mix(u64::from(dl));
-        let download = Download {
-            dl: DlId(dl),
-            content_type: TypeId(dl % TYPES as u32),
-            object: ObjectId(dl),
+    for request_id in 0..in_hand {
+        let hash = mix(u64::from(request_id));
+        let routing_request = RoutingRequest {
+            request_id: RequestId(request_id),
+            content_type: TypeId(request_id % TYPES as u32),
+            object: ObjectId(request_id),
             copy_hash: hash,
             object_hash: hash,
             group: None,
@@ -134,7 +134,7 @@
             client: 0,
             body_hash: 0,
         };
-        module.download(Nanos(S), &download, &mut Nobody);
+        module.request_arrived(Nanos(S), &routing_request, &mut Nobody);
     }
     let tight = Settings { max_pulls: 2, ..settings() };
     bencher.bench_local(|| module.settings_changed(black_box(&tight)));
--- a/crates/dispatcher/src/clients.rs
+++ b/crates/dispatcher/src/clients.rs
@@ -3,7 +3,7 @@
 use crate::effects::{Behind, Effect, Peer};
 use crate::lingering::Lingering;
 use copperroute_protocol::clients::{Answer, Decoder, encode};
-use copperroute_routing::interface::{DlId, Nanos, stable_hash};
+use copperroute_routing::interface::{Nanos, RequestId, stable_hash};
 use std::collections::HashMap;
 use std::net::IpAddr;
 
@@ -29,7 +29,7 @@
     /// Decodes what it sends.
     pub decoder: Decoder,
     /// Open downloads by tag.
-    pub open: HashMap<u64, DlId>,
+    pub open: HashMap<u64, RequestId>,
     /// Bytes given to the connection, and those that have left.
     queued: u64,
     written: u64,
@@ -202,23 +202,23 @@
 
     /// Lets go of a client; returns what was open on it, and what becomes of what it still sends: of one that can't be
     /// read no request is.
-    fn forget(&mut self, number: u32) -> Option<(Vec<DlId>, Behind)> {
+    fn forget(&mut self, number: u32) -> Option<(Vec<RequestId>, Behind)> {
         let client = self.by_number.remove(&number)?;
         self.unsent -= client.unsent();
         let mut open: Vec<_> = client.open.into_values().collect();
-        open.sort_by_key(|dl| dl.0);
+        open.sort_by_key(|request_id| request_id.0);
         Some((open, if client.unreadable { Behind::Read } else { Behind::Unread }))
     }
 
     /// A client's connection ends at once; returns what was open on it.
-    pub fn remove(&mut self, number: u32, effects: &mut Vec<Effect>) -> Vec<DlId> {
+    pub fn remove(&mut self, number: u32, effects: &mut Vec<Effect>) -> Vec<RequestId> {
         self.lingering.ended(number);
         effects.push(Effect::Close(Peer::Client(number)));
         self.forget(number).map(|(open, _)| open).unwrap_or_default()
     }
 
     /// A client's connection ends by a lingering close; returns what was open on it.
-    pub fn shut(&mut self, number: u32, now: Nanos, effects: &mut Vec<Effect>) -> Vec<DlId> {
+    pub fn shut(&mut self, number: u32, now: Nanos, effects: &mut Vec<Effect>) -> Vec<RequestId> {
         let Some((open, behind)) = self.forget(number) else { return Vec::new() };
         effects.push(Effect::Shut(Peer::Client(number), behind));
         let instead = self.lingering.begin(now, number);
--- a/crates/dispatcher/src/desk/list.rs
+++ b/crates/dispatcher/src/desk/list.rs
@@ -76,7 +76,7 @@
     pub(super) fn take_back_of(&mut self, meant: impl Fn(&PullRef, &Held, &HeldPull) -> bool) {
         let held = &self.held;
         let meant = |pull: &PullRef| {
-            let of = held.get(pull.dl.0);
+            let of = held.get(pull.request_id.0);
             let out = of.and_then(|of| of.pulls.get(pull.number as usize).map(|out| (of, out)));
             out.is_some_and(|(of, out)| meant(pull, of, out))
         };
--- a/crates/dispatcher/src/desk/mod.rs
+++ b/crates/dispatcher/src/desk/mod.rs
@@ -12,7 +12,8 @@
 use copperroute_protocol::hex::Hex;
 use copperroute_protocol::nodes::{self, Fetch};
 use copperroute_routing::interface::{
-    DlId, Download, Nanos, NodeId, ObjectId, Outbox, Outcome, Pull, PullEnd, Readiness, Remark, Report,
+    Nanos, NodeId, ObjectId, Outbox, Outcome, Pull, PullEnd, Readiness, Remark, Report, RequestId,
+    RoutingRequest,
 };
 use copperroute_routing::state::Slots;
 use copperroute_routing::structures::ids::Ids;
@@ -62,7 +63,7 @@
     request: Request,
     expires: Nanos,
     /// As the module was told of it; nothing until then.
-    told: Option<Download>,
+    told: Option<RoutingRequest>,
     /// It is answered with a copy, which has a tag.
     of_copies: bool,
     /// It may not simply run again.
@@ -74,12 +75,12 @@
 
 impl Held {
     /// The copy that an answer brings, for those who keep them.
-    fn offer(&self, answer: &nodes::Answer) -> Option<(Download, Offered)> {
-        let (download, (etag, made_ms)) = (self.told?, answer.copy.filter(|_| !answer.current)?);
-        let key = copies::key(download.content_type.0, self.request.object, self.request.part)?;
+    fn offer(&self, answer: &nodes::Answer) -> Option<(RoutingRequest, Offered)> {
+        let (routing_request, (etag, made_ms)) = (self.told?, answer.copy.filter(|_| !answer.current)?);
+        let key = copies::key(routing_request.content_type.0, self.request.object, self.request.part)?;
         let group = self.request.group.and_then(|group| u8::try_from(group).ok());
         let facts = Facts { etag: etag.bytes(), made_ms, group };
-        Some((download, Offered { key, facts, body: answer.body.as_slice().into() }))
+        Some((routing_request, Offered { key, facts, body: answer.body.as_slice().into() }))
     }
 }
 
@@ -92,7 +93,7 @@
     /// Client connections.
     pub clients: Clients,
     nodes: Nodes,
-    dls: Ids<u64>,
+    request_ids: Ids<u64>,
     held: Slots<Held>,
     serial: u64,
     owed: usize,
@@ -103,7 +104,7 @@
     /// Copies that came are offered to be kept.
     pub keeps_copies: bool,
     /// Those that came since they were last taken, with the downloads that they came for.
-    pub offered: Vec<(Download, Offered)>,
+    pub offered: Vec<(RoutingRequest, Offered)>,
     /// The latest Unix millisecond at which a copy was made that answers told of since it was last taken.
     pub latest_made_ms: Option<u64>,
     /// Ends of pulls that the module is to hear of.
@@ -122,7 +123,7 @@
             unread: Nanos::ZERO,
             clients,
             nodes: Nodes::new(connections, limits.sockets as usize / NODES_PART, seed),
-            dls: Ids::default(),
+            request_ids: Ids::default(),
             held: Slots::default(),
             serial: 0,
             owed: 0,
@@ -165,44 +166,44 @@
         request: Request,
         of_copies: bool,
         once: bool,
-    ) -> (DlId, ObjectId, Nanos) {
+    ) -> (RequestId, ObjectId, Nanos) {
         self.serial += 1;
-        let dl = DlId(self.dls.open(self.serial));
+        let request_id = RequestId(self.request_ids.open(self.serial));
         let object = ObjectId(self.objects.open((request.object, request.part)));
         // Its client waits since it asked.
         let waits = Nanos(request.timeout_ms.saturating_mul(1_000_000)).since(self.unread);
         let expires = self.now.after(waits);
-        self.effects.push(Effect::Arm(expires, Due::Expiry(dl, self.serial)));
+        self.effects.push(Effect::Arm(expires, Due::Expiry(request_id, self.serial)));
         self.asked.insert(request.id);
         let (id, of, part) = (request.id, &request.content_type, request.part);
         let (named, ms) = (request.object, request.timeout_ms);
         log::debug!(target: TRACE, "{id} taken from client {client}: {of} {named} part {part} in {ms} ms");
         if let Some(client) = self.clients.get_mut(client) {
-            client.open.insert(tag, dl);
+            client.open.insert(tag, request_id);
         }
         let (serial, owed, pulls) = (self.serial, true, Vec::new());
         self.held.put(
-            dl.0,
+            request_id.0,
             Held { serial, client, tag, request, expires, told: None, of_copies, once, owed, pulls },
         );
         self.owed += 1;
-        (dl, object, expires)
+        (request_id, object, expires)
     }
 
     /// The serial of a download in hand.
-    pub fn serial_of(&self, dl: DlId) -> u64 {
-        self.held.get(dl.0).map_or(0, |held| held.serial)
+    pub fn serial_of(&self, request_id: RequestId) -> u64 {
+        self.held.get(request_id.0).map_or(0, |held| held.serial)
     }
 
     /// Object, part and the client's own copy that a download in hand names.
-    pub fn asked_for(&self, dl: DlId) -> Option<(Hex, u64, Option<Hex>)> {
-        self.held.get(dl.0).map(|held| (held.request.object, held.request.part, held.request.held))
+    pub fn asked_for(&self, request_id: RequestId) -> Option<(Hex, u64, Option<Hex>)> {
+        self.held.get(request_id.0).map(|held| (held.request.object, held.request.part, held.request.held))
     }
 
     /// The module is told of a download in these words.
-    pub fn tell(&mut self, download: &Download) {
-        if let Some(held) = self.held.get_mut(download.dl.0) {
-            held.told = Some(*download);
+    pub fn tell(&mut self, routing_request: &RoutingRequest) {
+        if let Some(held) = self.held.get_mut(routing_request.request_id.0) {
+            held.told = Some(*routing_request);
         }
     }
 
@@ -224,14 +225,14 @@
     }
 
     /// A client's connection ends at once; returns what was open on it.
-    pub fn remove_client(&mut self, client: u32) -> Vec<DlId> {
+    pub fn remove_client(&mut self, client: u32) -> Vec<RequestId> {
         let open = self.clients.remove(client, &mut self.effects);
         self.balance();
         open
     }
 
     /// A client's connection ends by a lingering close; returns what was open on it.
-    pub fn shut_client(&mut self, client: u32) -> Vec<DlId> {
+    pub fn shut_client(&mut self, client: u32) -> Vec<RequestId> {
         let open = self.clients.shut(client, self.now, &mut self.effects);
         self.balance();
         open
@@ -277,8 +278,8 @@
     }
 
     /// Notes that the answer of a download is owed no more; tells who asked for it, if it was owed.
-    fn settle(&mut self, dl: DlId) -> Option<(u32, u64)> {
-        let held = self.held.get_mut(dl.0).filter(|held| held.owed)?;
+    fn settle(&mut self, request_id: RequestId) -> Option<(u32, u64)> {
+        let held = self.held.get_mut(request_id.0).filter(|held| held.owed)?;
         held.owed = false;
         self.owed -= 1;
         if let Some(client) = self.clients.get_mut(held.client) {
@@ -288,30 +289,31 @@
     }
 
     /// The final answer of a download, once.
-    pub fn answer(&mut self, dl: DlId, answer: Answer<'_>) {
-        if let Some(held) = self.held.get(dl.0).filter(|held| held.owed) {
+    pub fn answer(&mut self, request_id: RequestId, answer: Answer<'_>) {
+        if let Some(held) = self.held.get(request_id.0).filter(|held| held.owed) {
             log::debug!(target: TRACE, "{} answered {}", held.request.id, answer.word());
         }
-        if let Some((client, tag)) = self.settle(dl) {
+        if let Some((client, tag)) = self.settle(request_id) {
             self.write(client, tag, answer);
             self.shut_if_answered(client);
         }
     }
 
     /// Nobody waits for this download any more; tells whether anybody did.
-    pub fn forsake(&mut self, dl: DlId) -> bool {
-        self.settle(dl).is_some()
+    pub fn forsake(&mut self, request_id: RequestId) -> bool {
+        self.settle(request_id).is_some()
     }
 
     /// Whether this still is the download with that serial, and its answer is owed.
-    pub fn is_owed(&self, dl: DlId, serial: u64) -> bool {
-        self.held.get(dl.0).is_some_and(|held| held.owed && held.serial == serial)
+    pub fn is_owed(&self, request_id: RequestId, serial: u64) -> bool {
+        self.held.get(request_id.0).is_some_and(|held| held.owed && held.serial == serial)
     }
 
     /// Downloads whose answer is owed.
-    pub fn all_owed(&self) -> Vec<(DlId, u64)> {
+    pub fn all_owed(&self) -> Vec<(RequestId, u64)> {
         let owed = self.held.iter().filter(|held| held.owed);
-        owed.filter_map(|held| self.dls.held(&held.serial).map(|slot| (DlId(slot), held.serial))).collect()
+        owed.filter_map(|held| self.request_ids.held(&held.serial).map(|slot| (RequestId(slot), held.serial)))
+            .collect()
     }
 
     /// Pulls and fills that are out at a node.
@@ -326,16 +328,16 @@
     }
 
     /// The time of a download is over: what is out for it ends unanswered.
-    pub fn expire(&mut self, dl: DlId) {
-        let pulls = self.held.get(dl.0).map_or(0, |held| held.pulls.len());
+    pub fn expire(&mut self, request_id: RequestId) {
+        let pulls = self.held.get(request_id.0).map_or(0, |held| held.pulls.len());
         for number in 0..pulls as u32 {
-            self.give_up(PullRef { dl, number }, Outcome::TimedOut);
+            self.give_up(PullRef { request_id, number }, Outcome::TimedOut);
         }
     }
 
     /// What was not sent for a download that nobody waits for never will be, also where pulls are not called off.
-    pub fn drop_unsent(&mut self, dl: DlId) {
-        self.take_back_of(|pull, _, _| pull.dl == dl);
+    pub fn drop_unsent(&mut self, request_id: RequestId) {
+        self.take_back_of(|pull, _, _| pull.request_id == request_id);
     }
 
     /// Whether a pull of the download with that serial is still out.
@@ -345,7 +347,7 @@
 
     /// A pull that is still out, of the download with that serial.
     fn out(&self, pull: PullRef, serial: u64) -> Option<&HeldPull> {
-        let held = self.held.get(pull.dl.0).filter(|held| held.serial == serial)?;
+        let held = self.held.get(pull.request_id.0).filter(|held| held.serial == serial)?;
         held.pulls.get(pull.number as usize).filter(|out| out.out)
     }
 
--- a/crates/dispatcher/src/desk/outbox.rs
+++ b/crates/dispatcher/src/desk/outbox.rs
@@ -3,9 +3,9 @@
 use super::*;
 
 impl Outbox for Desk {
-    fn pull(&mut self, dl: DlId, pull: &Pull) {
-        let Some(held) = self.held.get_mut(dl.0) else { return };
-        let place = PullRef { dl, number: held.pulls.len() as u32 };
+    fn pull(&mut self, request_id: RequestId, pull: &Pull) {
+        let Some(held) = self.held.get_mut(request_id.0) else { return };
+        let place = PullRef { request_id, number: held.pulls.len() as u32 };
         let source = (pull.source != pull.node).then(|| self.nodes.id(pull.source).to_string());
         let id = held.request.id;
         let (node, rank) = (self.nodes.id(pull.node), pull.rank);
@@ -24,16 +24,16 @@
         }
     }
 
-    fn call_off(&mut self, dl: DlId, number: u32) {
-        self.give_up(PullRef { dl, number }, Outcome::CalledOff);
+    fn call_off(&mut self, request_id: RequestId, number: u32) {
+        self.give_up(PullRef { request_id, number }, Outcome::CalledOff);
     }
 
-    fn throttle(&mut self, dl: DlId, come_back: Option<Nanos>) {
-        self.answer(dl, Answer::Throttled(come_back.map(|span| span.0.div_ceil(1_000_000))));
+    fn throttle(&mut self, request_id: RequestId, come_back: Option<Nanos>) {
+        self.answer(request_id, Answer::Throttled(come_back.map(|span| span.0.div_ceil(1_000_000))));
     }
 
-    fn abandon(&mut self, dl: DlId) {
-        self.answer(dl, Answer::Abandoned);
+    fn abandon(&mut self, request_id: RequestId) {
+        self.answer(request_id, Answer::Abandoned);
     }
 
     fn arm(&mut self, span: Nanos, token: u64) {
@@ -50,12 +50,12 @@
         log::info!("{line}");
     }
 
-    fn release(&mut self, dl: DlId) {
-        if let Some(held) = self.held.get(dl.0) {
+    fn release(&mut self, request_id: RequestId) {
+        if let Some(held) = self.held.get(request_id.0) {
             self.asked.remove(&held.request.id);
         }
-        self.held.clear(dl.0);
-        self.dls.release(dl.0);
+        self.held.clear(request_id.0);
+        self.request_ids.release(request_id.0);
     }
 
     fn release_object(&mut self, object: ObjectId) {
--- a/crates/dispatcher/src/desk/pulls.rs
+++ b/crates/dispatcher/src/desk/pulls.rs
@@ -5,7 +5,7 @@
 impl Desk {
     /// Ends a pull that is out, for the module to hear.
     pub(super) fn end(&mut self, pull: PullRef, outcome: Outcome, told: Option<&nodes::Answer>) {
-        let Some(held) = self.held.get_mut(pull.dl.0) else { return };
+        let Some(held) = self.held.get_mut(pull.request_id.0) else { return };
         let Some(ended) = held.pulls.get_mut(pull.number as usize).filter(|ended| ended.out) else { return };
         ended.out = false;
         let took = self.now.since(ended.at);
@@ -25,7 +25,7 @@
         if let Some(told) = told.filter(|_| closed) {
             let short = self.is_short_for(client);
             self.answer(
-                pull.dl,
+                pull.request_id,
                 match told.current {
                     true => Answer::Current,
                     // It may have run, so nothing is promised; others are served from what memory is left.
@@ -42,7 +42,7 @@
 
     /// Gives up a pull that is out. One that was not sent when its time was up never ran.
     pub(super) fn give_up(&mut self, pull: PullRef, outcome: Outcome) {
-        let Some(held) = self.held.get(pull.dl.0) else { return };
+        let Some(held) = self.held.get(pull.request_id.0) else { return };
         let Some(out) = held.pulls.get(pull.number as usize).filter(|out| out.out) else { return };
         let id = held.request.id;
         let connection = out.connection;
@@ -59,7 +59,7 @@
     pub(super) fn hand_over(&mut self, connection: u32) {
         let (held, now) = (&self.held, self.now);
         let late = |pull: &PullRef| {
-            let of = held.get(pull.dl.0);
+            let of = held.get(pull.request_id.0);
             let out = of.and_then(|held| held.pulls.get(pull.number as usize).map(|out| (held, out)));
             out.is_some_and(|(held, out)| {
                 out.pull.send_by.is_some_and(|by| by < now) || out.until(held).since(now) < LEAST_LEFT
@@ -69,7 +69,7 @@
         late.into_iter().for_each(|pull| self.end(pull, Outcome::NotSent, None));
         let held = &self.held;
         let fetch = |pull: PullRef| {
-            let held = held.get(pull.dl.0)?;
+            let held = held.get(pull.request_id.0)?;
             let out = held.pulls.get(pull.number as usize)?;
             let (request, order) = (&held.request, &out.pull);
             let fetch = Fetch {
@@ -133,7 +133,7 @@
     /// Whether an answer can be one to this pull: a copy comes with its tag and time, and only who holds one
     /// hears that it still is the one. Where not, nothing on that connection can be trusted.
     pub(super) fn is_sound(&self, pull: PullRef, answer: &nodes::Answer) -> bool {
-        let Some(held) = self.held.get(pull.dl.0) else { return true };
+        let Some(held) = self.held.get(pull.request_id.0) else { return true };
         let copy = answer.copy.is_some() || !held.of_copies;
         let current = held.request.held.is_some() && answer.body.is_empty();
         answer.outcome != Outcome::Fulfilled || (copy && (current || !answer.current))
--- a/crates/dispatcher/src/effects.rs
+++ b/crates/dispatcher/src/effects.rs
@@ -4,7 +4,7 @@
 use crate::attempt::PullRef;
 use crate::config::Config;
 use copperroute_cache_store::record::{Facts, Key};
-use copperroute_routing::interface::{DlId, Nanos};
+use copperroute_routing::interface::{Nanos, RequestId};
 use std::net::{IpAddr, SocketAddr};
 use std::sync::Arc;
 
@@ -25,13 +25,13 @@
     /// The module's own, with its token.
     Module(u64),
     /// A download expires.
-    Expiry(DlId, u64),
+    Expiry(RequestId, u64),
     /// A pull of a download may be sent no more, by the download's serial.
     SendBy(PullRef, u64),
     /// A connection to a node should have come up.
     Connect(u32),
     /// A copy should have been read from disk.
-    Disk(DlId, u64),
+    Disk(RequestId, u64),
     /// The change log is to be connected to.
     ChangeLog,
     /// Connections and phases are looked after.
--- a/crates/dispatcher/src/nodes/pulls.rs
+++ b/crates/dispatcher/src/nodes/pulls.rs
@@ -18,7 +18,7 @@
             back.extend(connection.retract(*number, &meant, effects));
             freed.extend((back.len() > before).then_some(*number));
         }
-        back.sort_by_key(|pull| (pull.dl.0, pull.number));
+        back.sort_by_key(|pull| (pull.request_id.0, pull.number));
         freed.sort();
         (back, freed)
     }
--- a/crates/dispatcher/src/reducer/clients.rs
+++ b/crates/dispatcher/src/reducer/clients.rs
@@ -68,7 +68,7 @@
                 {
                     self.desk.write(number, tag, Answer::Throttled(None));
                 }
-                Message::Request(_, request) => self.download(now, number, tag, *request),
+                Message::Request(_, request) => self.request_arrived(now, number, tag, *request),
                 Message::Unusable(_, why) => {
                     self.complaints.warn(now, format_args!("client {number}: {why}"));
                     self.desk.write(number, tag, Answer::Abandoned);
@@ -100,7 +100,7 @@
         }
     }
 
-    pub(super) fn download(&mut self, now: Nanos, client: u32, tag: u64, mut request: Request) {
+    pub(super) fn request_arrived(&mut self, now: Nanos, client: u32, tag: u64, mut request: Request) {
         let id = stable_hash(request.id.as_str().as_bytes());
         let content_type = match (self.conduct.judge(now, id), self.usable(&request)) {
             (Verdict::Take, Ok(content_type)) => content_type,
@@ -123,9 +123,9 @@
         let (repeat, size_kb) = (request.repeat, request.size_kb);
         let body_hash = if request.body.is_empty() { 0 } else { stable_hash(&request.body) };
         let from = self.desk.clients.from(client);
-        let (dl, object, expires) = self.desk.open(client, tag, request, of_copies, once);
-        let download = Download {
-            dl,
+        let (request_id, object, expires) = self.desk.open(client, tag, request, of_copies, once);
+        let routing_request = RoutingRequest {
+            request_id,
             content_type: TypeId(content_type),
             object,
             copy_hash: mix(object_hash.wrapping_add(part)),
@@ -137,101 +137,112 @@
             client: from,
             body_hash,
         };
-        if let Some(own) = self.own_copy(now, &download, dl) {
-            return self.serve(now, &download, own);
+        if let Some(own) = self.own_copy(now, &routing_request, request_id) {
+            return self.serve(now, &routing_request, own);
         }
-        if let Some(key) = self.asks_disk(&download) {
-            let serial = self.desk.serial_of(dl);
-            self.reading.insert(dl.0, Reading { serial, download, key });
-            self.desk.effects.push(Effect::ReadCopy(key, ticket(dl, serial)));
-            return self.desk.effects.push(Effect::Arm(now.after(DISK_PATIENCE), Due::Disk(dl, serial)));
+        if let Some(key) = self.asks_disk(&routing_request) {
+            let serial = self.desk.serial_of(request_id);
+            self.reading.insert(request_id.0, Reading { serial, routing_request, key });
+            self.desk.effects.push(Effect::ReadCopy(key, ticket(request_id, serial)));
+            return self
+                .desk
+                .effects
+                .push(Effect::Arm(now.after(DISK_PATIENCE), Due::Disk(request_id, serial)));
         }
-        self.desk.tell(&download);
-        self.module.download(now, &download, &mut self.desk);
+        self.desk.tell(&routing_request);
+        self.module.request_arrived(now, &routing_request, &mut self.desk);
     }
 
     /// Answers a download from an own copy.
-    pub(super) fn serve(&mut self, now: Nanos, download: &Download, own: Own) {
-        self.module.served_here(now, download, &mut self.desk);
+    pub(super) fn serve(&mut self, now: Nanos, routing_request: &RoutingRequest, own: Own) {
+        self.module.served_here(now, routing_request, &mut self.desk);
         match own {
-            Own::Bytes(body) => self.desk.answer(download.dl, Answer::Fulfilled(&body)),
-            Own::Current => self.desk.answer(download.dl, Answer::Current),
+            Own::Bytes(body) => self.desk.answer(routing_request.request_id, Answer::Fulfilled(&body)),
+            Own::Current => self.desk.answer(routing_request.request_id, Answer::Current),
         }
-        self.desk.release(download.dl);
+        self.desk.release(routing_request.request_id);
     }
 
     /// The key of a copy that the disk is to be asked for.
-    pub(super) fn asks_disk(&self, download: &Download) -> Option<Key> {
+    pub(super) fn asks_disk(&self, routing_request: &RoutingRequest) -> Option<Key> {
         let copies = self.copies.as_ref()?;
-        let content_type = self.settings.content_types.get(download.content_type.0 as usize)?;
+        let content_type = self.settings.content_types.get(routing_request.content_type.0 as usize)?;
         // How old they are after a restart no wall clock can tell by itself.
         if content_type.fresh_for.is_some() && !self.outside.is_answered() {
             return None;
         }
-        let (object, part, _) = self.desk.asked_for(download.dl)?;
-        copies::key(download.content_type.0, object, part).filter(|key| copies.asks_disk(key))
+        let (object, part, _) = self.desk.asked_for(routing_request.request_id)?;
+        copies::key(routing_request.content_type.0, object, part).filter(|key| copies.asks_disk(key))
     }
 
     /// The disk has answered: the download is served, or goes on as if there were no disk.
     pub(super) fn copy_read(&mut self, now: Nanos, at: u64, copy: Option<(Facts, &[u8])>) {
-        let dl = DlId((at >> 32) as u32);
-        let asked = self.reading.get(&dl.0).filter(|reading| ticket(dl, reading.serial) == at);
-        let (Some(Reading { download, key, .. }), Some(copies)) = (asked, &mut self.copies) else { return };
-        let target = self.settings.content_types[download.content_type.0 as usize].target_time;
-        let held = self.desk.asked_for(dl).and_then(|asked| asked.2);
+        let request_id = RequestId((at >> 32) as u32);
+        let asked =
+            self.reading.get(&request_id.0).filter(|reading| ticket(request_id, reading.serial) == at);
+        let (Some(Reading { routing_request, key, .. }), Some(copies)) = (asked, &mut self.copies) else {
+            return;
+        };
+        let target = self.settings.content_types[routing_request.content_type.0 as usize].target_time;
+        let held = self.desk.asked_for(request_id).and_then(|asked| asked.2);
         if let Some((facts, _)) = copy {
             self.outside.kept_copy_heard(now, facts.made_ms);
         }
         let own = copies.read([now, target], self.outside.latest_ms(now), key, held, copy);
-        let Some(own) = own else { return self.go_on(now, dl) };
-        let (download, key) = (*download, *key);
-        self.reading.remove(&dl.0);
-        if let (Some((facts, body)), Some((rate, hops))) = (copy, self.module.known(&download)) {
+        let Some(own) = own else { return self.go_on(now, request_id) };
+        let (routing_request, key) = (*routing_request, *key);
+        self.reading.remove(&request_id.0);
+        if let (Some((facts, body)), Some((rate, hops))) = (copy, self.module.known(&routing_request)) {
             let offered = Offered { key, facts, body: body.into() };
             if let Some(copies) = &mut self.copies {
                 copies.offer(offered, rate, hops);
             }
         }
-        self.serve(now, &download, own);
+        self.serve(now, &routing_request, own);
     }
 
     /// A download goes on without the disk.
-    pub(super) fn go_on(&mut self, now: Nanos, dl: DlId) {
-        let Some(Reading { download, .. }) = self.reading.remove(&dl.0) else { return };
-        self.desk.tell(&download);
-        self.module.download(now, &download, &mut self.desk);
+    pub(super) fn go_on(&mut self, now: Nanos, request_id: RequestId) {
+        let Some(Reading { routing_request, .. }) = self.reading.remove(&request_id.0) else { return };
+        self.desk.tell(&routing_request);
+        self.module.request_arrived(now, &routing_request, &mut self.desk);
     }
 
     /// All downloads for which the disk was asked go on without it.
     pub(super) fn go_on_without_disk(&mut self, now: Nanos) {
         let mut waiting: Vec<_> = self.reading.keys().copied().collect();
         waiting.sort();
-        waiting.into_iter().for_each(|dl| self.go_on(now, DlId(dl)));
+        waiting.into_iter().for_each(|request_id| self.go_on(now, RequestId(request_id)));
     }
 
     /// What a download is served from here with, if anything.
-    pub(super) fn own_copy(&mut self, now: Nanos, download: &Download, dl: DlId) -> Option<Own> {
+    pub(super) fn own_copy(
+        &mut self,
+        now: Nanos,
+        routing_request: &RoutingRequest,
+        request_id: RequestId,
+    ) -> Option<Own> {
         let copies = self.copies.as_mut()?;
-        let (object, part, held) = self.desk.asked_for(dl)?;
-        let key = copies::key(download.content_type.0, object, part)?;
-        let target = self.settings.content_types[download.content_type.0 as usize].target_time;
+        let (object, part, held) = self.desk.asked_for(request_id)?;
+        let key = copies::key(routing_request.content_type.0, object, part)?;
+        let target = self.settings.content_types[routing_request.content_type.0 as usize].target_time;
         copies.serve(now, self.outside.latest_ms(now), &key, held, target)
     }
 
-    pub(super) fn forsake(&mut self, now: Nanos, dl: DlId) {
-        if self.desk.forsake(dl) {
-            if self.reading.remove(&dl.0).is_some() {
-                return self.desk.release(dl);
+    pub(super) fn forsake(&mut self, now: Nanos, request_id: RequestId) {
+        if self.desk.forsake(request_id) {
+            if self.reading.remove(&request_id.0).is_some() {
+                return self.desk.release(request_id);
             }
-            self.module.client_gone(now, dl, &mut self.desk);
+            self.module.client_gone(now, request_id, &mut self.desk);
             // Where pulls are not called off, what waits to be sent must not be sent for who has left.
-            self.desk.drop_unsent(dl);
+            self.desk.drop_unsent(request_id);
             self.hand_on_ends(now);
         }
     }
 
     /// The client's time is up: the module hears that its attempts ended unanswered, and answers.
-    pub(super) fn expire(&mut self, now: Nanos, request: DlId, serial: u64) {
+    pub(super) fn expire(&mut self, now: Nanos, request: RequestId, serial: u64) {
         if !self.desk.is_owed(request, serial) {
             return self.expire_forsaken(now, request, serial);
         }
@@ -250,7 +261,7 @@
     }
 
     /// Where attempts are not cancelled, those for a client that has gone end by its deadline at the latest.
-    fn expire_forsaken(&mut self, now: Nanos, request: DlId, serial: u64) {
+    fn expire_forsaken(&mut self, now: Nanos, request: RequestId, serial: u64) {
         if self.desk.serial_of(request) == serial {
             self.desk.expire(request);
             self.hand_on_ends(now);
@@ -259,12 +270,12 @@
 
     /// A client's connection has ended, or ends at once.
     pub(super) fn client_closed(&mut self, now: Nanos, number: u32) {
-        self.desk.remove_client(number).into_iter().for_each(|dl| self.forsake(now, dl));
+        self.desk.remove_client(number).into_iter().for_each(|request_id| self.forsake(now, request_id));
     }
 
     /// A client's connection is to end in order.
     pub(super) fn client_shut(&mut self, now: Nanos, number: u32) {
-        self.desk.shut_client(number).into_iter().for_each(|dl| self.forsake(now, dl));
+        self.desk.shut_client(number).into_iter().for_each(|request_id| self.forsake(now, request_id));
     }
 
     /// A client sends no more. Most have left, so nothing more is sent for them; one that still reads is told at once.
@@ -284,14 +295,14 @@
         let open = self.desk.clients.get_mut(number).map(|client| client.open.clone()).unwrap_or_default();
         let mut open: Vec<_> = open.into_iter().collect();
         open.sort_by_key(|(tag, _)| *tag);
-        for (tag, dl) in open {
-            self.forsake(now, dl);
+        for (tag, request_id) in open {
+            self.forsake(now, request_id);
             self.desk.write(number, tag, Answer::Abandoned);
         }
     }
 }
 
 /// What the disk is asked under: the download's slot, and enough of its serial to tell it from the next one there.
-fn ticket(dl: DlId, serial: u64) -> u64 {
-    u64::from(dl.0) << 32 | serial & 0xffff_ffff
+fn ticket(request_id: RequestId, serial: u64) -> u64 {
+    u64::from(request_id.0) << 32 | serial & 0xffff_ffff
 }
--- a/crates/dispatcher/src/reducer/mod.rs
+++ b/crates/dispatcher/src/reducer/mod.rs
@@ -24,8 +24,8 @@
 use copperroute_routing::fleet::connection_back_off::NodeBackOff;
 use copperroute_routing::fleet::duplicate_filter::{DuplicateFilter, MOST_IDS, Verdict};
 use copperroute_routing::interface::{
-    DlId, Download, Nanos, NodeEntry, NodeId, Outbox as _, Readiness, Repeat, Settings, TypeId, UNTOLD,
-    ZoneId, mix, stable_hash,
+    Nanos, NodeEntry, NodeId, Outbox as _, Readiness, Repeat, RequestId, RoutingRequest, Settings, TypeId,
+    UNTOLD, ZoneId, mix, stable_hash,
 };
 use copperroute_routing::policy::Dispatcher;
 use copperroute_settings::place;
@@ -62,7 +62,7 @@
 #[derive(Debug)]
 struct Reading {
     serial: u64,
-    download: Download,
+    routing_request: RoutingRequest,
     key: Key,
 }
 
@@ -267,10 +267,10 @@
             self.module.node_turns_away(node, until);
         }
         while let Some((pull, end)) = self.desk.ended.pop_front() {
-            self.module.pull_ended(now, pull.dl, pull.number, &end, &mut self.desk);
+            self.module.pull_ended(now, pull.request_id, pull.number, &end, &mut self.desk);
         }
-        for (download, offered) in std::mem::take(&mut self.desk.offered) {
-            let known = self.module.known(&download);
+        for (routing_request, offered) in std::mem::take(&mut self.desk.offered) {
+            let known = self.module.known(&routing_request);
             if let (Some(copies), Some((rate, hops))) = (&mut self.copies, known) {
                 if let Some(rank) = copies.to_disk(&offered, rate, hops) {
                     let (key, facts, body) = (offered.key, offered.facts, offered.body.clone());
@@ -309,10 +309,10 @@
     fn due(&mut self, now: Nanos, due: Due) {
         match due {
             Due::Module(token) => self.module.timer(now, token, &mut self.desk),
-            Due::Expiry(dl, serial) => self.expire(now, dl, serial),
-            Due::Disk(dl, serial) => {
-                if self.is_reading(dl, serial) {
-                    self.go_on(now, dl);
+            Due::Expiry(request_id, serial) => self.expire(now, request_id, serial),
+            Due::Disk(request_id, serial) => {
+                if self.is_reading(request_id, serial) {
+                    self.go_on(now, request_id);
                 }
             }
             Due::Connect(number) => self.desk.connect_overdue(number),
@@ -345,8 +345,8 @@
             Due::LastRequests => self.last_requests = true,
             Due::Lingered => self.desk.clients.sweep(now, &mut self.desk.effects),
             Due::Drained => {
-                for (dl, serial) in self.desk.all_owed() {
-                    self.expire(now, dl, serial);
+                for (request_id, serial) in self.desk.all_owed() {
+                    self.expire(now, request_id, serial);
                 }
                 self.drained = true;
             }
--- a/crates/routing/src/fleet/overload_control/mod.rs
+++ b/crates/routing/src/fleet/overload_control/mod.rs
@@ -6,8 +6,8 @@
 mod tries;
 
 use crate::fleet::admission_control::{AdmissionControl, LEVELS};
-use crate::interface::{ContentType, Download, Nanos, Repeat, StormSettings, TypeId, mix};
-use crate::state::{Dl, Reservation, Stage};
+use crate::interface::{ContentType, Nanos, Repeat, RoutingRequest, StormSettings, TypeId, mix};
+use crate::state::{RequestState, Reservation, Stage};
 use crate::structures::generational_map::GenerationalMap;
 use crate::structures::random::Random;
 use crate::structures::ring_buffer::RingBuffer;
@@ -210,7 +210,7 @@
     }
 
     /// Decides on a request that has arrived.
-    pub fn arrives(&mut self, now: Nanos, d: &Download, work_s: f64) -> Admission {
+    pub fn arrives(&mut self, now: Nanos, d: &RoutingRequest, work_s: f64) -> Admission {
         let born = *self.born.get_or_insert(now);
         let at = d.content_type.0 as usize;
         let print = mix(d.client ^ mix(d.copy_hash ^ mix(u64::from(d.content_type.0) ^ d.body_hash)));
@@ -276,8 +276,14 @@
 
     /// A request has its final answer, or its client has left. For a rejected one returns its retry-after, or `None` for the
     /// usual.
-    pub fn answered(&mut self, now: Nanos, dl: &Dl, to: Stage, target_s: f64) -> Option<Nanos> {
-        let (at, reservation) = (dl.d.content_type.0 as usize, dl.reservation);
+    pub fn answered(
+        &mut self,
+        now: Nanos,
+        request_id: &RequestState,
+        to: Stage,
+        target_s: f64,
+    ) -> Option<Nanos> {
+        let (at, reservation) = (request_id.d.content_type.0 as usize, request_id.reservation);
         let served = to == Stage::Fulfilled;
         let ended = to != Stage::Left;
         let row = &mut self.rows[at];
@@ -287,15 +293,16 @@
         let backend = usize::from(row.told.uncacheable);
         if reservation.damped && ended {
             let in_time = served && now.since(reservation.taken).secs() <= target_s;
-            if to == Stage::Throttled && dl.missed_at.is_some() {
-                self.admission[backend].came_to_nothing(dl.work_s);
+            if to == Stage::Throttled && request_id.missed_at.is_some() {
+                self.admission[backend].came_to_nothing(request_id.work_s);
             } else {
                 row.let_in.add(now, usize::from(!in_time), 1.0);
                 self.admission[backend].ended(now, in_time);
             }
         }
-        let pulls =
-            reservation.spent.saturating_add(dl.pulls.iter().filter(|pull| pull.reached).count() as u8);
+        let pulls = reservation
+            .spent
+            .saturating_add(request_id.pulls.iter().filter(|pull| pull.reached).count() as u8);
         if to != Stage::Throttled {
             if to == Stage::Abandoned && pulls > 0 && !row.is_once() {
                 self.remember(now, reservation.print, Tried { pulls, back: Nanos::ZERO, reserved: false });
@@ -312,7 +319,7 @@
         }
         let (back, reserved) = match row.load_state {
             LoadState::Calm => (Nanos::ZERO, false),
-            _ => self.slot(now, backend, reservation.level, dl.work_s),
+            _ => self.slot(now, backend, reservation.level, request_id.work_s),
         };
         self.remember(now, reservation.print, Tried { pulls, back, reserved });
         (back > Nanos::ZERO).then(|| back.since(now))
@@ -337,11 +344,11 @@
     }
 
     /// All attempts of an answered request have ended: whether it may have run is now final.
-    pub fn settled(&mut self, now: Nanos, dl: &Dl) {
-        let row = &self.rows[dl.d.content_type.0 as usize];
-        if row.is_once() && self.once.get(dl.reservation.print) == Some(&Ran::InHand) {
-            let ran = dl.may_have_run.is_some() || dl.stage == Stage::Fulfilled;
-            self.once.insert(now, dl.reservation.print, if ran { Ran::Maybe } else { Ran::Never });
+    pub fn settled(&mut self, now: Nanos, request_id: &RequestState) {
+        let row = &self.rows[request_id.d.content_type.0 as usize];
+        if row.is_once() && self.once.get(request_id.reservation.print) == Some(&Ran::InHand) {
+            let ran = request_id.may_have_run.is_some() || request_id.stage == Stage::Fulfilled;
+            self.once.insert(now, request_id.reservation.print, if ran { Ran::Maybe } else { Ran::Never });
         }
     }
 }
--- a/crates/routing/src/interface.rs
+++ b/crates/routing/src/interface.rs
@@ -37,7 +37,7 @@
 
 /// A download in hand: a slot that the adapter may use again after [`Outbox::release`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct DlId(pub u32);
+pub struct RequestId(pub u32);
 
 /// A cache, parent or origin: a slot that the adapter may use again once it has told that the node is forgotten.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -213,9 +213,9 @@
 
 /// A download that the dispatcher has taken.
 #[derive(Debug, Clone, Copy)]
-pub struct Download {
+pub struct RoutingRequest {
     /// Its slot.
-    pub dl: DlId,
+    pub request_id: RequestId,
     /// Its content type.
     pub content_type: TypeId,
     /// The slot of what it asks for.
@@ -342,13 +342,13 @@
 /// Through this the module sends. An adapter writes each call out in the order in which it comes.
 pub trait Outbox {
     /// Makes a pull for a download. The first of a download is number 0, and so on.
-    fn pull(&mut self, dl: DlId, pull: &Pull);
+    fn pull(&mut self, request_id: RequestId, pull: &Pull);
     /// Calls off a pull that is out.
-    fn call_off(&mut self, dl: DlId, number: u32);
+    fn call_off(&mut self, request_id: RequestId, number: u32);
     /// Final answer: not served, and trying again is harmless; after `come_back`, if given.
-    fn throttle(&mut self, dl: DlId, come_back: Option<Nanos>);
+    fn throttle(&mut self, request_id: RequestId, come_back: Option<Nanos>);
     /// Final answer: not served, and nothing is promised.
-    fn abandon(&mut self, dl: DlId);
+    fn abandon(&mut self, request_id: RequestId);
     /// Asks for [`crate::policy::Dispatcher::timer`] with `token` after `span`.
     fn arm(&mut self, span: Nanos, token: u64);
     /// Asks a node what it is doing; the answer comes by [`crate::policy::Dispatcher::probed`].
@@ -358,7 +358,7 @@
     /// Writes a line for on-call staff.
     fn note(&mut self, line: &str);
     /// The module holds nothing more of this download.
-    fn release(&mut self, dl: DlId);
+    fn release(&mut self, request_id: RequestId);
     /// The module holds nothing more of this object.
     fn release_object(&mut self, object: ObjectId);
 }
--- a/crates/routing/src/policy/ends.rs
+++ b/crates/routing/src/policy/ends.rs
@@ -4,16 +4,24 @@
 
 impl Dispatcher {
     /// A stream has begun: the download is bound to this pull.
-    pub fn first_byte(&mut self, now: Nanos, id: DlId, number: u32, out: &mut impl Outbox) {
-        let node = self.dls.get(id.0).and_then(|dl| dl.pulls.get(number as usize)).map(|p| p.node);
+    pub fn first_byte(&mut self, now: Nanos, id: RequestId, number: u32, out: &mut impl Outbox) {
+        let node =
+            self.requests.get(id.0).and_then(|request| request.pulls.get(number as usize)).map(|p| p.node);
         node.and_then(|node| self.nodes.get_mut(node)).into_iter().for_each(|n| n.heard = now);
         self.move_to(now, id, Stage::Streaming, out);
     }
 
     /// A pull has ended.
-    pub fn pull_ended(&mut self, now: Nanos, id: DlId, number: u32, end: &PullEnd, out: &mut impl Outbox) {
-        let Some(dl) = self.dls.get_mut(id.0) else { return };
-        let Some(sent) = dl.pulls.get_mut(number as usize).filter(|p| p.out) else { return };
+    pub fn pull_ended(
+        &mut self,
+        now: Nanos,
+        id: RequestId,
+        number: u32,
+        end: &PullEnd,
+        out: &mut impl Outbox,
+    ) {
+        let Some(request) = self.requests.get_mut(id.0) else { return };
+        let Some(sent) = request.pulls.get_mut(number as usize).filter(|p| p.out) else { return };
         (sent.out, sent.left) = (false, end.outcome != Outcome::NotSent);
         sent.reached = !matches!(end.outcome, Outcome::NotSent | Outcome::Unreachable);
         let sent = *sent;
@@ -21,48 +29,54 @@
         let missed = end.outcome == NotHeld && sent.is_look();
         // A cache elsewhere that lacks the copy leaves the parents to fill it: that was no fill.
         let lacks = end.remark == Remark::SourceHasNone && !sent.is_look() && !self.nodes.from_above(&sent);
-        let filled = dl.pulls.iter().take(number as usize).any(|p| self.nodes.from_above(p));
-        let again = (filled || (number > 0 && dl.missed_at.is_none())) && !missed && end.outcome != CalledOff;
+        let filled = request.pulls.iter().take(number as usize).any(|p| self.nodes.from_above(p));
+        let again =
+            (filled || (number > 0 && request.missed_at.is_none())) && !missed && end.outcome != CalledOff;
         let worked = end.outcome == Fulfilled;
         let never_ran = matches!(end.outcome, Refused | Unreachable | NotSent | NotHeld);
-        if !worked && !never_ran && dl.may_have_run.is_none() {
-            dl.may_have_run = Some((sent.at, sent.node));
+        if !worked && !never_ran && request.may_have_run.is_none() {
+            request.may_have_run = Some((sent.at, sent.node));
         }
         // An error may lie in what is asked for: it counts once another node could make use of that. Guards
         // against clients that ask for nonsense; harms where all nodes err, as then none is left out.
         let erred = (end.outcome == Failed && end.remark == Remark::None).then_some(sent.node);
-        let blamed = if worked || end.outcome == NotHeld { dl.erred_at.take() } else { None };
-        dl.erred_at = erred.or(dl.erred_at);
-        dl.missed_at = (missed || lacks).then_some(sent.node);
+        let blamed = if worked || end.outcome == NotHeld { request.erred_at.take() } else { None };
+        request.erred_at = erred.or(request.erred_at);
+        request.missed_at = (missed || lacks).then_some(sent.node);
         // Where fills can't be shared, one under way for another download is waited for, not made twice.
-        dl.rides = (missed && end.remark == Remark::Joined && !self.s.joins).then_some(sent.node);
-        let dl = dl.clone();
+        request.rides = (missed && end.remark == Remark::Joined && !self.s.joins).then_some(sent.node);
+        let request = request.clone();
         if !sent.is_look() {
-            self.fill_ended(now, &dl, &sent, end);
+            self.fill_ended(now, &request, &sent, end);
         }
-        self.judge(now, &dl, &sent, end, out);
+        self.judge(now, &request, &sent, end, out);
         blamed.into_iter().for_each(|node| self.mark(now, node, false, false, out));
         if again {
             self.further.add(now, usize::from(!worked), 1.0);
         }
         if end.closed {
             self.move_to(now, id, if worked { Stage::Fulfilled } else { Stage::Left }, out);
-        } else if dl.stage == Stage::Pulling && dl.pulls.iter().all(|p| !p.out) {
+        } else if request.stage == Stage::Pulling && request.pulls.iter().all(|p| !p.out) {
             // Further pulls follow the share of recent ones that worked, so a wide failure brings no storm.
             let [worked, failed] = self.further.sums(now);
             let share = ((worked + 2.0) / (worked + failed + 2.0)).max(FURTHER_FLOOR);
-            let in_time = dl.d.expires.since(now).secs() > dl.work_s;
-            let storm = self.storm.as_ref().map_or(1.0, |storm| storm.further(dl.d.content_type));
-            let pulls = dl.pulls.len() + usize::from(dl.reservation.spent);
-            let most = dl.pinned.max_pulls();
+            let in_time = request.d.expires.since(now).secs() > request.work_s;
+            let storm = self.storm.as_ref().map_or(1.0, |storm| storm.further(request.d.content_type));
+            let pulls = request.pulls.len() + usize::from(request.reservation.spent);
+            let most = request.pinned.max_pulls();
             let allowed = in_time && pulls < most;
             // What a parent lacks, or the origin refused or failed, is to be had nowhere else.
             let nowhere = (end.outcome == NotHeld && !missed && !lacks) || end.remark == Remark::OriginFailed;
             // The look after it leaves room for a fill of its own.
-            let wait = if dl.rides.is_some() { self.fill_usual_s * (0.5 + self.random.share()) } else { 0.0 };
-            let in_time = dl.d.expires.since(now).secs() > wait + dl.work_s;
-            let rides = allowed && dl.rides.is_some() && in_time && pulls + 2 <= most;
-            self.dls.get_mut(id.0).filter(|_| !rides).into_iter().for_each(|dl| dl.rides = None);
+            let wait =
+                if request.rides.is_some() { self.fill_usual_s * (0.5 + self.random.share()) } else { 0.0 };
+            let in_time = request.d.expires.since(now).secs() > wait + request.work_s;
+            let rides = allowed && request.rides.is_some() && in_time && pulls + 2 <= most;
+            self.requests
+                .get_mut(id.0)
+                .filter(|_| !rides)
+                .into_iter()
+                .for_each(|request| request.rides = None);
             if rides {
                 out.arm(Nanos::from_secs(wait), u64::from(id.0) << 32 | u64::from(LOOK_AGAIN));
             } else if allowed && !nowhere && (missed || lacks || self.random.share() < share * storm) {
@@ -75,27 +89,27 @@
     }
 
     /// The answer tells how far the closest held copy was; a hit keeps the hops of the last fill.
-    pub(super) fn learn(&mut self, now: Nanos, dl: &Dl, sent: &Sent, end: &PullEnd) {
-        let told = dl.d.size_kb.is_some() && self.s.client_kb_per_s > 0.0;
+    pub(super) fn learn(&mut self, now: Nanos, request: &RequestState, sent: &Sent, end: &PullEnd) {
+        let told = request.d.size_kb.is_some() && self.s.client_kb_per_s > 0.0;
         let own_s = match end.remark {
-            _ if told => Some(dl.work_s),
+            _ if told => Some(request.work_s),
             Remark::Hit => Some(end.took.secs()),
             _ => None,
         };
-        self.types[dl.d.content_type.0 as usize].saw(own_s);
+        self.types[request.d.content_type.0 as usize].saw(own_s);
         // A hit shows how slow its cache is; of a fill only what was sent is known, by cache and source.
         let hit_s = (end.remark == Remark::Hit).then_some(end.took.secs());
         for id in [Some(sent.node), (!sent.is_look()).then_some(sent.source)].into_iter().flatten() {
             let (cold, sharers) = self.cold_start(id);
             let warm = !self.nodes.is_cold(now, id, cold.warm_after);
-            self.nodes.sent(now, id, if warm { sharers } else { 0 }, dl.work_s, hit_s);
+            self.nodes.sent(now, id, if warm { sharers } else { 0 }, request.work_s, hit_s);
         }
         let filled = matches!(end.remark, Remark::FilledFromCopy | Remark::FilledFromOrigin);
-        self.fills.add(now, dl.keep.ratio, filled && dl.keep.fill_rank > 0);
+        self.fills.add(now, request.keep.ratio, filled && request.keep.fill_rank > 0);
         // Where fills by way of the origin are not told, the source that was named stands in.
         let from_origin = Some(sent.source) == self.nodes.origin() && !self.s.fills_told;
         // The slot may have been given to another object meanwhile.
-        let Some(entry) = self.shadows.get_mut(dl.d.object, dl.d.copy_hash) else { return };
+        let Some(entry) = self.shadows.get_mut(request.d.object, request.d.copy_hash) else { return };
         match end.remark {
             Remark::FilledFromCopy if !from_origin => entry.hops = 1.0,
             Remark::FilledFromCopy | Remark::FilledFromOrigin => entry.hops = 2.0,
@@ -105,7 +119,14 @@
     }
 
     /// Judges node and source by how a pull ended.
-    pub(super) fn judge(&mut self, now: Nanos, dl: &Dl, sent: &Sent, end: &PullEnd, out: &mut impl Outbox) {
+    pub(super) fn judge(
+        &mut self,
+        now: Nanos,
+        request: &RequestState,
+        sent: &Sent,
+        end: &PullEnd,
+        out: &mut impl Outbox,
+    ) {
         use Outcome::*;
         self.nodes.count_out(sent, -1);
         let origin = self.nodes.origin();
@@ -121,8 +142,8 @@
             self.origin.refused(now);
         }
         let answered = !matches!(end.outcome, TimedOut | Unreachable | CalledOff | NotSent);
-        let mean = self.row(&dl.d).mean_work_s;
-        self.nodes.held(now, end.took.secs(), if end.outcome == Fulfilled { dl.work_s } else { 0.0 });
+        let mean = self.row(&request.d).mean_work_s;
+        self.nodes.held(now, end.took.secs(), if end.outcome == Fulfilled { request.work_s } else { 0.0 });
         let can = self.nodes.get(sent.node).map_or(0.0, |n| self.can(n));
         if let Some(n) = self.nodes.get_mut(sent.node).filter(|_| answered) {
             n.heard = now;
@@ -133,14 +154,14 @@
         }
         match (end.outcome, from_source) {
             (Fulfilled, _) => {
-                self.learn(now, dl, sent, end);
+                self.learn(now, request, sent, end);
                 self.mark(now, sent.node, true, false, out);
                 if matches!(end.remark, Remark::FilledFromCopy | Remark::FilledFromOrigin) {
                     self.mark(now, sent.source, true, false, out);
                     if let Some(origin) = origin.filter(|_| end.remark == Remark::FilledFromOrigin) {
                         self.mark(now, origin, true, false, out);
                         let waited_s = end.waited.unwrap_or_default().secs();
-                        self.origin.answered(now, waited_s, self.target_s(dl));
+                        self.origin.answered(now, waited_s, self.target_s(request));
                     }
                 }
             }
@@ -192,17 +213,22 @@
         if token >= PROBE_DUE {
             return if token == PROBE_DUE { self.probe(out) } else { out.follow() };
         }
-        let Some(dl) = self.dls.get((token >> 32) as u32) else { return };
-        let waits = dl.stage == Stage::Pulling && dl.rides.is_some() && dl.pulls.iter().all(|p| !p.out);
+        let Some(request) = self.requests.get((token >> 32) as u32) else { return };
+        let waits = request.stage == Stage::Pulling
+            && request.rides.is_some()
+            && request.pulls.iter().all(|p| !p.out);
         if token as u32 == LOOK_AGAIN && waits {
-            return self.pull(now, dl.d.dl, out);
+            return self.pull(now, request.d.request_id, out);
         }
-        let found = dl.pulls.iter().position(|p| p.out && p.serial == token as u32);
-        let Some((number, sent)) = found.map(|at| (at, dl.pulls[at])) else { return };
+        let found = request.pulls.iter().position(|p| p.out && p.serial == token as u32);
+        let Some((number, sent)) = found.map(|at| (at, request.pulls[at])) else { return };
         let at_origin = self.nodes.is_origin(sent.node) || self.nodes.from_above(&sent);
         if at_origin && !sent.held_only {
             self.origin.overdue(now);
-            self.dls.get_mut((token >> 32) as u32).into_iter().for_each(|dl| dl.pulls[number].overdue = true);
+            self.requests
+                .get_mut((token >> 32) as u32)
+                .into_iter()
+                .for_each(|request| request.pulls[number].overdue = true);
         }
         let heard = |id: NodeId| self.nodes.get(id).is_none_or(|n| n.heard >= sent.at || n.aside_until > now);
         // Where the node answers, what is overdue hangs further up: at the source, or at the origin. There it
@@ -216,9 +242,10 @@
             self.mark(now, silent, false, false, out);
         }
         let aside = self.nodes.get(silent).is_some_and(|n| n.aside_until > now);
-        let retriable = |dl: &&Dl| dl.pinned.repeat() == Repeat::Retriable;
-        let stuck = self.dls.iter().filter(|dl| aside && dl.stage == Stage::Pulling).filter(retriable);
-        for id in stuck.map(|dl| dl.d.dl).collect::<Vec<_>>() {
+        let retriable = |request: &&RequestState| request.pinned.repeat() == Repeat::Retriable;
+        let stuck =
+            self.requests.iter().filter(|request| aside && request.stage == Stage::Pulling).filter(retriable);
+        for id in stuck.map(|request| request.d.request_id).collect::<Vec<_>>() {
             self.call_off(id, Some(silent), out);
         }
     }
--- a/crates/routing/src/policy/fill.rs
+++ b/crates/routing/src/policy/fill.rs
@@ -4,13 +4,13 @@
 
 impl Dispatcher {
     /// Whether the location's link has room for a fill of this.
-    pub(super) fn link_has_room(&mut self, now: Nanos, dl: &Dl) -> bool {
-        let (size, draw) = (dl.work_s / self.row(&dl.d).mean_work_s, self.random.share());
+    pub(super) fn link_has_room(&mut self, now: Nanos, request: &RequestState) -> bool {
+        let (size, draw) = (request.work_s / self.row(&request.d).mean_work_s, self.random.share());
         self.link.has_room(now, self.s.zone_dispatchers, size, draw)
     }
 
     /// Link and source hear how slowly a fill ran.
-    pub(super) fn fill_ended(&mut self, now: Nanos, dl: &Dl, sent: &Sent, end: &PullEnd) {
+    pub(super) fn fill_ended(&mut self, now: Nanos, request: &RequestState, sent: &Sent, end: &PullEnd) {
         self.link.ended();
         if end.outcome == Outcome::CalledOff {
             return;
@@ -18,10 +18,10 @@
         // What ran out of time mostly waited, as for a slow origin or parent: it says nothing of the link.
         let waited = if end.outcome == Outcome::TimedOut { Some(end.took) } else { end.waited };
         let waited = waited.unwrap_or_default().secs();
-        let told = &self.row(&dl.d).told;
-        let leeway = told.target_time.secs() + (told.target_stretch - 1.0).max(0.0) * dl.work_s;
+        let told = &self.row(&request.d).told;
+        let leeway = told.target_time.secs() + (told.target_stretch - 1.0).max(0.0) * request.work_s;
         let took = end.took.secs() - waited;
-        let fair = dl.work_s + FILL_LEEWAY * leeway;
+        let fair = request.work_s + FILL_LEEWAY * leeway;
         self.link.saw(now, [took, fair, waited]);
         // A parent may be quick to begin and slow to send: what its fills take over the leeway counts as part
         // of its first byte. It fades while the parent is not asked, so that one is tried again. Of a slow
@@ -38,34 +38,35 @@
 
     /// Where caches may fill from other locations: the first of theirs for the copy, once a download. The
     /// same copy is asked for everywhere, so it is often held there, one hop away; else it is one more look.
-    pub(super) fn sibling(&mut self, now: Nanos, dl: &Dl) -> Option<NodeId> {
-        let asked = !self.s.sideways || dl.pulls.iter().any(|p| !p.is_look() && !self.nodes.from_above(p));
-        let homes = self.nodes.homes_away(dl.d.copy_hash, now, self.s.cache_cold.warm_after);
+    pub(super) fn sibling(&mut self, now: Nanos, request: &RequestState) -> Option<NodeId> {
+        let asked =
+            !self.s.sideways || request.pulls.iter().any(|p| !p.is_look() && !self.nodes.from_above(p));
+        let homes = self.nodes.homes_away(request.d.copy_hash, now, self.s.cache_cold.warm_after);
         homes.into_iter().find(|id| !asked && self.open(now, *id))
     }
 
     /// Who fills a miss: where the origin is spared, or no parent bears it, first another location's cache.
-    pub(super) fn filler(&mut self, now: Nanos, dl: &Dl) -> Option<NodeId> {
-        let spared = self.s.sideways && !self.may_fetch(now, dl, dl.keep.fill_rank);
-        let first = if spared { self.sibling(now, dl) } else { None };
-        if first.is_some() || !self.link_has_room(now, dl) {
+    pub(super) fn filler(&mut self, now: Nanos, request: &RequestState) -> Option<NodeId> {
+        let spared = self.s.sideways && !self.may_fetch(now, request, request.keep.fill_rank);
+        let first = if spared { self.sibling(now, request) } else { None };
+        if first.is_some() || !self.link_has_room(now, request) {
             return first;
         }
-        self.parent_for(now, dl).or_else(|| self.sibling(now, dl))
+        self.parent_for(now, request).or_else(|| self.sibling(now, request))
     }
 
     /// The better of the first two open parents in hash order, by smoothed time to first byte.
-    pub(super) fn source(&mut self, now: Nanos, dl: &Dl) -> Option<NodeId> {
-        if self.link_has_room(now, dl) { self.parent_for(now, dl) } else { None }
+    pub(super) fn source(&mut self, now: Nanos, request: &RequestState) -> Option<NodeId> {
+        if self.link_has_room(now, request) { self.parent_for(now, request) } else { None }
     }
 
-    fn parent_for(&mut self, now: Nanos, dl: &Dl) -> Option<NodeId> {
+    fn parent_for(&mut self, now: Nanos, request: &RequestState) -> Option<NodeId> {
         let mut parents: Vec<_> =
-            self.nodes.parents().map(|n| (mix(dl.d.copy_hash ^ n.e.hash), n.e.node)).collect();
+            self.nodes.parents().map(|n| (mix(request.d.copy_hash ^ n.e.hash), n.e.node)).collect();
         parents.sort();
-        let mean = self.row(&dl.d).mean_work_s;
+        let mean = self.row(&request.d).mean_work_s;
         parents.retain(|(_, id)| self.open(now, *id));
-        let failed = |id: NodeId| dl.pulls.iter().any(|p| !p.is_look() && p.source == id);
+        let failed = |id: NodeId| request.pulls.iter().any(|p| !p.is_look() && p.source == id);
         let first_byte = |id: NodeId| self.nodes.get(id).map_or(0.0, |n| n.first_byte_s(now, FADES));
         // The origin stands in for a parent that is not open. As all locations turn to it at once, uncached
         // and unjoined, each dispatcher asks it for a few at a time only.
@@ -76,20 +77,21 @@
         let mut two: Vec<_> = two.filter(|id| !failed(*id)).map(|id| (first_byte(id), id)).collect();
         two.sort_by(|a, b| a.0.total_cmp(&b.0));
         two.into_iter().map(|source| source.1).find(|id| match Some(*id) == origin {
-            true => self.open(now, *id) && self.may_fetch(now, dl, dl.keep.fill_rank),
-            false => self.bears(now, *id, dl.work_s.max(mean)),
+            true => self.open(now, *id) && self.may_fetch(now, request, request.keep.fill_rank),
+            false => self.bears(now, *id, request.work_s.max(mean)),
         })
     }
 
     /// A stopped origin holds every fill that needs it until time runs out, and with them the link's places.
     /// While it is set aside parents give only what they hold; then one fetch at a time tries it. A few that
     /// must run there still do unless it died. Of a slow one fewer are asked. Harms what would be late.
-    pub(super) fn may_fetch(&mut self, now: Nanos, dl: &Dl, rank: u8) -> bool {
+    pub(super) fn may_fetch(&mut self, now: Nanos, request: &RequestState, rank: u8) -> bool {
         let closed = self.nodes.origin().filter(|id| !self.open(now, *id)).and_then(|id| self.nodes.get(id));
         let closed = closed.is_some_and(|n| rank < 4 || n.started > now || n.out >= RUNS_ASIDE);
         // What MC3 ranks high is fetched first, so that hits come back; rank 4 stands for uncacheable. Of all
         // locations the first in the copy's order fetch it, and the others ask those.
         let power = [4.0, 2.0, 1.0, 0.5, 0.0][usize::from(rank.min(4))];
-        !closed && self.nodes.turn(dl.d.copy_hash, self.random.share()) < self.origin.share(now).powf(power)
+        !closed
+            && self.nodes.turn(request.d.copy_hash, self.random.share()) < self.origin.share(now).powf(power)
     }
 }
--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -69,7 +69,7 @@
     s: Settings,
     types: Vec<TypeRow>,
     nodes: Nodes,
-    dls: Slots<Dl>,
+    requests: Slots<RequestState>,
     shadows: Shadows,
     fills: Fills, // kept fills by their ratio
     link: BandwidthShare,
@@ -91,7 +91,7 @@
         Dispatcher {
             types: s.content_types.iter().map(row).collect(),
             nodes: Nodes::new(s.zone, s.parent_kind, s.origin_kind, s.sizes_told),
-            dls: Slots::default(),
+            requests: Slots::default(),
             shadows: Shadows::default(),
             fills: Fills::new(FILLS_SEEN, BUCKETS),
             link: BandwidthShare::default(),
@@ -109,7 +109,9 @@
 
     /// The rules have changed. What was learnt and is in hand stays; seed and storms are as at the start.
     pub fn settings_changed(&mut self, s: &Settings) {
-        self.dls.iter_mut().for_each(|dl| dl.pinned = dl.pinned.and(s, dl.d.content_type));
+        self.requests
+            .iter_mut()
+            .for_each(|request| request.pinned = request.pinned.and(s, request.d.content_type));
         self.types.iter_mut().zip(&s.content_types).for_each(|(row, told)| row.told = told.clone());
         self.s = Settings { seed: self.s.seed, storms: self.s.storms, ..s.clone() };
     }
@@ -144,13 +146,13 @@
         }
     }
 
-    fn row(&self, d: &Download) -> &TypeRow {
+    fn row(&self, d: &RoutingRequest) -> &TypeRow {
         &self.types[d.content_type.0 as usize]
     }
 
-    fn target_s(&self, dl: &Dl) -> f64 {
-        let told = &self.row(&dl.d).told;
-        told.target_time.secs() + told.target_stretch * dl.work_s
+    fn target_s(&self, request: &RequestState) -> f64 {
+        let told = &self.row(&request.d).told;
+        told.target_time.secs() + told.target_stretch * request.work_s
     }
 
     /// The whole list: what is not in it is gone.
--- a/crates/routing/src/policy/ordinary.rs
+++ b/crates/routing/src/policy/ordinary.rs
@@ -4,7 +4,7 @@
 
 impl Dispatcher {
     /// A download has come: counted in the shadow table, judged by MC3, and sent on its way.
-    pub fn download(&mut self, now: Nanos, d: &Download, out: &mut impl Outbox) {
+    pub fn request_arrived(&mut self, now: Nanos, d: &RoutingRequest, out: &mut impl Outbox) {
         let (mut keep, mut seen) = (Keep::default(), None);
         if !self.row(d).told.uncacheable {
             let shadow = self.count(now, d, out);
@@ -16,24 +16,27 @@
         // Where sizes are not told, what its object took, or its content type takes, stands in.
         self.types[d.content_type.0 as usize].asked(told);
         let work_s = told.or(seen).unwrap_or(self.row(d).mean_work_s);
-        self.dls.put(d.dl.0, Dl::new(*d, work_s, keep, PinnedRules::new(&self.s, d.content_type)));
+        self.requests.put(
+            d.request_id.0,
+            RequestState::new(*d, work_s, keep, PinnedRules::new(&self.s, d.content_type)),
+        );
         self.admit(now, d, work_s, out);
     }
 
     /// A download that was answered from an own copy: counted in the shadow table as any other.
-    pub fn served_here(&mut self, now: Nanos, d: &Download, out: &mut impl Outbox) {
+    pub fn served_here(&mut self, now: Nanos, d: &RoutingRequest, out: &mut impl Outbox) {
         self.count(now, d, out);
     }
 
     /// What the shadow table knows of a copy: own downloads a second, and hops to the closest copy.
-    pub fn known(&self, d: &Download) -> Option<(Option<f64>, f64)> {
+    pub fn known(&self, d: &RoutingRequest) -> Option<(Option<f64>, f64)> {
         let shadow = self.shadows.get(d.object).filter(|shadow| shadow.copy_hash == d.copy_hash)?;
         Some((shadow.gap_s.map(|gap| 1.0 / gap), shadow.hops))
     }
 
     /// Sends a download on its way, unless the storm module holds it off: then it is answered at once.
-    pub(super) fn admit(&mut self, now: Nanos, d: &Download, work_s: f64, out: &mut impl Outbox) {
-        let Some(mut storm) = self.storm.take() else { return self.pull(now, d.dl, out) };
+    pub(super) fn admit(&mut self, now: Nanos, d: &RoutingRequest, work_s: f64, out: &mut impl Outbox) {
+        let Some(mut storm) = self.storm.take() else { return self.pull(now, d.request_id, out) };
         let changed = if storm.is_due(now) { storm.look(now, self.supply(now)) } else { None };
         if let Some((of, from, to)) = changed {
             out.note(&format!("content type {}: {to:?} after {from:?}", of.0));
@@ -41,11 +44,14 @@
         let admission = storm.arrives(now, d, work_s);
         self.storm = Some(storm);
         let reservation = admission.reservation();
-        self.dls.get_mut(d.dl.0).into_iter().for_each(|dl| dl.reservation = reservation);
+        self.requests
+            .get_mut(d.request_id.0)
+            .into_iter()
+            .for_each(|request| request.reservation = reservation);
         match admission {
-            Admission::Take(_) => self.pull(now, d.dl, out),
-            Admission::Later(_) => self.give_up(now, d.dl, out),
-            Admission::Never(_) => self.end(now, d.dl, Stage::Abandoned, out),
+            Admission::Take(_) => self.pull(now, d.request_id, out),
+            Admission::Later(_) => self.give_up(now, d.request_id, out),
+            Admission::Never(_) => self.end(now, d.request_id, Stage::Abandoned, out),
         }
     }
 
@@ -67,23 +73,23 @@
     /// Chooses node and source and sends; gives up at once where nothing can take it. A cache is looked at
     /// before a fill is asked of it, so that every fill is decided as one: link, cold parents and origin get
     /// only what they bear. One that drained meanwhile is not filled (rule 3): the look goes elsewhere.
-    pub(super) fn pull(&mut self, now: Nanos, id: DlId, out: &mut impl Outbox) {
-        let Some(dl) = self.dls.get_mut(id.0) else { return };
-        let (rides, dl) = (dl.rides.take(), dl.clone());
+    pub(super) fn pull(&mut self, now: Nanos, id: RequestId, out: &mut impl Outbox) {
+        let Some(request) = self.requests.get_mut(id.0) else { return };
+        let (rides, request) = (request.rides.take(), request.clone());
         self.again = Nanos::ZERO;
-        let chosen = match dl.missed_at.filter(|id| self.nodes.get(*id).is_some_and(|n| n.listed)) {
-            _ if self.row(&dl.d).told.uncacheable => self.runs_at(now, &dl),
-            Some(node) if !self.bears(now, node, self.row(&dl.d).mean_work_s) => None,
+        let chosen = match request.missed_at.filter(|id| self.nodes.get(*id).is_some_and(|n| n.listed)) {
+            _ if self.row(&request.d).told.uncacheable => self.runs_at(now, &request),
+            Some(node) if !self.bears(now, node, self.row(&request.d).mean_work_s) => None,
             Some(node) if rides == Some(node) && self.open(now, node) => Some((node, node)),
-            Some(node) if self.too_full(now, &dl, node) => None,
-            Some(node) => self.filler(now, &dl).map(|from| (node, from)),
+            Some(node) if self.too_full(now, &request, node) => None,
+            Some(node) => self.filler(now, &request).map(|from| (node, from)),
             // A cold cache holds little: a look there would only spend what it can bear.
-            None => match self.edge(now, &dl) {
+            None => match self.edge(now, &request) {
                 Some(node) if self.nodes.is_cold(now, node, self.s.cache_cold.warm_after) => {
-                    Some((node, self.source(now, &dl).unwrap_or(node)))
+                    Some((node, self.source(now, &request).unwrap_or(node)))
                 }
                 Some(node) => Some((node, node)),
-                None => self.past_the_caches(now, &dl),
+                None => self.past_the_caches(now, &request),
             },
         };
         let Some((node, source)) = chosen else { return self.give_up(now, id, out) };
@@ -91,35 +97,35 @@
         let sent = Sent::new(node, source, now, self.serial);
         let by_parent = !sent.is_look() && self.nodes.is_parent(source);
         let by_cache = !sent.is_look() && !self.nodes.from_above(&sent);
-        let asked_of = if sent.is_look() { dl.keep.hit_rank } else { dl.keep.fill_rank };
+        let asked_of = if sent.is_look() { request.keep.hit_rank } else { request.keep.fill_rank };
         let rank = if self.nodes.is_parent(node) { 0 } else { asked_of };
         let pull = Pull {
             node,
             source,
             try_for: None,
             rank,
-            max_age: self.max_age(now, &dl.d),
-            send_by: dl.may_have_run.and_then(|(first, _)| dl.pinned.repeat().send_by(first)),
-            join: self.s.joins && dl.pulls.len() < 2,
-            held_only: by_cache || (by_parent && !self.may_fetch(now, &dl, dl.keep.fill_rank)),
+            max_age: self.max_age(now, &request.d),
+            send_by: request.may_have_run.and_then(|(first, _)| request.pinned.repeat().send_by(first)),
+            join: self.s.joins && request.pulls.len() < 2,
+            held_only: by_cache || (by_parent && !self.may_fetch(now, &request, request.keep.fill_rank)),
             no_parent_copy: rank == 3 && by_parent,
-            renew: rank >= 2 && self.row(&dl.d).told.fresh_for.is_some(),
+            renew: rank >= 2 && self.row(&request.d).told.fresh_for.is_some(),
         };
         self.nodes.count_out(&sent, 1);
         if !sent.is_look() {
             self.link.begun();
         }
         self.move_to(now, id, Stage::Pulling, out);
-        if let Some(dl) = self.dls.get_mut(id.0) {
-            dl.pulls.push(Sent { held_only: pull.held_only, ..sent });
+        if let Some(request) = self.requests.get_mut(id.0) {
+            request.pulls.push(Sent { held_only: pull.held_only, ..sent });
         }
         out.pull(id, &pull);
-        let look = Nanos::from_secs(dl.work_s * OVERDUE_STRETCH).after(OVERDUE_SLACK);
+        let look = Nanos::from_secs(request.work_s * OVERDUE_STRETCH).after(OVERDUE_SLACK);
         out.arm(look, u64::from(id.0) << 32 | u64::from(sent.serial));
     }
 
     /// Counts a download in the shadow table and returns the entry.
-    pub(super) fn count(&mut self, now: Nanos, d: &Download, out: &mut impl Outbox) -> Shadow {
+    pub(super) fn count(&mut self, now: Nanos, d: &RoutingRequest, out: &mut impl Outbox) -> Shadow {
         let mut entry = Shadow { copy_hash: d.copy_hash, last: now, hops: 2.0, ..Shadow::default() };
         if let Some(known) = self.shadows.get(d.object) {
             let gap = now.since(known.last).secs().max(1e-3);
--- a/crates/routing/src/policy/rules.rs
+++ b/crates/routing/src/policy/rules.rs
@@ -36,10 +36,10 @@
     }
 
     /// Rule 2 for a further pull: what may have run goes again only where repeats are harmless.
-    pub(super) fn may_repeat_at(&self, now: Nanos, dl: &Dl, id: NodeId) -> bool {
-        let Some((sent, first)) = dl.may_have_run else { return true };
+    pub(super) fn may_repeat_at(&self, now: Nanos, request: &RequestState, id: NodeId) -> bool {
+        let Some((sent, first)) = request.may_have_run else { return true };
         let (Some(a), Some(b)) = (self.nodes.get(first), self.nodes.get(id)) else { return false };
-        match dl.pinned.repeat() {
+        match request.pinned.repeat() {
             Repeat::Retriable => true,
             Repeat::NonRetriable => false,
             rule @ Repeat::Deduped { scope, .. } => {
@@ -49,7 +49,7 @@
     }
 
     /// Rule 5: no copy older than a purge, for as long as such copies may lie about.
-    pub(super) fn max_age(&mut self, now: Nanos, d: &Download) -> Option<Nanos> {
+    pub(super) fn max_age(&mut self, now: Nanos, d: &RoutingRequest) -> Option<Nanos> {
         self.purges.forget(now, self.s.purge_done.after(self.s.purge_notice));
         let since = now.since(self.purges.last(d.object_hash, d.group)?);
         let fresh = self.row(d).told.fresh_for;
@@ -58,26 +58,26 @@
     }
 
     /// Gives up at once: throttled where trying again is harmless, else abandoned.
-    pub(super) fn give_up(&mut self, now: Nanos, id: DlId, out: &mut impl Outbox) {
-        let Some(dl) = self.dls.get(id.0) else { return };
-        let harmless = match dl.pinned.repeat() {
+    pub(super) fn give_up(&mut self, now: Nanos, id: RequestId, out: &mut impl Outbox) {
+        let Some(request) = self.requests.get(id.0) else { return };
+        let harmless = match request.pinned.repeat() {
             Repeat::Retriable | Repeat::Deduped { scope: DedupScope::All, .. } => true,
-            _ => dl.may_have_run.is_none(),
+            _ => request.may_have_run.is_none(),
         };
-        let to = if harmless && dl.d.expires > now { Stage::Throttled } else { Stage::Abandoned };
+        let to = if harmless && request.d.expires > now { Stage::Throttled } else { Stage::Abandoned };
         self.end(now, id, to, out);
     }
 
-    pub(super) fn end(&mut self, now: Nanos, id: DlId, to: Stage, out: &mut impl Outbox) {
+    pub(super) fn end(&mut self, now: Nanos, id: RequestId, to: Stage, out: &mut impl Outbox) {
         self.move_to(now, id, to, out);
         self.settle(now, id, out);
     }
 
     /// The one place where a download changes its stage, and the only one that sends final answers.
-    pub(super) fn move_to(&mut self, now: Nanos, id: DlId, to: Stage, out: &mut impl Outbox) -> bool {
+    pub(super) fn move_to(&mut self, now: Nanos, id: RequestId, to: Stage, out: &mut impl Outbox) -> bool {
         use Stage::*;
-        let Some(dl) = self.dls.get_mut(id.0) else { return false };
-        let allowed = match dl.stage {
+        let Some(request) = self.requests.get_mut(id.0) else { return false };
+        let allowed = match request.stage {
             Taken => matches!(to, Pulling | Throttled | Abandoned | Left),
             Pulling => to != Taken,
             Streaming => matches!(to, Fulfilled | Left),
@@ -86,7 +86,7 @@
         if !allowed {
             return false;
         }
-        dl.stage = to;
+        request.stage = to;
         let wait_s = COME_BACK_S.max(COME_BACK_SHARE * std::mem::take(&mut self.again).secs());
         let advice = Nanos::from_secs(wait_s * (1.0 + self.random.share()));
         let advice = self.answered(now, id, to).unwrap_or(advice);
@@ -99,35 +99,35 @@
     }
 
     /// The storm module hears of a final answer, and says when a throttled download is to come back.
-    pub(super) fn answered(&mut self, now: Nanos, id: DlId, to: Stage) -> Option<Nanos> {
+    pub(super) fn answered(&mut self, now: Nanos, id: RequestId, to: Stage) -> Option<Nanos> {
         let final_one = !matches!(to, Stage::Taken | Stage::Pulling | Stage::Streaming);
-        let dl = self.dls.get(id.0).filter(|_| final_one)?;
-        let target_s = self.target_s(dl);
-        self.storm.as_mut()?.answered(now, dl, to, target_s)
+        let request = self.requests.get(id.0).filter(|_| final_one)?;
+        let target_s = self.target_s(request);
+        self.storm.as_mut()?.answered(now, request, to, target_s)
     }
 
     /// Lets go of an answered download once all its pulls are in.
-    pub(super) fn settle(&mut self, now: Nanos, id: DlId, out: &mut impl Outbox) {
-        let Some(dl) = self.dls.get(id.0) else { return };
-        let open = matches!(dl.stage, Stage::Taken | Stage::Pulling | Stage::Streaming);
-        if !open && dl.pulls.iter().all(|p| !p.out) {
-            self.storm.iter_mut().for_each(|storm| storm.settled(now, dl));
-            self.dls.clear(id.0);
+    pub(super) fn settle(&mut self, now: Nanos, id: RequestId, out: &mut impl Outbox) {
+        let Some(request) = self.requests.get(id.0) else { return };
+        let open = matches!(request.stage, Stage::Taken | Stage::Pulling | Stage::Streaming);
+        if !open && request.pulls.iter().all(|p| !p.out) {
+            self.storm.iter_mut().for_each(|storm| storm.settled(now, request));
+            self.requests.clear(id.0);
             out.release(id);
         }
     }
 
     /// Nobody waits for this download any more.
-    pub fn client_gone(&mut self, now: Nanos, id: DlId, out: &mut impl Outbox) {
+    pub fn client_gone(&mut self, now: Nanos, id: RequestId, out: &mut impl Outbox) {
         if self.move_to(now, id, Stage::Left, out) {
             self.call_off(id, None, out);
             self.settle(now, id, out);
         }
     }
 
-    pub(super) fn call_off(&mut self, id: DlId, at: Option<NodeId>, out: &mut impl Outbox) {
-        let Some(dl) = self.dls.get(id.0).filter(|_| self.s.cancel) else { return };
-        for (number, sent) in dl.pulls.iter().enumerate() {
+    pub(super) fn call_off(&mut self, id: RequestId, at: Option<NodeId>, out: &mut impl Outbox) {
+        let Some(request) = self.requests.get(id.0).filter(|_| self.s.cancel) else { return };
+        for (number, sent) in request.pulls.iter().enumerate() {
             if sent.out && at.is_none_or(|node| node == sent.node || node == sent.source) {
                 out.call_off(id, number as u32);
             }
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -1,6 +1,6 @@
 //! What a dispatcher keeps of its downloads and objects. State only: nothing here decides.
 
-use crate::interface::{ContentType, Download, Nanos, NodeId, ObjectId};
+use crate::interface::{ContentType, Nanos, NodeId, ObjectId, RoutingRequest};
 use crate::pinned_rules::PinnedRules;
 use crate::structures::recency_window::RecencyWindow;
 use crate::structures::ring_buffer::RingBuffer;
@@ -141,9 +141,9 @@
 
 /// A download in hand.
 #[derive(Debug, Clone)]
-pub struct Dl {
+pub struct RequestState {
     /// As it came.
-    pub d: Download,
+    pub d: RoutingRequest,
     /// Where it stands.
     pub stage: Stage,
     /// Its sending time, told or judged.
@@ -166,13 +166,25 @@
     pub pinned: PinnedRules,
 }
 
-impl Dl {
+impl RequestState {
     /// A download just taken, with its sending time, what MC3 says, and the rules that it is taken under.
-    pub fn new(d: Download, work_s: f64, keep: Keep, pinned: PinnedRules) -> Self {
+    pub fn new(d: RoutingRequest, work_s: f64, keep: Keep, pinned: PinnedRules) -> Self {
         let (pulls, stage) = (Vec::new(), Stage::Taken);
         let reservation = Reservation::default();
         let (missed_at, rides, may_have_run, erred_at) = (None, None, None, None);
-        Dl { d, stage, work_s, keep, pulls, missed_at, rides, may_have_run, erred_at, reservation, pinned }
+        RequestState {
+            d,
+            stage,
+            work_s,
+            keep,
+            pulls,
+            missed_at,
+            rides,
+            may_have_run,
+            erred_at,
+            reservation,
+            pinned,
+        }
     }
 }
 
--- a/crates/routing/tests/module/changed.rs
+++ b/crates/routing/tests/module/changed.rs
@@ -12,7 +12,7 @@
         module.settings_changed(after);
         for number in 0..8 {
             let refused = end(Outcome::Refused, Remark::None);
-            module.pull_ended(ms(1_010), DlId(0), number, &refused, &mut trace);
+            module.pull_ended(ms(1_010), RequestId(0), number, &refused, &mut trace);
         }
         trace.0.matches("pull").count()
     };
@@ -37,9 +37,9 @@
         let (mut module, mut trace) = start(before.clone());
         ask(&mut module, ms(1_000), 0, 0, 1, &mut trace);
         module.settings_changed(after);
-        module.pull_ended(ms(1_100), DlId(0), 0, &end(Outcome::Broken, Remark::None), &mut trace);
+        module.pull_ended(ms(1_100), RequestId(0), 0, &end(Outcome::Broken, Remark::None), &mut trace);
         ask(&mut module, ms(1_200), 1, 0, 1, &mut trace);
-        module.pull_ended(ms(1_300), DlId(1), 0, &end(Outcome::Broken, Remark::None), &mut trace);
+        module.pull_ended(ms(1_300), RequestId(1), 0, &end(Outcome::Broken, Remark::None), &mut trace);
         said += &format!("{name}\n{}", trace.0);
     }
     expect![[r#"
@@ -66,14 +66,14 @@
         ask(&mut module, ms(1_000 + 500 * at), 0, 0, 1, &mut trace);
         module.pull_ended(
             ms(1_100 + 500 * at),
-            DlId(0),
+            RequestId(0),
             0,
             &end(Outcome::Fulfilled, Remark::Hit),
             &mut trace,
         );
     }
-    let d = Download {
-        dl: DlId(9),
+    let d = RoutingRequest {
+        request_id: RequestId(9),
         content_type: TypeId(0),
         object: ObjectId(1),
         copy_hash: stable_hash(b"object-1"),
--- a/crates/routing/tests/module/cold.rs
+++ b/crates/routing/tests/module/cold.rs
@@ -95,7 +95,7 @@
         ask(&mut module, now, at as u32, 0, 1, &mut trace);
         module.pull_ended(
             now,
-            DlId(at as u32),
+            RequestId(at as u32),
             0,
             &end(Outcome::Fulfilled, Remark::FilledFromCopy),
             &mut trace,
@@ -132,9 +132,9 @@
 /// gives at once, might have been fetched from the origin.
 fn fetched_after_fills_hung(look: bool) -> usize {
     let (mut module, mut trace) = start(settings());
-    for dl in 0..6 {
-        ask(&mut module, ms(10_000), dl, 0, dl + 1, &mut trace);
-        miss(&mut module, ms(10_001), dl, &mut trace);
+    for request_id in 0..6 {
+        ask(&mut module, ms(10_000), request_id, 0, request_id + 1, &mut trace);
+        miss(&mut module, ms(10_001), request_id, &mut trace);
     }
     if look {
         for (_, token) in std::mem::take(&mut trace.1) {
@@ -142,12 +142,12 @@
         }
     }
     trace.0.clear();
-    for dl in 6..36 {
-        let now = 11_000 + u64::from(dl) * 10;
-        ask(&mut module, ms(now), dl, 0, dl + 1, &mut trace);
-        miss(&mut module, ms(now + 1), dl, &mut trace);
+    for request_id in 6..36 {
+        let now = 11_000 + u64::from(request_id) * 10;
+        ask(&mut module, ms(now), request_id, 0, request_id + 1, &mut trace);
+        miss(&mut module, ms(now + 1), request_id, &mut trace);
         let filled = end(Outcome::Fulfilled, Remark::FilledFromCopy);
-        module.pull_ended(ms(now + 5), DlId(dl), 1, &filled, &mut trace);
+        module.pull_ended(ms(now + 5), RequestId(request_id), 1, &filled, &mut trace);
     }
     let fills = trace.0.lines().filter(|line| line.contains("from 3") || line.contains("from 4"));
     fills.filter(|line| !line.contains("held-only")).count()
@@ -182,17 +182,17 @@
 struct Told(Vec<Nanos>);
 
 impl Outbox for Told {
-    fn pull(&mut self, _dl: DlId, _pull: &Pull) {}
-    fn call_off(&mut self, _dl: DlId, _number: u32) {}
-    fn throttle(&mut self, _dl: DlId, come_back: Option<Nanos>) {
+    fn pull(&mut self, _dl: RequestId, _pull: &Pull) {}
+    fn call_off(&mut self, _dl: RequestId, _number: u32) {}
+    fn throttle(&mut self, _dl: RequestId, come_back: Option<Nanos>) {
         self.0.extend(come_back);
     }
-    fn abandon(&mut self, _dl: DlId) {}
+    fn abandon(&mut self, _dl: RequestId) {}
     fn arm(&mut self, _span: Nanos, _token: u64) {}
     fn probe(&mut self, _node: NodeId) {}
     fn follow(&mut self) {}
     fn note(&mut self, _line: &str) {}
-    fn release(&mut self, _dl: DlId) {}
+    fn release(&mut self, _dl: RequestId) {}
     fn release_object(&mut self, _object: ObjectId) {}
 }
 
@@ -205,8 +205,8 @@
         let mut told = Told::default();
         let cold = [0, 1, 2].map(|id| entry(id, 0, Readiness::Ready, ms(60_000)));
         module.nodes_changed(ms(60_000), &cold, &mut told);
-        let asked = |at: u32| Download {
-            dl: DlId(at),
+        let asked = |at: u32| RoutingRequest {
+            request_id: RequestId(at),
             content_type: TypeId(0),
             object: ObjectId(1),
             copy_hash: 1,
@@ -218,7 +218,7 @@
             client: 0,
             body_hash: 0,
         };
-        (0..40).for_each(|at| module.download(ms(60_000 + u64::from(at) * 10), &asked(at), &mut told));
+        (0..40).for_each(|at| module.request_arrived(ms(60_000 + u64::from(at) * 10), &asked(at), &mut told));
         told.0.iter().map(|wait| wait.secs()).sum::<f64>() / told.0.len() as f64
     };
     let [few, many] = [2, 100].map(told);
--- a/crates/routing/tests/module/cold_fleet.rs
+++ b/crates/routing/tests/module/cold_fleet.rs
@@ -67,30 +67,30 @@
 const COLD: [u32; 2] = [0, 3];
 
 /// Ends of pulls to come: whose, of which download, the pull's number, its node and source.
-type Ends = BTreeMap<(Nanos, u32), (usize, DlId, u32, u32, u32)>;
+type Ends = BTreeMap<(Nanos, u32), (usize, RequestId, u32, u32, u32)>;
 
 /// What one dispatcher sends: whether a call goes to the cold nodes.
 #[derive(Default)]
 struct Calls {
-    pulls: Vec<(DlId, u32, u32, u32)>,
+    pulls: Vec<(RequestId, u32, u32, u32)>,
     counts: BTreeMap<u32, u32>,
 }
 
 impl Outbox for Calls {
-    fn pull(&mut self, dl: DlId, pull: &Pull) {
-        let number = self.counts.entry(dl.0).or_default();
-        self.pulls.push((dl, *number, pull.node.0, pull.source.0));
+    fn pull(&mut self, request_id: RequestId, pull: &Pull) {
+        let number = self.counts.entry(request_id.0).or_default();
+        self.pulls.push((request_id, *number, pull.node.0, pull.source.0));
         *number += 1;
     }
-    fn call_off(&mut self, _dl: DlId, _number: u32) {}
-    fn throttle(&mut self, _dl: DlId, _come_back: Option<Nanos>) {}
-    fn abandon(&mut self, _dl: DlId) {}
+    fn call_off(&mut self, _dl: RequestId, _number: u32) {}
+    fn throttle(&mut self, _dl: RequestId, _come_back: Option<Nanos>) {}
+    fn abandon(&mut self, _dl: RequestId) {}
     fn arm(&mut self, _span: Nanos, _token: u64) {}
     fn probe(&mut self, _node: NodeId) {}
     fn follow(&mut self) {}
     fn note(&mut self, _line: &str) {}
-    fn release(&mut self, dl: DlId) {
-        self.counts.remove(&dl.0);
+    fn release(&mut self, request_id: RequestId) {
+        self.counts.remove(&request_id.0);
     }
     fn release_object(&mut self, _object: ObjectId) {}
 }
@@ -155,7 +155,7 @@
             looked = now;
             let due = ends.first_key_value().filter(|((when, _), _)| *when <= now).map(|(key, _)| *key);
             if let Some(key) = due {
-                let Some((at, dl, number, node, source)) = ends.remove(&key) else { continue };
+                let Some((at, request_id, number, node, source)) = ends.remove(&key) else { continue };
                 // A third of the looks find something; fills bring it.
                 let held = node != source || chance.share() < 0.33;
                 let how = match held {
@@ -165,7 +165,7 @@
                     false if chance.share() < 0.5 => end(Outcome::NotHeld, Remark::Joined),
                     false => end(Outcome::NotHeld, Remark::None),
                 };
-                fleet[at].pull_ended(now, dl, number, &how, &mut outs[at]);
+                fleet[at].pull_ended(now, request_id, number, &how, &mut outs[at]);
                 self.sent(now, at, &mut outs[at], &mut came, &mut ends, &mut count);
                 continue;
             }
@@ -184,7 +184,7 @@
             let object = (chance.share() * 2_000.0) as u32;
             // No download is in hand for so long that its number comes again.
             let d = sized(now, count % 8_192, object, WORK_S * 10_000.0);
-            fleet[at].download(now, &d, &mut outs[at]);
+            fleet[at].request_arrived(now, &d, &mut outs[at]);
             self.sent(now, at, &mut outs[at], &mut came, &mut ends, &mut count);
         }
         came
@@ -199,14 +199,14 @@
         ends: &mut Ends,
         count: &mut u32,
     ) {
-        for (dl, number, node, source) in std::mem::take(&mut out.pulls) {
+        for (request_id, number, node, source) in std::mem::take(&mut out.pulls) {
             for (cold, came) in COLD.iter().zip(came.iter_mut()) {
                 if node == *cold || source == *cold {
                     came.push(now);
                 }
             }
             *count += 1;
-            ends.insert((now.after(ms(100)), *count), (at, dl, number, node, source));
+            ends.insert((now.after(ms(100)), *count), (at, request_id, number, node, source));
         }
     }
 
--- a/crates/routing/tests/module/common.rs
+++ b/crates/routing/tests/module/common.rs
@@ -13,23 +13,27 @@
 }
 
 impl Outbox for Trace {
-    fn pull(&mut self, dl: DlId, p: &Pull) {
+    fn pull(&mut self, request_id: RequestId, p: &Pull) {
         let age = p.max_age.map_or(String::new(), |age| format!(" age<={:.3}", age.secs()));
         let join = if p.join { " join" } else { "" };
         let no_copy = if p.no_parent_copy { " no-parent-copy" } else { "" };
         let held = if p.held_only { " held-only" } else { "" };
         let renew = if p.renew { " renew" } else { "" };
         let (node, source, rank) = (p.node.0, p.source.0, p.rank);
-        say!(self, "dl {}: pull {node} from {source} rank {rank}{age}{join}{held}{no_copy}{renew}", dl.0);
+        say!(
+            self,
+            "dl {}: pull {node} from {source} rank {rank}{age}{join}{held}{no_copy}{renew}",
+            request_id.0
+        );
     }
-    fn call_off(&mut self, dl: DlId, number: u32) {
-        say!(self, "dl {}: call off {number}", dl.0);
+    fn call_off(&mut self, request_id: RequestId, number: u32) {
+        say!(self, "dl {}: call off {number}", request_id.0);
     }
-    fn throttle(&mut self, dl: DlId, come_back: Option<Nanos>) {
-        say!(self, "dl {}: throttled{}", dl.0, if come_back.is_some() { ", come back" } else { "" });
+    fn throttle(&mut self, request_id: RequestId, come_back: Option<Nanos>) {
+        say!(self, "dl {}: throttled{}", request_id.0, if come_back.is_some() { ", come back" } else { "" });
     }
-    fn abandon(&mut self, dl: DlId) {
-        say!(self, "dl {}: abandoned", dl.0);
+    fn abandon(&mut self, request_id: RequestId) {
+        say!(self, "dl {}: abandoned", request_id.0);
     }
     fn arm(&mut self, span: Nanos, token: u64) {
         self.1.push((span, token));
@@ -43,7 +47,7 @@
     fn note(&mut self, line: &str) {
         say!(self, "note: {}", line.split(" for ").next().unwrap_or(line));
     }
-    fn release(&mut self, _dl: DlId) {}
+    fn release(&mut self, _dl: RequestId) {}
     fn release_object(&mut self, _object: ObjectId) {}
 }
 
@@ -114,11 +118,11 @@
     (module, trace)
 }
 
-/// Download `dl` of content type 0 for object `object`, of so many KB, which expires 3 s from now.
-pub fn sized(now: Nanos, dl: u32, object: u32, size_kb: f64) -> Download {
+/// Download `request_id` of content type 0 for object `object`, of so many KB, which expires 3 s from now.
+pub fn sized(now: Nanos, request_id: u32, object: u32, size_kb: f64) -> RoutingRequest {
     let hash = stable_hash(format!("object-{object}").as_bytes());
-    Download {
-        dl: DlId(dl),
+    RoutingRequest {
+        request_id: RequestId(request_id),
         content_type: TypeId(0),
         object: ObjectId(object),
         copy_hash: hash,
@@ -132,16 +136,16 @@
     }
 }
 
-/// Download `dl` of content type `kind` for object `object`, which expires 3 s from now; 10 more on
+/// Download `request_id` of content type `kind` for object `object`, which expires 3 s from now; 10 more on
 /// `kind` for a client's repeat.
-pub fn ask(module: &mut Dispatcher, now: Nanos, dl: u32, kind: u32, object: u32, trace: &mut Trace) {
-    let d = Download {
+pub fn ask(module: &mut Dispatcher, now: Nanos, request_id: u32, kind: u32, object: u32, trace: &mut Trace) {
+    let d = RoutingRequest {
         content_type: TypeId(kind % 10),
         group: Some(u64::from(object % 4)),
         repeat: kind >= 10,
-        ..sized(now, dl, object, 1_000.0)
+        ..sized(now, request_id, object, 1_000.0)
     };
-    module.download(now, &d, trace);
+    module.request_arrived(now, &d, trace);
 }
 
 /// The end of a pull with this outcome and remark.
@@ -150,7 +154,7 @@
     PullEnd { outcome, took: ms(120), closed, waited: Some(ms(20)), remark, report: Report::default() }
 }
 
-/// The look of download `dl` finds nothing.
-pub fn miss(module: &mut Dispatcher, now: Nanos, dl: u32, trace: &mut Trace) {
-    module.pull_ended(now, DlId(dl), 0, &end(Outcome::NotHeld, Remark::None), trace);
+/// The look of download `request_id` finds nothing.
+pub fn miss(module: &mut Dispatcher, now: Nanos, request_id: u32, trace: &mut Trace) {
+    module.pull_ended(now, RequestId(request_id), 0, &end(Outcome::NotHeld, Remark::None), trace);
 }
--- a/crates/routing/tests/module/failures.rs
+++ b/crates/routing/tests/module/failures.rs
@@ -28,10 +28,12 @@
 #[test]
 fn a_silent_cache_is_set_aside_and_its_pulls_go_elsewhere() {
     let (mut module, mut trace) = start(settings());
-    (0..2).for_each(|dl| ask(&mut module, ms(1_000), dl, 0, 9, &mut trace));
+    (0..2).for_each(|request_id| ask(&mut module, ms(1_000), request_id, 0, 9, &mut trace));
     module.timer(ms(1_600), 1, &mut trace);
     let called_off = end(Outcome::CalledOff, Remark::None);
-    (0..2).for_each(|dl| module.pull_ended(ms(1_600), DlId(dl), 0, &called_off, &mut trace));
+    (0..2).for_each(|request_id| {
+        module.pull_ended(ms(1_600), RequestId(request_id), 0, &called_off, &mut trace)
+    });
     ask(&mut module, ms(1_700), 7, 0, 9, &mut trace);
     expect![[r#"
         dl 0: pull 1 from 1 rank 0 join
@@ -49,15 +51,27 @@
 #[test]
 fn a_cache_that_fails_fast_is_set_aside_then_tried_with_one_pull() {
     let (mut module, mut trace) = start(settings());
-    for dl in 0..2 {
-        ask(&mut module, ms(1_000), dl, 0, 9, &mut trace);
-        module.pull_ended(ms(1_010), DlId(dl), 0, &end(Outcome::Failed, Remark::None), &mut trace);
-        module.pull_ended(ms(1_020), DlId(dl), 1, &end(Outcome::Fulfilled, Remark::Hit), &mut trace);
+    for request_id in 0..2 {
+        ask(&mut module, ms(1_000), request_id, 0, 9, &mut trace);
+        module.pull_ended(
+            ms(1_010),
+            RequestId(request_id),
+            0,
+            &end(Outcome::Failed, Remark::None),
+            &mut trace,
+        );
+        module.pull_ended(
+            ms(1_020),
+            RequestId(request_id),
+            1,
+            &end(Outcome::Fulfilled, Remark::Hit),
+            &mut trace,
+        );
     }
-    for (dl, at) in [(10, 7_000), (11, 7_001)] {
-        ask(&mut module, ms(at), dl, 0, 9, &mut trace);
+    for (request_id, at) in [(10, 7_000), (11, 7_001)] {
+        ask(&mut module, ms(at), request_id, 0, 9, &mut trace);
     }
-    module.pull_ended(ms(7_100), DlId(10), 0, &end(Outcome::Fulfilled, Remark::Hit), &mut trace);
+    module.pull_ended(ms(7_100), RequestId(10), 0, &end(Outcome::Fulfilled, Remark::Hit), &mut trace);
     ask(&mut module, ms(7_200), 12, 0, 9, &mut trace);
     expect![[r#"
         dl 0: pull 1 from 1 rank 0 join
@@ -75,11 +89,11 @@
 #[test]
 fn what_errs_at_every_cache_says_nothing_of_them() {
     let (mut module, mut trace) = start(settings());
-    for dl in 0..3 {
-        ask(&mut module, ms(1_000), dl, 0, 9, &mut trace);
+    for request_id in 0..3 {
+        ask(&mut module, ms(1_000), request_id, 0, 9, &mut trace);
         for number in 0..3 {
             let error = end(Outcome::Failed, Remark::None);
-            module.pull_ended(ms(1_010), DlId(dl), number, &error, &mut trace);
+            module.pull_ended(ms(1_010), RequestId(request_id), number, &error, &mut trace);
         }
     }
     assert!(!trace.0.contains("set aside"), "{}", trace.0);
@@ -88,12 +102,12 @@
 #[test]
 fn a_connection_that_ends_is_one_failure_however_much_was_on_it() {
     let (mut module, mut trace) = start(settings());
-    (0..4).for_each(|dl| ask(&mut module, ms(1_000), dl, 0, 9, &mut trace));
+    (0..4).for_each(|request_id| ask(&mut module, ms(1_000), request_id, 0, 9, &mut trace));
     trace.0.clear();
-    for (dl, outcome) in [(0, Outcome::Broken), (1, Outcome::Broken), (2, Outcome::NotSent)] {
-        module.pull_ended(ms(1_010), DlId(dl), 0, &end(outcome, Remark::None), &mut trace);
+    for (request_id, outcome) in [(0, Outcome::Broken), (1, Outcome::Broken), (2, Outcome::NotSent)] {
+        module.pull_ended(ms(1_010), RequestId(request_id), 0, &end(outcome, Remark::None), &mut trace);
     }
-    module.pull_ended(ms(1_020), DlId(3), 0, &end(Outcome::Broken, Remark::None), &mut trace);
+    module.pull_ended(ms(1_020), RequestId(3), 0, &end(Outcome::Broken, Remark::None), &mut trace);
     expect![[r#"
         dl 0: pull 2 from 2 rank 0 join
         dl 1: pull 2 from 2 rank 1 join
@@ -108,21 +122,27 @@
 fn two_resets_in_a_row_are_chance_at_a_busy_cache_and_no_connection_is_not() {
     for (outcome, aside) in [(Outcome::Broken, false), (Outcome::Unreachable, true)] {
         let (mut module, mut trace) = start(settings());
-        for dl in 0..40 {
-            let at = ms(1_000 + 20 * u64::from(dl));
-            ask(&mut module, at, dl, 0, 9, &mut trace);
+        for request_id in 0..40 {
+            let at = ms(1_000 + 20 * u64::from(request_id));
+            ask(&mut module, at, request_id, 0, 9, &mut trace);
             module.pull_ended(
                 at.after(ms(10)),
-                DlId(dl),
+                RequestId(request_id),
                 0,
                 &end(Outcome::Fulfilled, Remark::Hit),
                 &mut trace,
             );
         }
-        for dl in 40..42 {
-            let at = ms(1_000 + 20 * u64::from(dl));
-            ask(&mut module, at, dl, 0, 9, &mut trace);
-            module.pull_ended(at.after(ms(1)), DlId(dl), 0, &end(outcome, Remark::None), &mut trace);
+        for request_id in 40..42 {
+            let at = ms(1_000 + 20 * u64::from(request_id));
+            ask(&mut module, at, request_id, 0, 9, &mut trace);
+            module.pull_ended(
+                at.after(ms(1)),
+                RequestId(request_id),
+                0,
+                &end(outcome, Remark::None),
+                &mut trace,
+            );
         }
         assert_eq!(trace.0.contains("set aside"), aside, "{outcome:?}");
     }
@@ -132,17 +152,18 @@
 fn a_silent_origin_leaves_the_parents_copies_in_use() {
     // Nine fills hang while the caches answer and both parents serve what they hold.
     let (mut module, mut trace) = start(settings());
-    for dl in 0..15 {
-        let at = ms(if dl < 9 { 1_000 } else { 1_400 });
-        ask(&mut module, at, dl, 0, dl, &mut trace);
-        miss(&mut module, at, dl, &mut trace);
-        if dl >= 9 {
+    for request_id in 0..15 {
+        let at = ms(if request_id < 9 { 1_000 } else { 1_400 });
+        ask(&mut module, at, request_id, 0, request_id, &mut trace);
+        miss(&mut module, at, request_id, &mut trace);
+        if request_id >= 9 {
             let held = end(Outcome::Fulfilled, Remark::FilledFromCopy);
-            module.pull_ended(ms(1_450), DlId(dl), 1, &held, &mut trace);
+            module.pull_ended(ms(1_450), RequestId(request_id), 1, &held, &mut trace);
         }
     }
     trace.0.clear();
-    (0..9).for_each(|dl| module.timer(ms(1_600), dl << 32 | (2 * dl + 2), &mut trace));
+    (0..9)
+        .for_each(|request_id| module.timer(ms(1_600), request_id << 32 | (2 * request_id + 2), &mut trace));
     ask(&mut module, ms(1_700), 20, 0, 30, &mut trace);
     miss(&mut module, ms(1_701), 20, &mut trace);
     expect![[r#"
@@ -157,14 +178,14 @@
 fn with_a_slow_parent(other: Readiness) -> String {
     let (mut module, mut trace) = start(settings());
     module.nodes_changed(ms(900), &[entry(4, 1, other, Nanos::ZERO)], &mut trace);
-    for dl in 0..12 {
-        let now = ms(1_000 + 100 * u64::from(dl));
-        ask(&mut module, now, dl, 0, 9, &mut trace);
-        miss(&mut module, now, dl, &mut trace);
+    for request_id in 0..12 {
+        let now = ms(1_000 + 100 * u64::from(request_id));
+        ask(&mut module, now, request_id, 0, 9, &mut trace);
+        miss(&mut module, now, request_id, &mut trace);
         let slow = trace.0.lines().last().is_some_and(|line| line.contains("from 3"));
         let (took, waited) = if slow { (ms(900), Some(ms(10))) } else { (ms(130), Some(ms(30))) };
         let ended = PullEnd { took, waited, ..end(Outcome::Fulfilled, Remark::FilledFromCopy) };
-        module.pull_ended(now.after(ms(90)), DlId(dl), 1, &ended, &mut trace);
+        module.pull_ended(now.after(ms(90)), RequestId(request_id), 1, &ended, &mut trace);
     }
     counts(&trace, &["from 3", "from 4", "from 5"])
 }
@@ -203,13 +224,13 @@
 #[test]
 fn where_all_caches_fail_at_times_those_that_answer_stay_in_use() {
     let (mut module, mut trace) = start(settings());
-    for dl in 0..60 {
-        let now = ms(1_000 + 20 * u64::from(dl));
-        ask(&mut module, now, dl, 0, dl, &mut trace);
-        let ok = dl % 5 < 2;
+    for request_id in 0..60 {
+        let now = ms(1_000 + 20 * u64::from(request_id));
+        ask(&mut module, now, request_id, 0, request_id, &mut trace);
+        let ok = request_id % 5 < 2;
         let (outcome, remark) =
             if ok { (Outcome::Fulfilled, Remark::Hit) } else { (Outcome::Broken, Remark::None) };
-        module.pull_ended(now, DlId(dl), 0, &end(outcome, remark), &mut trace);
+        module.pull_ended(now, RequestId(request_id), 0, &end(outcome, remark), &mut trace);
     }
     expect![[r#"
         set aside: 3
@@ -223,15 +244,21 @@
     // Found at full size: own pulls times twenty dispatchers sent nearly every download to another cache
     // than its hash says; without them an overloaded cache did not show.
     let (mut module, mut trace) = start(Settings { zone_dispatchers: 20, ..settings() });
-    (0..4).for_each(|dl| ask(&mut module, ms(1_000), dl, 0, 9, &mut trace));
+    (0..4).for_each(|request_id| ask(&mut module, ms(1_000), request_id, 0, 9, &mut trace));
     let slow = PullEnd { took: ms(1_500), ..end(Outcome::Fulfilled, Remark::Hit) };
-    (0..4).for_each(|dl| module.pull_ended(ms(2_500), DlId(dl), 0, &slow, &mut trace));
-    for dl in 10..16 {
-        ask(&mut module, ms(2_500), dl, 0, 2, &mut trace);
-        module.pull_ended(ms(2_600), DlId(dl), 0, &end(Outcome::Fulfilled, Remark::Hit), &mut trace);
+    (0..4).for_each(|request_id| module.pull_ended(ms(2_500), RequestId(request_id), 0, &slow, &mut trace));
+    for request_id in 10..16 {
+        ask(&mut module, ms(2_500), request_id, 0, 2, &mut trace);
+        module.pull_ended(
+            ms(2_600),
+            RequestId(request_id),
+            0,
+            &end(Outcome::Fulfilled, Remark::Hit),
+            &mut trace,
+        );
     }
     trace.0.clear();
-    (0..2).for_each(|dl| ask(&mut module, ms(2_600), dl, 0, 9, &mut trace));
+    (0..2).for_each(|request_id| ask(&mut module, ms(2_600), request_id, 0, 9, &mut trace));
     expect![[r#"
         dl 0: pull 1 from 1 rank 1 join
         dl 1: pull 2 from 2 rank 1 join
@@ -251,9 +278,9 @@
             report: Report { in_hand: Some(12.0 * f64::from(load)), busy: None },
             ..end(Outcome::Fulfilled, Remark::Hit)
         };
-        for dl in 0..60 {
-            ask(&mut module, ms(1_000), dl, 0, dl, &mut trace);
-            module.pull_ended(ms(1_500), DlId(dl), 0, &busy, &mut trace);
+        for request_id in 0..60 {
+            ask(&mut module, ms(1_000), request_id, 0, request_id, &mut trace);
+            module.pull_ended(ms(1_500), RequestId(request_id), 0, &busy, &mut trace);
         }
         trace.0.clear();
         ask(&mut module, ms(1_600), 70, 0, 70, &mut trace);
@@ -277,9 +304,9 @@
     // came, and each of its fills hung until its expiry.
     let (mut module, mut trace) = start(settings());
     module.nodes_changed(ms(900), &[entry(5, 2, Readiness::Gone, Nanos::ZERO)], &mut trace);
-    for (dl, at) in [(0, 1_000), (1, 4_000)] {
-        ask(&mut module, ms(at), dl, 0, 21, &mut trace);
-        miss(&mut module, ms(at + 1), dl, &mut trace);
+    for (request_id, at) in [(0, 1_000), (1, 4_000)] {
+        ask(&mut module, ms(at), request_id, 0, 21, &mut trace);
+        miss(&mut module, ms(at + 1), request_id, &mut trace);
     }
     module.timer(ms(1_600), 2, &mut trace);
     module.timer(ms(4_600), 1 << 32 | 4, &mut trace);
@@ -299,13 +326,13 @@
 fn where_sources_refuse_fills_further_pulls_become_few() {
     // Found at full size: second fills did not count as further pulls, so each download made all six.
     let (mut module, mut trace) = start(settings());
-    let pulls = (0..6).map(|dl| {
+    let pulls = (0..6).map(|request_id| {
         trace.0.clear();
-        ask(&mut module, ms(1_000), dl, 0, 10 * dl, &mut trace);
+        ask(&mut module, ms(1_000), request_id, 0, 10 * request_id, &mut trace);
         for number in 0..6 {
             let refused = end(Outcome::Refused, Remark::SourceRefused);
             let ended = if number % 2 == 0 { end(Outcome::NotHeld, Remark::None) } else { refused };
-            module.pull_ended(ms(1_010), DlId(dl), number, &ended, &mut trace);
+            module.pull_ended(ms(1_010), RequestId(request_id), number, &ended, &mut trace);
         }
         trace.0.matches("pull").count()
     });
@@ -322,7 +349,7 @@
         let (mut module, mut trace) = start(Settings { seed, ..settings() });
         ask(&mut module, ms(1_000), 0, 0, 9, &mut trace);
         module.timer(ms(1_600), 1, &mut trace);
-        module.pull_ended(ms(1_600), DlId(0), 0, &end(Outcome::CalledOff, Remark::None), &mut trace);
+        module.pull_ended(ms(1_600), RequestId(0), 0, &end(Outcome::CalledOff, Remark::None), &mut trace);
         trace.0.clear();
         let tries = (0..100_u32).map(|step| (step, ms(3_000 + 50 * u64::from(step))));
         let mut asked = tries.map(|(step, now)| {
--- a/crates/routing/tests/module/largest.rs
+++ b/crates/routing/tests/module/largest.rs
@@ -40,7 +40,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Sending {
     dispatcher: usize,
-    dl: DlId,
+    request_id: RequestId,
     number: u32,
     node: u32,
     source: u32,
@@ -52,34 +52,34 @@
 
 #[derive(Default)]
 struct Out {
-    pulls: Vec<(DlId, u32, u32, u32)>,
+    pulls: Vec<(RequestId, u32, u32, u32)>,
     counts: BTreeMap<u32, u32>,
-    throttled: Vec<DlId>,
-    called_off: Vec<(DlId, u32)>,
+    throttled: Vec<RequestId>,
+    called_off: Vec<(RequestId, u32)>,
     timers: Vec<(Nanos, u64)>,
 }
 
 impl Outbox for Out {
-    fn pull(&mut self, dl: DlId, pull: &Pull) {
-        let number = self.counts.entry(dl.0).or_default();
-        self.pulls.push((dl, *number, pull.node.0, pull.source.0));
+    fn pull(&mut self, request_id: RequestId, pull: &Pull) {
+        let number = self.counts.entry(request_id.0).or_default();
+        self.pulls.push((request_id, *number, pull.node.0, pull.source.0));
         *number += 1;
     }
-    fn call_off(&mut self, dl: DlId, number: u32) {
-        self.called_off.push((dl, number));
+    fn call_off(&mut self, request_id: RequestId, number: u32) {
+        self.called_off.push((request_id, number));
     }
-    fn throttle(&mut self, dl: DlId, _come_back: Option<Nanos>) {
-        self.throttled.push(dl);
+    fn throttle(&mut self, request_id: RequestId, _come_back: Option<Nanos>) {
+        self.throttled.push(request_id);
     }
-    fn abandon(&mut self, _dl: DlId) {}
+    fn abandon(&mut self, _dl: RequestId) {}
     fn arm(&mut self, span: Nanos, token: u64) {
         self.timers.push((span, token));
     }
     fn probe(&mut self, _node: NodeId) {}
     fn follow(&mut self) {}
     fn note(&mut self, _line: &str) {}
-    fn release(&mut self, dl: DlId) {
-        self.counts.remove(&dl.0);
+    fn release(&mut self, request_id: RequestId) {
+        self.counts.remove(&request_id.0);
     }
     fn release_object(&mut self, _object: ObjectId) {}
 }
@@ -156,13 +156,13 @@
                 let at = (chance.share() * f64::from(DISPATCHERS)) as usize;
                 let Want { object, work_s, .. } = wants[want];
                 wants[want].tries += 1;
-                let d = Download {
+                let d = RoutingRequest {
                     expires: now.after(EXPIRY),
                     repeat: wants[want].tries > 1,
                     ..sized(now, count % 16_384, object, work_s * 10_000.0)
                 };
-                open.insert((at, d.dl.0), (want, d.expires));
-                fleet[at].download(now, &d, &mut outs[at]);
+                open.insert((at, d.request_id.0), (want, d.expires));
+                fleet[at].request_arrived(now, &d, &mut outs[at]);
             }
             // Transfers go on, each node's at its own pace.
             let mut busy = [0.0; 6];
@@ -195,20 +195,27 @@
                     remark: how.1,
                     report: Report::default(),
                 };
-                if closed && let Some((want, _)) = open.remove(&(one.dispatcher, one.dl.0)) {
+                if closed && let Some((want, _)) = open.remove(&(one.dispatcher, one.request_id.0)) {
                     wants[want].answered = true;
                 }
-                fleet[one.dispatcher].pull_ended(now, one.dl, one.number, &end, &mut outs[one.dispatcher]);
+                fleet[one.dispatcher].pull_ended(
+                    now,
+                    one.request_id,
+                    one.number,
+                    &end,
+                    &mut outs[one.dispatcher],
+                );
             }
             // Time is up.
             let over: Vec<_> = open.iter().filter(|(_, (_, at))| *at <= now).map(|(key, _)| *key).collect();
-            for (at, dl) in over {
-                open.remove(&(at, dl));
-                let ended =
-                    sending.extract_if(.., |one| one.dispatcher == at && one.dl.0 == dl).collect::<Vec<_>>();
+            for (at, request_id) in over {
+                open.remove(&(at, request_id));
+                let ended = sending
+                    .extract_if(.., |one| one.dispatcher == at && one.request_id.0 == request_id)
+                    .collect::<Vec<_>>();
                 for one in ended {
                     let end = PullEnd { took: now.since(one.begun), ..end(Outcome::TimedOut, Remark::None) };
-                    fleet[at].pull_ended(now, one.dl, one.number, &end, &mut outs[at]);
+                    fleet[at].pull_ended(now, one.request_id, one.number, &end, &mut outs[at]);
                 }
             }
             while let Some(((at, _), _)) = timers.first_key_value()
@@ -223,25 +230,26 @@
                     count += 1;
                     timers.insert((now.after(span), count), (at, token));
                 }
-                for (dl, number) in std::mem::take(&mut out.called_off) {
-                    let gone = sending
-                        .extract_if(.., |one| one.dispatcher == at && one.dl == dl && one.number == number);
+                for (request_id, number) in std::mem::take(&mut out.called_off) {
+                    let gone = sending.extract_if(.., |one| {
+                        one.dispatcher == at && one.request_id == request_id && one.number == number
+                    });
                     let gone: Vec<_> = gone.collect();
                     for one in gone {
                         let end =
                             PullEnd { took: now.since(one.begun), ..end(Outcome::CalledOff, Remark::None) };
-                        fleet[at].pull_ended(now, one.dl, one.number, &end, out);
+                        fleet[at].pull_ended(now, one.request_id, one.number, &end, out);
                     }
                 }
-                for dl in std::mem::take(&mut out.throttled) {
-                    let Some((want, _)) = open.remove(&(at, dl.0)) else { continue };
+                for request_id in std::mem::take(&mut out.throttled) {
+                    let Some((want, _)) = open.remove(&(at, request_id.0)) else { continue };
                     if wants[want].tries <= self.tries {
                         count += 1;
                         again.insert((now.after(ms(100 + (chance.share() * 300.0) as u64)), count), want);
                     }
                 }
-                for (dl, number, node, source) in std::mem::take(&mut out.pulls) {
-                    let Some((want, _)) = open.get(&(at, dl.0)) else { continue };
+                for (request_id, number, node, source) in std::mem::take(&mut out.pulls) {
+                    let Some((want, _)) = open.get(&(at, request_id.0)) else { continue };
                     let (work_s, look) = (wants[*want].work_s, node == source);
                     // What is held is found at once, or not.
                     let empty = node < self.cold && now < ms(15_000) && (told || self.slow_untold);
@@ -254,7 +262,7 @@
                     let begins = now.after(ms(wait));
                     sending.push(Sending {
                         dispatcher: at,
-                        dl,
+                        request_id,
                         number,
                         node,
                         source,
--- a/crates/routing/tests/module/ordinary.rs
+++ b/crates/routing/tests/module/ordinary.rs
@@ -14,12 +14,18 @@
 fn missed(gaps: &[u64], remark: Remark) -> String {
     let (mut module, mut trace) = start(alone());
     let mut now = ms(1_000);
-    for (dl, gap) in gaps.iter().enumerate() {
+    for (request_id, gap) in gaps.iter().enumerate() {
         now = now.after(ms(*gap));
-        let dl = dl as u32;
-        ask(&mut module, now, dl, 0, 9, &mut trace);
-        miss(&mut module, now, dl, &mut trace);
-        module.pull_ended(now.after(ms(120)), DlId(dl), 1, &end(Outcome::Fulfilled, remark), &mut trace);
+        let request_id = request_id as u32;
+        ask(&mut module, now, request_id, 0, 9, &mut trace);
+        miss(&mut module, now, request_id, &mut trace);
+        module.pull_ended(
+            now.after(ms(120)),
+            RequestId(request_id),
+            1,
+            &end(Outcome::Fulfilled, remark),
+            &mut trace,
+        );
     }
     trace.0
 }
@@ -51,9 +57,15 @@
 #[test]
 fn a_hit_on_what_is_not_worth_keeping_gets_the_lowest_rank() {
     let (mut module, mut trace) = start(settings());
-    for (dl, at) in [(0, 1_000), (1, 3_000), (2, 300_000)] {
-        ask(&mut module, ms(at), dl, 1, 9, &mut trace);
-        module.pull_ended(ms(at + 50), DlId(dl), 0, &end(Outcome::Fulfilled, Remark::Hit), &mut trace);
+    for (request_id, at) in [(0, 1_000), (1, 3_000), (2, 300_000)] {
+        ask(&mut module, ms(at), request_id, 1, 9, &mut trace);
+        module.pull_ended(
+            ms(at + 50),
+            RequestId(request_id),
+            0,
+            &end(Outcome::Fulfilled, Remark::Hit),
+            &mut trace,
+        );
     }
     expect![[r#"
         dl 0: pull 1 from 1 rank 0 join
@@ -69,13 +81,13 @@
     let mut now = ms(1_000);
     // Twenty objects asked for twice, 9 s apart; then one asked for ten times a second.
     let asked = (0..40).map(|n| (n % 20, 450)).chain((0..6).map(|_| (50, 100)));
-    for (dl, (object, gap)) in asked.enumerate() {
+    for (request_id, (object, gap)) in asked.enumerate() {
         now = now.after(ms(gap));
-        let dl = dl as u32;
-        ask(&mut module, now, dl, 0, object, &mut trace);
-        miss(&mut module, now, dl, &mut trace);
+        let request_id = request_id as u32;
+        ask(&mut module, now, request_id, 0, object, &mut trace);
+        miss(&mut module, now, request_id, &mut trace);
         let filled = end(Outcome::Fulfilled, Remark::FilledFromCopy);
-        module.pull_ended(now.after(ms(20)), DlId(dl), 1, &filled, &mut trace);
+        module.pull_ended(now.after(ms(20)), RequestId(request_id), 1, &filled, &mut trace);
     }
     let fills: Vec<_> = trace.0.lines().filter(|l| l.contains("from 3") || l.contains("from 4")).collect();
     let ranks = |rank: &str| fills.iter().filter(|l| l.contains(rank)).count();
@@ -91,9 +103,9 @@
 fn a_clients_repeat_is_no_request_more() {
     // Found on scans: repeats of refused downloads had one-off objects kept, at the upper ranks even.
     let (mut module, mut trace) = start(alone());
-    for (dl, at, kind) in [(0, 1_000, 0), (1, 1_200, 10), (2, 9_000, 0)] {
-        ask(&mut module, ms(at), dl, kind, 9, &mut trace);
-        miss(&mut module, ms(at), dl, &mut trace);
+    for (request_id, at, kind) in [(0, 1_000, 0), (1, 1_200, 10), (2, 9_000, 0)] {
+        ask(&mut module, ms(at), request_id, kind, 9, &mut trace);
+        miss(&mut module, ms(at), request_id, &mut trace);
     }
     expect![[r#"
         dl 0: pull 1 from 1 rank 0 join
@@ -111,12 +123,12 @@
     // Found at full size: what one of twenty asks for first was mostly asked for at the location before.
     let kept = [1, 2, 20].map(|zone_dispatchers| {
         let (mut module, mut trace) = start(Settings { zone_dispatchers, ..settings() });
-        for dl in 0..100 {
-            let now = ms(1_000 + 1_000 * u64::from(dl));
-            ask(&mut module, now, dl, 0, dl, &mut trace);
-            miss(&mut module, now, dl, &mut trace);
+        for request_id in 0..100 {
+            let now = ms(1_000 + 1_000 * u64::from(request_id));
+            ask(&mut module, now, request_id, 0, request_id, &mut trace);
+            miss(&mut module, now, request_id, &mut trace);
             let filled = end(Outcome::Fulfilled, Remark::FilledFromCopy);
-            module.pull_ended(now.after(ms(20)), DlId(dl), 1, &filled, &mut trace);
+            module.pull_ended(now.after(ms(20)), RequestId(request_id), 1, &filled, &mut trace);
         }
         trace.0.matches("rank 1").count()
     });
@@ -136,10 +148,10 @@
         armed.map(|armed| armed.1)
     };
     ask(&mut module, ms(1_000), 0, 0, 9, &mut trace);
-    module.pull_ended(ms(1_002), DlId(0), 0, &end(Outcome::NotHeld, Remark::Joined), &mut trace);
+    module.pull_ended(ms(1_002), RequestId(0), 0, &end(Outcome::NotHeld, Remark::Joined), &mut trace);
     if let Some(token) = waits(&mut trace) {
         module.timer(ms(1_100), token, &mut trace);
-        module.pull_ended(ms(1_200), DlId(0), 1, &end(again, remark), &mut trace);
+        module.pull_ended(ms(1_200), RequestId(0), 1, &end(again, remark), &mut trace);
         waits(&mut trace);
     }
     trace.0
@@ -179,15 +191,21 @@
     let away = |id| NodeEntry { zone: ZoneId(1), ..entry(id, 0, Readiness::Ready, started) };
     module.nodes_changed(ms(1), &[away(6), away(7)], &mut trace);
     // The origin has failed lately: it is spared.
-    for dl in (10..20).filter(|_| spared) {
-        ask(&mut module, ms(500), dl, 0, dl, &mut trace);
-        miss(&mut module, ms(500), dl, &mut trace);
-        module.pull_ended(ms(510), DlId(dl), 1, &end(Outcome::Refused, Remark::OriginFailed), &mut trace);
+    for request_id in (10..20).filter(|_| spared) {
+        ask(&mut module, ms(500), request_id, 0, request_id, &mut trace);
+        miss(&mut module, ms(500), request_id, &mut trace);
+        module.pull_ended(
+            ms(510),
+            RequestId(request_id),
+            1,
+            &end(Outcome::Refused, Remark::OriginFailed),
+            &mut trace,
+        );
     }
     trace.0.clear();
     ask(&mut module, ms(1_000), 0, 0, 9, &mut trace);
     miss(&mut module, ms(1_001), 0, &mut trace);
-    module.pull_ended(ms(1_010), DlId(0), 1, &end(outcome, remark), &mut trace);
+    module.pull_ended(ms(1_010), RequestId(0), 1, &end(outcome, remark), &mut trace);
     trace.0
 }
 
--- a/crates/routing/tests/module/rules.rs
+++ b/crates/routing/tests/module/rules.rs
@@ -8,14 +8,14 @@
 fn one_final_answer_whatever_comes_after() {
     let (mut module, mut trace) = start(settings());
     ask(&mut module, ms(1_000), 0, 0, 1, &mut trace);
-    module.client_gone(ms(1_100), DlId(0), &mut trace);
-    module.client_gone(ms(1_100), DlId(0), &mut trace);
-    module.pull_ended(ms(1_200), DlId(0), 0, &end(Outcome::CalledOff, Remark::None), &mut trace);
-    module.pull_ended(ms(1_300), DlId(0), 0, &end(Outcome::Failed, Remark::None), &mut trace);
+    module.client_gone(ms(1_100), RequestId(0), &mut trace);
+    module.client_gone(ms(1_100), RequestId(0), &mut trace);
+    module.pull_ended(ms(1_200), RequestId(0), 0, &end(Outcome::CalledOff, Remark::None), &mut trace);
+    module.pull_ended(ms(1_300), RequestId(0), 0, &end(Outcome::Failed, Remark::None), &mut trace);
     // Out of time: the answer comes with the outcome, and nothing follows.
     ask(&mut module, ms(2_000), 1, 0, 1, &mut trace);
-    module.pull_ended(ms(5_000), DlId(1), 0, &end(Outcome::TimedOut, Remark::None), &mut trace);
-    module.client_gone(ms(5_000), DlId(1), &mut trace);
+    module.pull_ended(ms(5_000), RequestId(1), 0, &end(Outcome::TimedOut, Remark::None), &mut trace);
+    module.client_gone(ms(5_000), RequestId(1), &mut trace);
     expect![[r#"
         dl 0: pull 1 from 1 rank 0 join
         dl 0: call off 0
@@ -29,10 +29,10 @@
 fn what_must_not_run_twice_goes_again_only_when_it_never_ran() {
     let (mut module, mut trace) = start(settings());
     ask(&mut module, ms(1_000), 0, 2, 1, &mut trace);
-    module.pull_ended(ms(1_100), DlId(0), 0, &end(Outcome::Unreachable, Remark::None), &mut trace);
-    module.pull_ended(ms(1_200), DlId(0), 1, &end(Outcome::Broken, Remark::None), &mut trace);
+    module.pull_ended(ms(1_100), RequestId(0), 0, &end(Outcome::Unreachable, Remark::None), &mut trace);
+    module.pull_ended(ms(1_200), RequestId(0), 1, &end(Outcome::Broken, Remark::None), &mut trace);
     ask(&mut module, ms(1_300), 1, 2, 1, &mut trace);
-    module.pull_ended(ms(1_400), DlId(1), 0, &end(Outcome::TimedOut, Remark::None), &mut trace);
+    module.pull_ended(ms(1_400), RequestId(1), 0, &end(Outcome::TimedOut, Remark::None), &mut trace);
     expect![[r#"
         dl 0: pull 5 from 5 rank 0 join
         dl 0: pull 3 from 5 rank 0 join
@@ -53,10 +53,10 @@
     let mut other = entry(0, 0, Readiness::Ready, Nanos::ZERO);
     other.cell = 9;
     module.nodes_changed(ms(2), &[other], &mut trace);
-    for (dl, kind, wait) in [(0, 0, 100), (1, 1, 100), (2, 1, 600)] {
-        ask(&mut module, ms(1_000), dl, kind, 1, &mut trace);
+    for (request_id, kind, wait) in [(0, 0, 100), (1, 1, 100), (2, 1, 600)] {
+        ask(&mut module, ms(1_000), request_id, kind, 1, &mut trace);
         let now = ms(1_000 + wait);
-        module.pull_ended(now, DlId(dl), 0, &end(Outcome::Broken, Remark::None), &mut trace);
+        module.pull_ended(now, RequestId(request_id), 0, &end(Outcome::Broken, Remark::None), &mut trace);
     }
     expect![[r#"
         dl 0: pull 1 from 1 rank 0 join
@@ -149,12 +149,13 @@
     let (mut module, mut trace) = start(settings());
     let object = stable_hash(b"object-1");
     module.object_purged(ms(1_000), object, ms(200), &mut trace);
-    for (dl, at, kind) in [(0, 1_000, 0), (1, 2_000, 0), (2, 3_000, 1), (3, 7_500, 0), (4, 9_000, 1)] {
+    for (request_id, at, kind) in [(0, 1_000, 0), (1, 2_000, 0), (2, 3_000, 1), (3, 7_500, 0), (4, 9_000, 1)]
+    {
         if at == 2_000 {
             module.group_purged(ms(at), 1, Nanos::ZERO, &mut trace);
         }
-        ask(&mut module, ms(at), dl, kind, 1, &mut trace);
-        miss(&mut module, ms(at), dl, &mut trace);
+        ask(&mut module, ms(at), request_id, kind, 1, &mut trace);
+        miss(&mut module, ms(at), request_id, &mut trace);
     }
     expect![[r#"
         dl 0: pull 1 from 1 rank 0 age<=0.200 join
--- a/crates/routing/tests/module/sizes.rs
+++ b/crates/routing/tests/module/sizes.rs
@@ -90,19 +90,19 @@
         let again = NodeEntry { weight, ..entry(2, 0, Readiness::Ready, began) };
         module.nodes_changed(began, &[again], trace);
     }
-    let (mut dl, mut sent) = (0, Vec::new());
+    let (mut request_id, mut sent) = (0, Vec::new());
     for step in 0..4_000_u64 {
         let now = began.after(ms(5 * step));
         for (module, trace) in &mut fleet {
-            dl += 1;
-            ask(module, now, dl, 0, dl % 40, trace);
+            request_id += 1;
+            ask(module, now, request_id, 0, request_id % 40, trace);
             let last = trace.0.lines().last().unwrap_or_default().to_string();
             if last.contains("pull 2 ") {
                 sent.push(now);
             }
             if last.contains("pull") {
                 let end = PullEnd { took: ms(100), ..end(Outcome::Fulfilled, Remark::Hit) };
-                module.pull_ended(now, DlId(dl), 0, &end, trace);
+                module.pull_ended(now, RequestId(request_id), 0, &end, trace);
             }
         }
     }
--- a/crates/routing/tests/module/spared.rs
+++ b/crates/routing/tests/module/spared.rs
@@ -10,15 +10,15 @@
 fn aside(outcome: Outcome, more: u32) -> String {
     let (mut module, mut trace) = start(settings());
     let mut now = ms(10);
-    for dl in 0..8 {
-        ask(&mut module, now, dl, 2, dl, &mut trace);
+    for request_id in 0..8 {
+        ask(&mut module, now, request_id, 2, request_id, &mut trace);
         now = now.after(ms(5));
         let end = PullEnd { closed: false, ..end(outcome, Remark::SourceLost) };
-        module.pull_ended(now, DlId(dl), 0, &end, &mut trace);
+        module.pull_ended(now, RequestId(request_id), 0, &end, &mut trace);
     }
     trace.0.clear();
-    for dl in 20..20 + more {
-        ask(&mut module, now.after(ms(1)), dl, 2, dl, &mut trace);
+    for request_id in 20..20 + more {
+        ask(&mut module, now.after(ms(1)), request_id, 2, request_id, &mut trace);
     }
     trace.0
 }
@@ -96,13 +96,13 @@
 fn a_fill_is_too_late_only_at_a_cache_that_is_loaded_over_what_it_can_do() {
     let (mut module, mut trace) = start(settings());
     // Fetches have come to take long, though in time for a large object.
-    for dl in 0..300 {
-        let now = ms(20 * u64::from(dl));
-        ask(&mut module, now, dl, 0, dl, &mut trace);
-        miss(&mut module, now, dl, &mut trace);
+    for request_id in 0..300 {
+        let now = ms(20 * u64::from(request_id));
+        ask(&mut module, now, request_id, 0, request_id, &mut trace);
+        miss(&mut module, now, request_id, &mut trace);
         let waited = Some(ms(290));
         let end = PullEnd { waited, took: ms(390), ..end(Outcome::Fulfilled, Remark::FilledFromOrigin) };
-        module.pull_ended(now.after(ms(10)), DlId(dl), 1, &end, &mut trace);
+        module.pull_ended(now.after(ms(10)), RequestId(request_id), 1, &end, &mut trace);
     }
     trace.0.clear();
     ask(&mut module, ms(7_000), 900, 0, 900, &mut trace);
--- a/crates/routing/tests/module/storm_day.rs
+++ b/crates/routing/tests/module/storm_day.rs
@@ -34,23 +34,23 @@
 
 #[derive(Default)]
 struct Sent {
-    pulls: Vec<DlId>,
-    later: Vec<(DlId, Nanos)>,
-    never: Vec<DlId>,
-    free: Vec<DlId>,
+    pulls: Vec<RequestId>,
+    later: Vec<(RequestId, Nanos)>,
+    never: Vec<RequestId>,
+    free: Vec<RequestId>,
     notes: Vec<String>,
 }
 
 impl Outbox for Sent {
-    fn pull(&mut self, dl: DlId, _pull: &Pull) {
-        self.pulls.push(dl);
+    fn pull(&mut self, request_id: RequestId, _pull: &Pull) {
+        self.pulls.push(request_id);
     }
-    fn call_off(&mut self, _dl: DlId, _number: u32) {}
-    fn throttle(&mut self, dl: DlId, come_back: Option<Nanos>) {
-        self.later.push((dl, come_back.unwrap_or_default()));
+    fn call_off(&mut self, _dl: RequestId, _number: u32) {}
+    fn throttle(&mut self, request_id: RequestId, come_back: Option<Nanos>) {
+        self.later.push((request_id, come_back.unwrap_or_default()));
     }
-    fn abandon(&mut self, dl: DlId) {
-        self.never.push(dl);
+    fn abandon(&mut self, request_id: RequestId) {
+        self.never.push(request_id);
     }
     fn arm(&mut self, _span: Nanos, _token: u64) {}
     fn probe(&mut self, _node: NodeId) {}
@@ -58,8 +58,8 @@
     fn note(&mut self, line: &str) {
         self.notes.push(line.to_string());
     }
-    fn release(&mut self, dl: DlId) {
-        self.free.push(dl);
+    fn release(&mut self, request_id: RequestId) {
+        self.free.push(request_id);
     }
     fn release_object(&mut self, _object: ObjectId) {}
 }
@@ -133,13 +133,13 @@
 
     /// A try comes.
     pub fn come(&mut self, tried: Try) {
-        let dl = self.free.pop().unwrap_or_else(|| {
+        let request_id = self.free.pop().unwrap_or_else(|| {
             self.next += 1;
             self.next - 1
         });
         let hash = stable_hash(format!("object-{}", tried.object).as_bytes());
-        let d = Download {
-            dl: DlId(dl),
+        let d = RoutingRequest {
+            request_id: RequestId(request_id),
             content_type: TypeId(tried.kind),
             object: ObjectId(tried.object),
             copy_hash: hash,
@@ -151,9 +151,9 @@
             client: tried.client,
             body_hash: 0,
         };
-        self.held.insert(dl, (tried, 0));
+        self.held.insert(request_id, (tried, 0));
         let mut sent = Sent::default();
-        self.module.download(self.now, &d, &mut sent);
+        self.module.request_arrived(self.now, &d, &mut sent);
         self.carry(sent);
     }
 
@@ -162,8 +162,8 @@
         for note in sent.notes.iter().filter(|note| note.starts_with("content type")) {
             let _ = writeln!(self.trace, "{:.1} {note}", self.now.secs() - 1_000.0);
         }
-        for dl in sent.pulls {
-            let (tried, number) = self.held.get_mut(&dl.0).expect("held");
+        for request_id in sent.pulls {
+            let (tried, number) = self.held.get_mut(&request_id.0).expect("held");
             tried.pulls += 1;
             *number += 1;
             let (kind, number) = (tried.kind, *number - 1);
@@ -177,19 +177,24 @@
                 false => (Outcome::Unreachable, ms(10)),
             };
             *self.work.entry(self.now.0 / 3_000_000_000).or_default() += took.secs();
-            self.ending.entry(self.now.after(after).0).or_default().push((dl.0, number, outcome, after));
+            self.ending.entry(self.now.after(after).0).or_default().push((
+                request_id.0,
+                number,
+                outcome,
+                after,
+            ));
         }
-        for (dl, back) in sent.later {
+        for (request_id, back) in sent.later {
             self.later += 1;
-            let (mut tried, _) = self.held[&dl.0];
+            let (mut tried, _) = self.held[&request_id.0];
             tried.tries += 1;
             let wait = if tried.heeds { back.max(ms(100)) } else { ms(100) };
             self.coming.entry(self.now.after(wait).0).or_default().push(tried);
         }
         self.never += sent.never.len() as u32;
-        for dl in sent.free {
-            self.held.remove(&dl.0);
-            self.free.push(dl.0);
+        for request_id in sent.free {
+            self.held.remove(&request_id.0);
+            self.free.push(request_id.0);
         }
     }
 
@@ -199,16 +204,16 @@
             self.now = self.now.after(STEP);
             let due: Vec<_> = self.ending.range(..=self.now.0).map(|(at, _)| *at).collect();
             let ends: Vec<_> = due.iter().flat_map(|at| self.ending.remove(at)).flatten().collect();
-            for (dl, number, outcome, took) in ends {
+            for (request_id, number, outcome, took) in ends {
                 let remark = if outcome == Outcome::Fulfilled { Remark::Hit } else { Remark::None };
                 let closed = outcome == Outcome::Fulfilled;
                 let end = PullEnd { outcome, took, closed, waited: None, remark, report: Report::default() };
-                if let Some((tried, _)) = self.held.get(&dl).filter(|_| closed) {
+                if let Some((tried, _)) = self.held.get(&request_id).filter(|_| closed) {
                     self.ok[tried.kind as usize] += 1;
                     self.heeded[usize::from(tried.heeds)] += 1;
                 }
                 let mut sent = Sent::default();
-                self.module.pull_ended(self.now, DlId(dl), number, &end, &mut sent);
+                self.module.pull_ended(self.now, RequestId(request_id), number, &end, &mut sent);
                 self.carry(sent);
             }
             let due: Vec<_> = self.coming.range(..=self.now.0).map(|(at, _)| *at).collect();
--- a/crates/simulator-adapter/src/door.rs
+++ b/crates/simulator-adapter/src/door.rs
@@ -1,13 +1,13 @@
 //! The door of one instance: wire ids to small indices and back, and the lines that it sends.
 
-use copperroute_routing::interface::{DlId, Nanos, NodeId, ObjectId, Outbox, Pull};
+use copperroute_routing::interface::{Nanos, NodeId, ObjectId, Outbox, Pull, RequestId};
 use copperroute_routing::structures::ids::Ids;
 use std::fmt::Write as _;
 
 /// What one instance knows of the wire's ids.
 pub struct Door {
     instance: u32,
-    dls: Ids<u64>,
+    request_ids: Ids<u64>,
     objects: Ids<(String, u64)>,
     nodes: Ids<String>,
     /// Lines not yet written.
@@ -16,18 +16,18 @@
 
 impl Door {
     pub fn new(instance: u32) -> Self {
-        let (dls, objects, nodes) = (Ids::default(), Ids::default(), Ids::default());
-        Door { instance, dls, objects, nodes, lines: String::new() }
+        let (request_ids, objects, nodes) = (Ids::default(), Ids::default(), Ids::default());
+        Door { instance, request_ids, objects, nodes, lines: String::new() }
     }
 
     /// A slot for a download that has just come.
-    pub fn open(&mut self, id: u64) -> DlId {
-        DlId(self.dls.open(id))
+    pub fn open(&mut self, id: u64) -> RequestId {
+        RequestId(self.request_ids.open(id))
     }
 
     /// The slot of a download, if it is still held.
-    pub fn held(&self, id: u64) -> Option<DlId> {
-        self.dls.held(&id).map(DlId)
+    pub fn held(&self, id: u64) -> Option<RequestId> {
+        self.request_ids.held(&id).map(RequestId)
     }
 
     pub fn object(&mut self, name: &str, part: u64) -> ObjectId {
@@ -64,7 +64,7 @@
 }
 
 impl Outbox for Door {
-    fn pull(&mut self, dl: DlId, pull: &Pull) {
+    fn pull(&mut self, request_id: RequestId, pull: &Pull) {
         let manner = u32::from(pull.join)
             + 2 * u32::from(pull.held_only)
             + 4 * u32::from(pull.no_parent_copy)
@@ -73,7 +73,7 @@
             self,
             "pull_via\t{}\t{}\t{}\t{manner}\t{}\t{}\t{}\t{}",
             self.instance,
-            self.dls.key(dl.0),
+            self.request_ids.key(request_id.0),
             Secs(pull.try_for),
             self.nodes.key(pull.source.0),
             self.nodes.key(pull.node.0),
@@ -82,16 +82,16 @@
         );
     }
 
-    fn call_off(&mut self, dl: DlId, number: u32) {
-        say!(self, "revoke\t{}\t{}\t{number}", self.instance, self.dls.key(dl.0));
+    fn call_off(&mut self, request_id: RequestId, number: u32) {
+        say!(self, "revoke\t{}\t{}\t{number}", self.instance, self.request_ids.key(request_id.0));
     }
 
-    fn throttle(&mut self, dl: DlId, come_back: Option<Nanos>) {
-        say!(self, "not_now\t{}\t{}\t{}", self.instance, self.dls.key(dl.0), Secs(come_back));
+    fn throttle(&mut self, request_id: RequestId, come_back: Option<Nanos>) {
+        say!(self, "not_now\t{}\t{}\t{}", self.instance, self.request_ids.key(request_id.0), Secs(come_back));
     }
 
-    fn abandon(&mut self, dl: DlId) {
-        say!(self, "abort\t{}\t{}", self.instance, self.dls.key(dl.0));
+    fn abandon(&mut self, request_id: RequestId) {
+        say!(self, "abort\t{}\t{}", self.instance, self.request_ids.key(request_id.0));
     }
 
     fn arm(&mut self, span: Nanos, token: u64) {
@@ -110,8 +110,8 @@
         say!(self, "note_down\t{}\t{line}", self.instance);
     }
 
-    fn release(&mut self, dl: DlId) {
-        self.dls.release(dl.0);
+    fn release(&mut self, request_id: RequestId) {
+        self.request_ids.release(request_id.0);
     }
 
     fn release_object(&mut self, object: ObjectId) {
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -2,8 +2,8 @@
 
 use crate::door::Door;
 use copperroute_routing::interface::{
-    Download, Nanos, NodeEntry, Outcome, PullEnd, Readiness, Remark, Report, TypeId, UNTOLD, ZoneId, mix,
-    stable_hash,
+    Nanos, NodeEntry, Outcome, PullEnd, Readiness, Remark, Report, RoutingRequest, TypeId, UNTOLD, ZoneId,
+    mix, stable_hash,
 };
 use copperroute_routing::policy::Dispatcher;
 use copperroute_settings::Options;
@@ -199,9 +199,9 @@
                 return Err(format!("request: priority: no content type {}", content_type.0));
             }
             let object = door.object(name, part);
-            let dl = door.open(id);
-            let download = Download {
-                dl,
+            let request_id = door.open(id);
+            let routing_request = RoutingRequest {
+                request_id,
                 content_type,
                 object,
                 copy_hash: mix(object_hash.wrapping_add(part)),
@@ -213,17 +213,17 @@
                 client: 0,
                 body_hash: 0,
             };
-            module.download(now, &download, door);
+            module.request_arrived(now, &routing_request, door);
         }
         "ack_first" => {
             fields.expect(5)?;
-            if let Some(dl) = door.held(fields.number("id")?) {
-                module.first_byte(now, dl, fields.number("n")?, door);
+            if let Some(request_id) = door.held(fields.number("id")?) {
+                module.first_byte(now, request_id, fields.number("n")?, door);
             }
         }
         "report_back" => {
             fields.expect(10)?;
-            let dl = door.held(fields.number("id")?);
+            let request_id = door.held(fields.number("id")?);
             let outcome = outcome(fields.text("state_code")?)?;
             let took = fields.secs("rtt_s")?;
             let closed = fields.number::<u32>("no_more")? == 1;
@@ -232,15 +232,15 @@
             let waited = Some(fields.secs("waited_s")?).filter(|span| span.0 > 0);
             let remark = remark(fields.maybe("remark")?.unwrap_or(0));
             let report = report(fields.text("health_info")?);
-            if let Some(dl) = dl {
+            if let Some(request_id) = request_id {
                 let end = PullEnd { outcome, took, closed, waited, remark, report };
-                module.pull_ended(now, dl, number, &end, door);
+                module.pull_ended(now, request_id, number, &end, door);
             }
         }
         "client_gone" => {
             fields.expect(2)?;
-            if let Some(dl) = door.held(fields.number("id")?) {
-                module.client_gone(now, dl, door);
+            if let Some(request_id) = door.held(fields.number("id")?) {
+                module.client_gone(now, request_id, door);
             }
         }
         "elapsed" => {
