--- a/crates/cache-store/src/admission.rs
+++ b/crates/cache-store/src/admission.rs
@@ -25,7 +25,7 @@
 /// What is known of an object when one of its parts has come.
 #[derive(Debug, Clone, Copy)]
 pub struct Seen {
-    /// Downloads a second, if two were seen.
+    /// Requests a second, if two were seen.
     pub rate: Option<f64>,
     /// Hops from the cache to the closest copy but its own: 1 for a parent's, 2 for the origin.
     pub hops: f64,
@@ -44,7 +44,7 @@
         (bytes as f64 / MEAN_BYTES).max(1.0 / 16.0) / horizon_s
     }
 
-    /// The benefit of keeping a part here: rate times the hops that it saves, less storage cost. A first download
+    /// The benefit of keeping a part here: rate times the hops that it saves, less storage cost. A first request
     /// has none.
     pub fn benefit(self, seen: &Seen) -> f64 {
         let saved = TO_CACHE + seen.hops * MISSES;
--- a/crates/cache-store/src/worker.rs
+++ b/crates/cache-store/src/worker.rs
@@ -216,7 +216,7 @@
         !self.is_off() && self.jobs.try_send(self.job(Work::Read(key, ticket))).is_ok()
     }
 
-    /// Hands a copy over to be kept. With too much waiting it is not: that costs a pull later.
+    /// Hands a copy over to be kept. With too much waiting it is not: that costs an attempt later.
     pub fn write(&self, key: Key, facts: Facts, rank: u8, body: Arc<[u8]>) -> bool {
         !self.is_off() && self.jobs.try_send(self.job(Work::Write(key, facts, rank, body))).is_ok()
     }
--- a/crates/config-rollout/benches/switch.rs
+++ b/crates/config-rollout/benches/switch.rs
@@ -20,7 +20,7 @@
 struct Nobody;
 
 impl Outbox for Nobody {
-    fn pull(&mut self, _: RequestId, _: &Pull) {}
+    fn attempt(&mut self, _: RequestId, _: &Attempt) {}
     fn call_off(&mut self, _: RequestId, _: u32) {}
     fn throttle(&mut self, _: RequestId, _: Option<Nanos>) {}
     fn abandon(&mut self, _: RequestId) {}
@@ -66,7 +66,7 @@
         cancel: true,
         come_back: true,
         max_come_back: Nanos(S),
-        max_pulls: 6,
+        max_attempts: 6,
         sizes_told: true,
         probes: false,
         storms: None,
@@ -104,7 +104,7 @@
     });
 }
 
-/// The decisions take other rules with so many downloads in hand.
+/// The decisions take other rules with so many requests in hand.
 #[divan::bench(args = [0, 100, 1_000, 10_000])]
 fn the_decisions_take_it(bencher: Bencher, in_hand: u32) {
     let mut module = Dispatcher::new(settings());
@@ -136,6 +136,6 @@
         };
         module.request_arrived(Nanos(S), &routing_request, &mut Nobody);
     }
-    let tight = Settings { max_pulls: 2, ..settings() };
+    let tight = Settings { max_attempts: 2, ..settings() };
     bencher.bench_local(|| module.settings_changed(black_box(&tight)));
 }
--- a/crates/config-rollout/src/rules.rs
+++ b/crates/config-rollout/src/rules.rs
@@ -55,7 +55,7 @@
 
 /// The rules of the fleet: name, which value is the stricter, its form, and where it is kept.
 const FLEET: [Row; 11] = rows! {
-    "max_pulls" Lower Whole max_pulls count;
+    "max_pulls" Lower Whole max_attempts count;
     "cold_share" Lower Number cache_cold.share number;
     "cold_s" Higher Number cache_cold.warm_after span;
     "cold_falls_at" Lower Number cache_cold.fall_multiple number;
--- a/crates/config-rollout/tests/agreement/common.rs
+++ b/crates/config-rollout/tests/agreement/common.rs
@@ -53,7 +53,7 @@
         cancel: true,
         come_back: true,
         max_come_back: ms(1_000),
-        max_pulls: 6,
+        max_attempts: 6,
         sizes_told: true,
         probes: false,
         storms: None,
@@ -79,7 +79,7 @@
 pub const TERMS: Terms =
     Terms { lease: Nanos(3_000_000_000), clock_error: Nanos(250_000_000), slack: Nanos(500_000_000) };
 
-/// A dispatcher of the small fleet; no version may say less than two pulls.
+/// A dispatcher of the small fleet; no version may say less than two attempts.
 pub fn dispatcher(terms: Terms, faults: Faults) -> Agreement {
     let ground = Ground { base: base(), types: types(), terms, faults };
     Agreement::new(ground, &saying(json!({"max_pulls": 2, "cold_share": 0.1})))
--- a/crates/config-rollout/tests/agreement/core.rs
+++ b/crates/config-rollout/tests/agreement/core.rs
@@ -18,7 +18,7 @@
     trace: String,
 }
 
-/// The place of `max_pulls`.
+/// The place of `max_attempts`.
 const PULLS: Field = Field::Fleet(0);
 
 impl Play {
@@ -38,10 +38,10 @@
         if self.core.look(self.now(), self.unix_ms()) {
             let stands =
                 self.core.out_of_touch().map_or("in touch".to_string(), |why| format!("out of touch, {why}"));
-            let (version, pulls) = (self.core.in_force().number, self.core.acting().get(PULLS));
+            let (version, attempts) = (self.core.in_force().number, self.core.acting().get(PULLS));
             let _ = writeln!(
                 self.trace,
-                "{:.1} s: version {version}, {stands}, {pulls} pulls",
+                "{:.1} s: version {version}, {stands}, {attempts} pulls",
                 self.now_ms as f64 / 1e3
             );
         }
@@ -76,11 +76,11 @@
     }
 
     /// The next version, issued now, so long ahead.
-    fn next(&self, ahead_ms: u64, pulls: u64) -> Issue {
+    fn next(&self, ahead_ms: u64, attempts: u64) -> Issue {
         let (_, last) = self.core.to_come();
         let digest = if last == self.core.in_force().number { self.core.in_force().digest } else { 0 };
         let after = written_digest(last, digest);
-        issue(last + 1, &after, self.now_ms, self.now_ms + ahead_ms, json!({ "max_pulls": pulls }))
+        issue(last + 1, &after, self.now_ms, self.now_ms + ahead_ms, json!({ "max_pulls": attempts }))
     }
 }
 
@@ -167,8 +167,9 @@
 fn versions_faster_than_leases_are_all_obeyed_until_the_last_acts() {
     let mut play = in_touch();
     let (mut last, mut after) = (0, String::new());
-    for pulls in [5, 3, 6, 4, 6, 6, 6, 6, 6, 6, 6] {
-        let next = issue(last + 1, &after, play.now_ms, play.now_ms + 4_000, json!({ "max_pulls": pulls }));
+    for attempts in [5, 3, 6, 4, 6, 6, 6, 6, 6, 6, 6] {
+        let next =
+            issue(last + 1, &after, play.now_ms, play.now_ms + 4_000, json!({ "max_pulls": attempts }));
         play.heard(&next);
         (last, after) = (next.version, written_digest(next.version, next.digest()));
         play.lines(300);
--- a/crates/config-rollout/tests/agreement/ordering_model.rs
+++ b/crates/config-rollout/tests/agreement/ordering_model.rs
@@ -89,7 +89,7 @@
     number: u64,
     digest: u64,
     from: u64,
-    pulls: u64,
+    attempts: u64,
     good: bool,
     issued: u64,
     after: String,
@@ -102,7 +102,7 @@
             &self.after,
             self.issued * 1_000,
             self.from * 1_000,
-            json!({"max_pulls": self.pulls}),
+            json!({"max_pulls": self.attempts}),
         )
     }
 }
@@ -129,7 +129,8 @@
     /// The version in force on a clock, and what it allows.
     fn in_force(&self, at: u64) -> (u64, u64) {
         let good = self.log.iter().filter(|written| written.good && written.from <= at);
-        good.max_by_key(|written| written.number).map_or((0, BASE), |written| (written.number, written.pulls))
+        good.max_by_key(|written| written.number)
+            .map_or((0, BASE), |written| (written.number, written.attempts))
     }
 
     fn last_good(&self) -> Option<&Arc<Written>> {
@@ -234,8 +235,8 @@
         let (number, digest) = last.as_ref().map_or((0, 0), |last| (last.number, last.digest));
         let last_from = last.as_ref().map_or(0, |last| last.from);
         let from = if kind == Kind::Near { self.at + 1 } else { self.at + NOTICE }.max(last_from + 1);
-        let (number, pulls, good) = match kind {
-            Kind::Good(pulls) => (number + 1, pulls, true),
+        let (number, attempts, good) = match kind {
+            Kind::Good(attempts) => (number + 1, attempts, true),
             // As the moment lies behind the one before it, it may be far enough.
             Kind::Near => (number + 1, FLOOR, from >= self.at + NOTICE),
             Kind::Under => (number + 1, FLOOR - 1, false),
@@ -244,7 +245,7 @@
         };
         let late = matches!(kind, Kind::Again | Kind::Back);
         let after = written_digest(number - 1, if late { 0 } else { digest });
-        let mut written = Written { number, digest: 0, from, pulls, good, issued: self.at, after };
+        let mut written = Written { number, digest: 0, from, attempts, good, issued: self.at, after };
         written.digest = written.issue().digest();
         self.log.push(Arc::new(written));
     }
--- a/crates/config-rollout/tests/agreement/rules.rs
+++ b/crates/config-rollout/tests/agreement/rules.rs
@@ -76,7 +76,7 @@
         saying(json!({"max_pulls": 3, "types": {"image": {"repeat": "non-retriable", "expiry_s": 2}}}));
     let (s, expiries) = rules.apply(&settings(), &[ms(5_000), ms(3_000)]);
     let mut expected = settings();
-    expected.max_pulls = 3;
+    expected.max_attempts = 3;
     expected.content_types[0].repeat = Repeat::NonRetriable;
     assert_eq!((s, expiries), (expected, vec![ms(2_000), ms(3_000)]));
 }
@@ -89,11 +89,11 @@
 }
 
 fn any_rules() -> impl Strategy<Value = RuleSet> {
-    let pulls = 1..=6_u32;
-    (pulls, 0.01..0.3_f64, 12.0..30.0_f64, any::<bool>(), any::<bool>()).prop_map(
-        |(pulls, share, cold_s, past, repeat)| {
+    let attempts = 1..=6_u32;
+    (attempts, 0.01..0.3_f64, 12.0..30.0_f64, any::<bool>(), any::<bool>()).prop_map(
+        |(attempts, share, cold_s, past, repeat)| {
             let repeat = if repeat { "retriable" } else { "non-retriable" };
-            saying(json!({"max_pulls": pulls, "cold_share": share, "cold_s": cold_s, "past_caches": past,
+            saying(json!({"max_pulls": attempts, "cold_share": share, "cold_s": cold_s, "past_caches": past,
             "types": {"image": {"repeat": repeat}}}))
         },
     )
--- a/crates/dispatcher/src/attempt.rs
+++ b/crates/dispatcher/src/attempt.rs
@@ -5,7 +5,7 @@
 
 /// One attempt of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct PullRef {
+pub struct AttemptId {
     /// The request.
     pub request_id: RequestId,
     /// The number of the attempt, counted from 0 for each request.
--- a/crates/dispatcher/src/clients.rs
+++ b/crates/dispatcher/src/clients.rs
@@ -28,7 +28,7 @@
     from: u64,
     /// Decodes what it sends.
     pub decoder: Decoder,
-    /// Open downloads by tag.
+    /// Open requests by tag.
     pub open: HashMap<u64, RequestId>,
     /// Bytes given to the connection, and those that have left.
     queued: u64,
--- a/crates/dispatcher/src/copies.rs
+++ b/crates/dispatcher/src/copies.rs
@@ -39,7 +39,7 @@
     }
 }
 
-/// A copy that came for a download, offered to be kept.
+/// A copy that came for a request, offered to be kept.
 #[derive(Debug)]
 pub struct Offered {
     /// What it is of.
@@ -108,7 +108,7 @@
         told.is_some_and(|told| !told.uncacheable && told.repeat == Repeat::Retriable)
     }
 
-    /// Serves a download from here, if there is a copy that will do and the link has time for it.
+    /// Serves a request from here, if there is a copy that will do and the link has time for it.
     pub fn serve(
         &mut self,
         now: Nanos,
--- a/crates/dispatcher/src/desk/pulls.rs
+++ b/crates/dispatcher/src/desk/attempts.rs
@@ -1,20 +1,22 @@
-//! Pulls on their connections: handed over, ended, given up.
+//! Attempts on their connections: handed over, ended, given up.
 
 use super::*;
 
 impl Desk {
-    /// Ends a pull that is out, for the module to hear.
-    pub(super) fn end(&mut self, pull: PullRef, outcome: Outcome, told: Option<&nodes::Answer>) {
-        let Some(held) = self.held.get_mut(pull.request_id.0) else { return };
-        let Some(ended) = held.pulls.get_mut(pull.number as usize).filter(|ended| ended.out) else { return };
+    /// Ends an attempt that is out, for the module to hear.
+    pub(super) fn end(&mut self, attempt: AttemptId, outcome: Outcome, told: Option<&nodes::Answer>) {
+        let Some(held) = self.held.get_mut(attempt.request_id.0) else { return };
+        let Some(ended) = held.attempts.get_mut(attempt.number as usize).filter(|ended| ended.out) else {
+            return;
+        };
         ended.out = false;
         let took = self.now.since(ended.at);
         let closed = outcome == Outcome::Fulfilled;
         let why = told.map_or(Remark::None, |told| told.remark);
-        let (id, node) = (held.request.id, self.nodes.id(ended.pull.node));
+        let (id, node) = (held.request.id, self.nodes.id(ended.attempt.node));
         let bytes = told.map_or(0, |told| told.body.len());
         let size = held.request.size_kb.unwrap_or_default();
-        let (number, us) = (pull.number, took.0 / 1_000);
+        let (number, us) = (attempt.number, took.0 / 1_000);
         log::debug!(target: TRACE, "{id} pull {number} at {node} {outcome:?} {why:?} in {us} us, {bytes} bytes for {size} KB");
         let client = held.client;
         let made_ms = told.and_then(|told| told.copy).map(|(_, made_ms)| made_ms);
@@ -25,7 +27,7 @@
         if let Some(told) = told.filter(|_| closed) {
             let short = self.is_short_for(client);
             self.answer(
-                pull.request_id,
+                attempt.request_id,
                 match told.current {
                     true => Answer::Current,
                     // It may have run, so nothing is promised; others are served from what memory is left.
@@ -37,41 +39,41 @@
         let waited = told.and_then(|told| told.waited);
         let remark = told.map_or(Remark::None, |told| told.remark);
         let report = told.map_or(Report::default(), |told| told.report);
-        self.ended.push_back((pull, PullEnd { outcome, took, closed, waited, remark, report }));
+        self.ended.push_back((attempt, AttemptEnd { outcome, took, closed, waited, remark, report }));
     }
 
-    /// Gives up a pull that is out. One that was not sent when its time was up never ran.
-    pub(super) fn give_up(&mut self, pull: PullRef, outcome: Outcome) {
-        let Some(held) = self.held.get(pull.request_id.0) else { return };
-        let Some(out) = held.pulls.get(pull.number as usize).filter(|out| out.out) else { return };
+    /// Gives up an attempt that is out. One that was not sent when its time was up never ran.
+    pub(super) fn give_up(&mut self, attempt: AttemptId, outcome: Outcome) {
+        let Some(held) = self.held.get(attempt.request_id.0) else { return };
+        let Some(out) = held.attempts.get(attempt.number as usize).filter(|out| out.out) else { return };
         let id = held.request.id;
         let connection = out.connection;
-        let unsent = self.nodes.give_up(connection, pull, id, held.owed, &mut self.effects);
+        let unsent = self.nodes.give_up(connection, attempt, id, held.owed, &mut self.effects);
         let outcome = if unsent && outcome == Outcome::TimedOut { Outcome::NotSent } else { outcome };
-        self.end(pull, outcome, None);
+        self.end(attempt, outcome, None);
         if unsent {
             // What was behind it in the same bytes goes now.
             self.hand_over(connection);
         }
     }
 
-    /// Hands over what waits for a connection: a pull is put into words as it is written.
+    /// Hands over what waits for a connection: an attempt is put into words as it is written.
     pub(super) fn hand_over(&mut self, connection: u32) {
         let (held, now) = (&self.held, self.now);
-        let late = |pull: &PullRef| {
-            let of = held.get(pull.request_id.0);
-            let out = of.and_then(|held| held.pulls.get(pull.number as usize).map(|out| (held, out)));
+        let late = |attempt: &AttemptId| {
+            let of = held.get(attempt.request_id.0);
+            let out = of.and_then(|held| held.attempts.get(attempt.number as usize).map(|out| (held, out)));
             out.is_some_and(|(held, out)| {
-                out.pull.send_by.is_some_and(|by| by < now) || out.until(held).since(now) < LEAST_LEFT
+                out.attempt.send_by.is_some_and(|by| by < now) || out.until(held).since(now) < LEAST_LEFT
             })
         };
         let late = self.nodes.take_back_on(connection, late);
-        late.into_iter().for_each(|pull| self.end(pull, Outcome::NotSent, None));
+        late.into_iter().for_each(|attempt| self.end(attempt, Outcome::NotSent, None));
         let held = &self.held;
-        let fetch = |pull: PullRef| {
-            let held = held.get(pull.request_id.0)?;
-            let out = held.pulls.get(pull.number as usize)?;
-            let (request, order) = (&held.request, &out.pull);
+        let fetch = |attempt: AttemptId| {
+            let held = held.get(attempt.request_id.0)?;
+            let out = held.attempts.get(attempt.number as usize)?;
+            let (request, order) = (&held.request, &out.attempt);
             let fetch = Fetch {
                 id: request.id,
                 content_type: &request.content_type,
@@ -80,7 +82,7 @@
                 wait: out.until(held).since(now),
                 source: out.source.as_deref(),
                 // The age means the same moment as when it was ordered.
-                order: Pull { max_age: order.max_age.map(|age| age.after(now.since(out.at))), ..*order },
+                order: Attempt { max_age: order.max_age.map(|age| age.after(now.since(out.at))), ..*order },
                 held: request.held,
                 mark: request.mark.as_deref(),
                 body: &request.body,
@@ -118,11 +120,11 @@
             match self.nodes.answer(connection, self.now) {
                 Next::Nothing => return self.nodes.close_if_spent(connection, &mut self.effects),
                 Next::Answer(None, _) => {}
-                Next::Answer(Some(pull), answer) if self.is_sound(pull, &answer) => {
-                    self.end(pull, answer.outcome, Some(&answer));
+                Next::Answer(Some(attempt), answer) if self.is_sound(attempt, &answer) => {
+                    self.end(attempt, answer.outcome, Some(&answer));
                 }
-                Next::Answer(Some(pull), _) => {
-                    self.end(pull, Outcome::Broken, None);
+                Next::Answer(Some(attempt), _) => {
+                    self.end(attempt, Outcome::Broken, None);
                     return self.node_closed(connection);
                 }
                 Next::Unreadable => return self.node_closed(connection),
@@ -132,8 +134,8 @@
 
     /// Whether an answer can be one to this pull: a copy comes with its tag and time, and only who holds one
     /// hears that it still is the one. Where not, nothing on that connection can be trusted.
-    pub(super) fn is_sound(&self, pull: PullRef, answer: &nodes::Answer) -> bool {
-        let Some(held) = self.held.get(pull.request_id.0) else { return true };
+    pub(super) fn is_sound(&self, attempt: AttemptId, answer: &nodes::Answer) -> bool {
+        let Some(held) = self.held.get(attempt.request_id.0) else { return true };
         let copy = answer.copy.is_some() || !held.of_copies;
         let current = held.request.held.is_some() && answer.body.is_empty();
         answer.outcome != Outcome::Fulfilled || (copy && (current || !answer.current))
@@ -145,15 +147,15 @@
             let id = self.nodes.id(node);
             log::debug!(target: TRACE, "node {id}: connection {connection} ended");
         }
-        for (pull, outcome) in self.nodes.ended(connection, self.now, &mut self.effects) {
-            self.end(pull, outcome, None);
+        for (attempt, outcome) in self.nodes.ended(connection, self.now, &mut self.effects) {
+            self.end(attempt, outcome, None);
         }
     }
 
     /// A connection to a node could not be made for want of something of this machine's own: the node is not to blame.
     pub fn node_unopened(&mut self, connection: u32) {
-        for (pull, _) in self.nodes.ended(connection, self.now, &mut self.effects) {
-            self.end(pull, Outcome::NotSent, None);
+        for (attempt, _) in self.nodes.ended(connection, self.now, &mut self.effects) {
+            self.end(attempt, Outcome::NotSent, None);
         }
     }
 
--- a/crates/dispatcher/src/desk/list.rs
+++ b/crates/dispatcher/src/desk/list.rs
@@ -8,7 +8,7 @@
         let (node, moved) = self.nodes.list(id, pool, self.now, &mut self.effects);
         // What was not sent to where it was must not reach who is there now.
         if !moved.is_empty() {
-            self.take_back(|_, out| moved.contains(&out.pull.node) || moved.contains(&out.pull.source));
+            self.take_back(|_, out| moved.contains(&out.attempt.node) || moved.contains(&out.attempt.source));
         }
         node
     }
@@ -50,7 +50,7 @@
 
     /// A node takes no new work: what was not sent to it, or names it as source, is dropped.
     pub fn withdraw(&mut self, node: NodeId, readiness: Readiness) {
-        self.take_back(|_, out| out.pull.node == node || out.pull.source == node);
+        self.take_back(|_, out| out.attempt.node == node || out.attempt.source == node);
         self.nodes.withdraw(node, readiness, self.now, &mut self.effects);
     }
 
@@ -67,22 +67,22 @@
         self.take_back(|_, _| true);
     }
 
-    /// Ends the pulls that are meant and were not sent, so that the module orders anew.
-    pub(super) fn take_back(&mut self, meant: impl Fn(&Held, &HeldPull) -> bool) {
+    /// Ends the attempts that are meant and were not sent, so that the module orders anew.
+    pub(super) fn take_back(&mut self, meant: impl Fn(&Held, &InFlightAttempt) -> bool) {
         self.take_back_of(|_, held, out| meant(held, out));
     }
 
-    /// The same by what the pulls are.
-    pub(super) fn take_back_of(&mut self, meant: impl Fn(&PullRef, &Held, &HeldPull) -> bool) {
+    /// The same by what the attempts are.
+    pub(super) fn take_back_of(&mut self, meant: impl Fn(&AttemptId, &Held, &InFlightAttempt) -> bool) {
         let held = &self.held;
-        let meant = |pull: &PullRef| {
-            let of = held.get(pull.request_id.0);
-            let out = of.and_then(|of| of.pulls.get(pull.number as usize).map(|out| (of, out)));
-            out.is_some_and(|(of, out)| meant(pull, of, out))
+        let meant = |attempt: &AttemptId| {
+            let of = held.get(attempt.request_id.0);
+            let out = of.and_then(|of| of.attempts.get(attempt.number as usize).map(|out| (of, out)));
+            out.is_some_and(|(of, out)| meant(attempt, of, out))
         };
-        let (pulls, freed) = self.nodes.take_back(meant, &mut self.effects);
-        for pull in pulls {
-            self.end(pull, Outcome::NotSent, None);
+        let (attempts, freed) = self.nodes.take_back(meant, &mut self.effects);
+        for attempt in attempts {
+            self.end(attempt, Outcome::NotSent, None);
         }
         for connection in freed {
             self.hand_over(connection);
--- a/crates/dispatcher/src/desk/mod.rs
+++ b/crates/dispatcher/src/desk/mod.rs
@@ -1,27 +1,27 @@
-//! The desk: downloads in hand, between the clients that wait for them and the nodes that serve them. The
-//! module sends through it, and every call becomes effects for the event loop or ends of pulls for the
-//! module; nothing here decides where a download goes.
+//! The desk: requests in hand, between the clients that wait for them and the nodes that serve them. The
+//! module sends through it, and every call becomes effects for the event loop or ends of attempts for the
+//! module; nothing here decides where a request goes.
 
 use crate::clients::Clients;
 use crate::config::Limits;
 use crate::copies::{self, Offered};
 use crate::effects::{Due, Effect};
-use crate::nodes::{Next, Nodes, Pool, PullRef, Start};
+use crate::nodes::{AttemptId, Next, Nodes, Pool, Start};
 use copperroute_cache_store::record::Facts;
 use copperroute_protocol::clients::{Answer, Request};
 use copperroute_protocol::hex::Hex;
 use copperroute_protocol::nodes::{self, Fetch};
 use copperroute_routing::interface::{
-    Nanos, NodeId, ObjectId, Outbox, Outcome, Pull, PullEnd, Readiness, Remark, Report, RequestId,
+    Attempt, AttemptEnd, Nanos, NodeId, ObjectId, Outbox, Outcome, Readiness, Remark, Report, RequestId,
     RoutingRequest,
 };
 use copperroute_routing::state::Slots;
 use copperroute_routing::structures::ids::Ids;
 use copperroute_settings::Connections;
 
+mod attempts;
 mod list;
 mod outbox;
-mod pulls;
 
 use std::collections::{HashSet, VecDeque};
 
@@ -30,15 +30,15 @@
 const UNSENT_PART: u64 = 4;
 /// Of the descriptors, what connections to nodes may take before they are shared.
 const NODES_PART: usize = 4;
-/// A pull of which less time is left is not begun: nodes are told whole milliseconds, and none is told as 0.
+/// An attempt of which less time is left is not begun: nodes are told whole milliseconds, and none is told as 0.
 const LEAST_LEFT: Nanos = Nanos(1_000_000);
-/// Where a download's life is told, line by line, when `RUST_LOG` asks for it.
+/// Where a request's life is told, line by line, when `RUST_LOG` asks for it.
 const TRACE: &str = "copperroute::trace";
 
-/// A pull of a download in hand.
+/// An attempt of a request in hand.
 #[derive(Debug)]
-struct HeldPull {
-    pull: Pull,
+struct InFlightAttempt {
+    attempt: Attempt,
     /// The id of the source, where one is named.
     source: Option<String>,
     at: Nanos,
@@ -47,14 +47,14 @@
     connection: u32,
 }
 
-impl HeldPull {
+impl InFlightAttempt {
     /// Until when its answer is of use.
     fn until(&self, held: &Held) -> Nanos {
-        self.pull.try_for.map_or(held.expires, |span| self.at.after(span).min(held.expires))
+        self.attempt.try_for.map_or(held.expires, |span| self.at.after(span).min(held.expires))
     }
 }
 
-/// A download in hand.
+/// A request in hand.
 #[derive(Debug)]
 struct Held {
     serial: u64,
@@ -70,7 +70,7 @@
     once: bool,
     /// Its answer is still owed.
     owed: bool,
-    pulls: Vec<HeldPull>,
+    attempts: Vec<InFlightAttempt>,
 }
 
 impl Held {
@@ -98,17 +98,17 @@
     serial: u64,
     owed: usize,
     objects: Ids<(Hex, u64)>,
-    /// The ids of the downloads in hand.
+    /// The ids of the requests in hand.
     asked: HashSet<Hex>,
     most_unsent: u64,
     /// Copies that came are offered to be kept.
     pub keeps_copies: bool,
-    /// Those that came since they were last taken, with the downloads that they came for.
+    /// Those that came since they were last taken, with the requests that they came for.
     pub offered: Vec<(RoutingRequest, Offered)>,
     /// The latest Unix millisecond at which a copy was made that answers told of since it was last taken.
     pub latest_made_ms: Option<u64>,
-    /// Ends of pulls that the module is to hear of.
-    pub ended: VecDeque<(PullRef, PullEnd)>,
+    /// Ends of attempts that the module is to hear of.
+    pub ended: VecDeque<(AttemptId, AttemptEnd)>,
     /// What the event loop is asked for.
     pub effects: Vec<Effect>,
 }
@@ -156,9 +156,9 @@
         self.nodes.sweep(self.now, &mut self.effects);
     }
 
-    // Downloads.
+    // Requests.
 
-    /// Takes a download and arms its expiry.
+    /// Takes a request and arms its expiry.
     pub fn open(
         &mut self,
         client: u32,
@@ -181,33 +181,33 @@
         if let Some(client) = self.clients.get_mut(client) {
             client.open.insert(tag, request_id);
         }
-        let (serial, owed, pulls) = (self.serial, true, Vec::new());
+        let (serial, owed, attempts) = (self.serial, true, Vec::new());
         self.held.put(
             request_id.0,
-            Held { serial, client, tag, request, expires, told: None, of_copies, once, owed, pulls },
+            Held { serial, client, tag, request, expires, told: None, of_copies, once, owed, attempts },
         );
         self.owed += 1;
         (request_id, object, expires)
     }
 
-    /// The serial of a download in hand.
+    /// The serial of a request in hand.
     pub fn serial_of(&self, request_id: RequestId) -> u64 {
         self.held.get(request_id.0).map_or(0, |held| held.serial)
     }
 
-    /// Object, part and the client's own copy that a download in hand names.
+    /// Object, part and the client's own copy that a request in hand names.
     pub fn asked_for(&self, request_id: RequestId) -> Option<(Hex, u64, Option<Hex>)> {
         self.held.get(request_id.0).map(|held| (held.request.object, held.request.part, held.request.held))
     }
 
-    /// The module is told of a download in these words.
+    /// The module is told of a request in these words.
     pub fn tell(&mut self, routing_request: &RoutingRequest) {
         if let Some(held) = self.held.get_mut(routing_request.request_id.0) {
             held.told = Some(*routing_request);
         }
     }
 
-    /// Whether a download with this id is in hand.
+    /// Whether a request with this id is in hand.
     pub fn has(&self, id: Hex) -> bool {
         self.asked.contains(&id)
     }
@@ -277,7 +277,7 @@
         self.nodes.hold_back(self.clients.unsent() > most, &mut self.effects);
     }
 
-    /// Notes that the answer of a download is owed no more; tells who asked for it, if it was owed.
+    /// Notes that the answer of a request is owed no more; tells who asked for it, if it was owed.
     fn settle(&mut self, request_id: RequestId) -> Option<(u32, u64)> {
         let held = self.held.get_mut(request_id.0).filter(|held| held.owed)?;
         held.owed = false;
@@ -288,7 +288,7 @@
         Some((held.client, held.tag))
     }
 
-    /// The final answer of a download, once.
+    /// The final answer of a request, once.
     pub fn answer(&mut self, request_id: RequestId, answer: Answer<'_>) {
         if let Some(held) = self.held.get(request_id.0).filter(|held| held.owed) {
             log::debug!(target: TRACE, "{} answered {}", held.request.id, answer.word());
@@ -299,27 +299,27 @@
         }
     }
 
-    /// Nobody waits for this download any more; tells whether anybody did.
+    /// Nobody waits for this request any more; tells whether anybody did.
     pub fn forsake(&mut self, request_id: RequestId) -> bool {
         self.settle(request_id).is_some()
     }
 
-    /// Whether this still is the download with that serial, and its answer is owed.
+    /// Whether this still is the request with that serial, and its answer is owed.
     pub fn is_owed(&self, request_id: RequestId, serial: u64) -> bool {
         self.held.get(request_id.0).is_some_and(|held| held.owed && held.serial == serial)
     }
 
-    /// Downloads whose answer is owed.
+    /// Requests whose answer is owed.
     pub fn all_owed(&self) -> Vec<(RequestId, u64)> {
         let owed = self.held.iter().filter(|held| held.owed);
         owed.filter_map(|held| self.request_ids.held(&held.serial).map(|slot| (RequestId(slot), held.serial)))
             .collect()
     }
 
-    /// Pulls and fills that are out at a node.
+    /// Attempts and fills that are out at a node.
     pub fn out_at(&self, node: NodeId) -> u32 {
-        let out = self.held.iter().flat_map(|held| &held.pulls).filter(|pull| pull.out);
-        out.filter(|out| out.pull.node == node || out.pull.source == node).count() as u32
+        let out = self.held.iter().flat_map(|held| &held.attempts).filter(|attempt| attempt.out);
+        out.filter(|out| out.attempt.node == node || out.attempt.source == node).count() as u32
     }
 
     /// Whether no answer is owed, and all that were given have left.
@@ -327,36 +327,36 @@
         self.owed == 0 && self.clients.unsent() == 0
     }
 
-    /// The time of a download is over: what is out for it ends unanswered.
+    /// The time of a request is over: what is out for it ends unanswered.
     pub fn expire(&mut self, request_id: RequestId) {
-        let pulls = self.held.get(request_id.0).map_or(0, |held| held.pulls.len());
-        for number in 0..pulls as u32 {
-            self.give_up(PullRef { request_id, number }, Outcome::TimedOut);
+        let attempts = self.held.get(request_id.0).map_or(0, |held| held.attempts.len());
+        for number in 0..attempts as u32 {
+            self.give_up(AttemptId { request_id, number }, Outcome::TimedOut);
         }
     }
 
-    /// What was not sent for a download that nobody waits for never will be, also where pulls are not called off.
+    /// What was not sent for a request that nobody waits for never will be, also where attempts are not called off.
     pub fn drop_unsent(&mut self, request_id: RequestId) {
-        self.take_back_of(|pull, _, _| pull.request_id == request_id);
+        self.take_back_of(|attempt, _, _| attempt.request_id == request_id);
     }
 
-    /// Whether a pull of the download with that serial is still out.
-    pub fn is_out(&self, pull: PullRef, serial: u64) -> bool {
-        self.out(pull, serial).is_some()
+    /// Whether an attempt of the request with that serial is still out.
+    pub fn is_out(&self, attempt: AttemptId, serial: u64) -> bool {
+        self.out(attempt, serial).is_some()
     }
 
-    /// A pull that is still out, of the download with that serial.
-    fn out(&self, pull: PullRef, serial: u64) -> Option<&HeldPull> {
-        let held = self.held.get(pull.request_id.0).filter(|held| held.serial == serial)?;
-        held.pulls.get(pull.number as usize).filter(|out| out.out)
+    /// An attempt that is still out, of the request with that serial.
+    fn out(&self, attempt: AttemptId, serial: u64) -> Option<&InFlightAttempt> {
+        let held = self.held.get(attempt.request_id.0).filter(|held| held.serial == serial)?;
+        held.attempts.get(attempt.number as usize).filter(|out| out.out)
     }
 
-    /// A pull that may be sent until now only is taken back, if it has not left whole.
-    pub fn too_late(&mut self, pull: PullRef, serial: u64) {
-        let Some(connection) = self.out(pull, serial).map(|out| out.connection) else { return };
-        self.take_back_of(|other, _, _| *other == pull);
+    /// An attempt that may be sent until now only is taken back, if it has not left whole.
+    pub fn too_late(&mut self, attempt: AttemptId, serial: u64) {
+        let Some(connection) = self.out(attempt, serial).map(|out| out.connection) else { return };
+        self.take_back_of(|other, _, _| *other == attempt);
         // A part of it has left: the node must not get the rest.
-        if self.nodes.is_partly_written(connection, pull) {
+        if self.nodes.is_partly_written(connection, attempt) {
             self.node_closed(connection);
         }
     }
--- a/crates/dispatcher/src/desk/outbox.rs
+++ b/crates/dispatcher/src/desk/outbox.rs
@@ -3,20 +3,20 @@
 use super::*;
 
 impl Outbox for Desk {
-    fn pull(&mut self, request_id: RequestId, pull: &Pull) {
+    fn attempt(&mut self, request_id: RequestId, attempt: &Attempt) {
         let Some(held) = self.held.get_mut(request_id.0) else { return };
-        let place = PullRef { request_id, number: held.pulls.len() as u32 };
-        let source = (pull.source != pull.node).then(|| self.nodes.id(pull.source).to_string());
+        let place = AttemptId { request_id, number: held.attempts.len() as u32 };
+        let source = (attempt.source != attempt.node).then(|| self.nodes.id(attempt.source).to_string());
         let id = held.request.id;
-        let (node, rank) = (self.nodes.id(pull.node), pull.rank);
+        let (node, rank) = (self.nodes.id(attempt.node), attempt.rank);
         let from = source.as_deref().unwrap_or("-");
         log::debug!(target: TRACE, "{id} pull {} to {node} from {from} rank {rank}", place.number);
-        let connection = self.nodes.take(pull.node, place, id, held.once, self.now, &mut self.effects);
+        let connection = self.nodes.take(attempt.node, place, id, held.once, self.now, &mut self.effects);
         let (at, number) = (self.now, connection.unwrap_or_default());
-        if let Some(by) = pull.send_by {
+        if let Some(by) = attempt.send_by {
             self.effects.push(Effect::Arm(by, Due::SendBy(place, held.serial)));
         }
-        held.pulls.push(HeldPull { pull: *pull, source, at, out: true, connection: number });
+        held.attempts.push(InFlightAttempt { attempt: *attempt, source, at, out: true, connection: number });
         match connection {
             Some(connection) => self.hand_over(connection),
             // All its connections carry what they may, which says nothing of the node.
@@ -25,7 +25,7 @@
     }
 
     fn call_off(&mut self, request_id: RequestId, number: u32) {
-        self.give_up(PullRef { request_id, number }, Outcome::CalledOff);
+        self.give_up(AttemptId { request_id, number }, Outcome::CalledOff);
     }
 
     fn throttle(&mut self, request_id: RequestId, come_back: Option<Nanos>) {
--- a/crates/dispatcher/src/effects.rs
+++ b/crates/dispatcher/src/effects.rs
@@ -1,7 +1,7 @@
 //! What passes between the event loop and the reducer: events in, effects out, and the names of connections and
 //! timers that both use.
 
-use crate::attempt::PullRef;
+use crate::attempt::AttemptId;
 use crate::config::Config;
 use copperroute_cache_store::record::{Facts, Key};
 use copperroute_routing::interface::{Nanos, RequestId};
@@ -24,10 +24,10 @@
 pub enum Due {
     /// The module's own, with its token.
     Module(u64),
-    /// A download expires.
+    /// A request expires.
     Expiry(RequestId, u64),
-    /// A pull of a download may be sent no more, by the download's serial.
-    SendBy(PullRef, u64),
+    /// An attempt of a request may be sent no more, by the request's serial.
+    SendBy(AttemptId, u64),
     /// A connection to a node should have come up.
     Connect(u32),
     /// A copy should have been read from disk.
--- a/crates/dispatcher/src/event_loop/connections.rs
+++ b/crates/dispatcher/src/event_loop/connections.rs
@@ -193,7 +193,7 @@
     }
 
     /// A write has failed: what the other side had sent before is told first. An answer among it must not count as
-    /// broken off, or its download might run twice.
+    /// broken off, or its request might run twice.
     pub(super) fn broken(&mut self, peer: Peer) {
         let reads = |c: &Connection| c.reads || !matches!(peer, Peer::Client(_));
         for _ in 0..READS_OF_BROKEN {
--- a/crates/dispatcher/src/event_loop/mod.rs
+++ b/crates/dispatcher/src/event_loop/mod.rs
@@ -246,7 +246,7 @@
             carrier.reload(sources);
         }
         // What has come is read before time is called on it: after a pause of the machine's all seems overdue.
-        // Drains and purges come first, then clients that leave, so that no node's answer leads to a pull for who has
+        // Drains and purges come first, then clients that leave, so that no node's answer leads to an attempt for who has
         // left, or to a node that drains. Each connection is read once; what is due waits while more may lie behind.
         let mut ready = std::mem::take(&mut inbox.ready);
         ready.sort_by_key(|(peer, _)| match peer {
--- a/crates/dispatcher/src/event_loop/writing.rs
+++ b/crates/dispatcher/src/event_loop/writing.rs
@@ -51,7 +51,7 @@
         let flushed = connection.flush();
         let left = connection.left;
         self.set_interest(peer);
-        // First what has left: a pull that left whole may have run, though the connection has ended.
+        // First what has left: an attempt that left whole may have run, though the connection has ended.
         if left > before {
             self.reduce(Event::Written(peer, left));
         }
--- a/crates/dispatcher/src/nodes/pulls.rs
+++ b/crates/dispatcher/src/nodes/attempts.rs
@@ -1,33 +1,33 @@
-//! Pulls on their way to a connection, and off it.
+//! Attempts on their way to a connection, and off it.
 
 use super::*;
 
 impl Nodes {
-    /// Takes back the pulls, to any node, that are meant and of which nothing has left. Tells also from which connections:
-    /// others may have to be handed over anew there, and one that takes no further pulls may be spent.
+    /// Takes back the attempts, to any node, that are meant and of which nothing has left. Tells also from which connections:
+    /// others may have to be handed over anew there, and one that takes no further attempts may be spent.
     pub fn take_back(
         &mut self,
-        meant: impl Fn(&PullRef) -> bool,
+        meant: impl Fn(&AttemptId) -> bool,
         effects: &mut Vec<Effect>,
-    ) -> (Vec<PullRef>, Vec<u32>) {
-        let (mut back, mut freed): (Vec<PullRef>, Vec<u32>) = Default::default();
+    ) -> (Vec<AttemptId>, Vec<u32>) {
+        let (mut back, mut freed): (Vec<AttemptId>, Vec<u32>) = Default::default();
         for (number, connection) in &mut self.connections {
             let before = back.len();
-            back.extend(connection.waiting.iter().filter(|pull| meant(pull)));
-            connection.waiting.retain(|pull| !meant(pull));
+            back.extend(connection.waiting.iter().filter(|attempt| meant(attempt)));
+            connection.waiting.retain(|attempt| !meant(attempt));
             back.extend(connection.retract(*number, &meant, effects));
             freed.extend((back.len() > before).then_some(*number));
         }
-        back.sort_by_key(|pull| (pull.request_id.0, pull.number));
+        back.sort_by_key(|attempt| (attempt.request_id.0, attempt.number));
         freed.sort();
         (back, freed)
     }
 
     /// Takes back those that are meant and wait for one connection.
-    pub fn take_back_on(&mut self, number: u32, meant: impl Fn(&PullRef) -> bool) -> Vec<PullRef> {
+    pub fn take_back_on(&mut self, number: u32, meant: impl Fn(&AttemptId) -> bool) -> Vec<AttemptId> {
         let Some(connection) = self.connections.get_mut(&number) else { return Vec::new() };
-        let back = connection.waiting.iter().copied().filter(|pull| meant(pull)).collect();
-        connection.waiting.retain(|pull| !meant(pull));
+        let back = connection.waiting.iter().copied().filter(|attempt| meant(attempt)).collect();
+        connection.waiting.retain(|attempt| !meant(attempt));
         back
     }
 
@@ -35,19 +35,19 @@
     pub fn unsay(&mut self, number: u32, effects: &mut Vec<Effect>) {
         if let Some(connection) = self.connections.get_mut(&number) {
             // The last of them comes first.
-            for pull in connection.retract(number, &|_| true, effects) {
-                connection.waiting.push_front(pull);
+            for attempt in connection.retract(number, &|_| true, effects) {
+                connection.waiting.push_front(attempt);
             }
         }
     }
 
-    /// Puts a pull of a download on a connection to a node, made if need be; nothing if there is none to be
+    /// Puts an attempt of a request on a connection to a node, made if need be; nothing if there is none to be
     /// had. Where it may run `once` only, none that rested is used; nor are those while nodes close them under
-    /// the next pull. Costs a connect.
+    /// the next attempt. Costs a connect.
     pub fn take(
         &mut self,
         node: NodeId,
-        pull: PullRef,
+        attempt: AttemptId,
         id: Hex,
         once: bool,
         now: Nanos,
@@ -92,17 +92,17 @@
                 self.last
             }
         };
-        self.connections.get_mut(&number)?.waiting.push_back(pull);
+        self.connections.get_mut(&number)?.waiting.push_back(attempt);
         Some(number)
     }
 
-    /// Hands waiting pulls to a connection that has nothing unsent, as many as go at once. What a pull says
+    /// Hands waiting attempts to a connection that has nothing unsent, as many as go at once. What an attempt says
     /// is asked for only then; one that is nobody's any more has nothing to say.
     pub fn hand_over<'a>(
         &mut self,
         number: u32,
         now: Nanos,
-        fetch: impl Fn(PullRef) -> Option<(Fetch<'a>, Nanos, bool)>,
+        fetch: impl Fn(AttemptId) -> Option<(Fetch<'a>, Nanos, bool)>,
         effects: &mut Vec<Effect>,
     ) {
         let Some(connection) = self.connections.get_mut(&number) else { return };
@@ -112,14 +112,14 @@
         let rested = connection.live == 0 && now.since(connection.used) > RESTED;
         let mut bytes = Vec::new();
         while bytes.len() < GATHERED {
-            let Some(pull) = connection.waiting.pop_front() else { break };
-            let Some((fetch, expires, once)) = fetch(pull) else { continue };
+            let Some(attempt) = connection.waiting.pop_front() else { break };
+            let Some((fetch, expires, once)) = fetch(attempt) else { continue };
             let begin = connection.queued + bytes.len() as u64;
             encode_fetch(&fetch, &mut bytes);
             let end = connection.queued + bytes.len() as u64;
             let uses = connection.out.get(&fetch.id).map_or(1, |before| before.uses.saturating_add(1));
-            let pull = Some(pull);
-            let written = Written { pull, at: now, begin, end, once, answered: false, uses, expires };
+            let attempt = Some(attempt);
+            let written = Written { attempt, at: now, begin, end, once, answered: false, uses, expires };
             connection.out.insert(fetch.id, written);
             connection.live += 1;
         }
@@ -135,25 +135,25 @@
     pub fn give_up(
         &mut self,
         number: u32,
-        pull: PullRef,
+        attempt: AttemptId,
         id: Hex,
         waited_for: bool,
         effects: &mut Vec<Effect>,
     ) -> bool {
         let Some(connection) = self.connections.get_mut(&number) else { return false };
-        if let Some(at) = connection.waiting.iter().position(|waiting| *waiting == pull) {
+        if let Some(at) = connection.waiting.iter().position(|waiting| *waiting == attempt) {
             connection.waiting.remove(at);
             self.close_if_spent(number, effects);
             return true;
         }
-        if !connection.retract(number, &|other| *other == pull, effects).is_empty() {
+        if !connection.retract(number, &|other| *other == attempt, effects).is_empty() {
             self.close_if_spent(number, effects);
             return true;
         }
-        let Some(written) = connection.out.get_mut(&id).filter(|w| w.pull == Some(pull)) else {
+        let Some(written) = connection.out.get_mut(&id).filter(|w| w.attempt == Some(attempt)) else {
             return false;
         };
-        written.pull = None;
+        written.attempt = None;
         connection.live -= 1;
         let (node, since) = (connection.node, written.at);
         connection.say_abort(number, id, effects);
--- a/crates/dispatcher/src/nodes/connection.rs
+++ b/crates/dispatcher/src/nodes/connection.rs
@@ -2,23 +2,23 @@
 
 use super::*;
 
-/// A pull that was written, by the download's id.
+/// An attempt that was written, by the request's id.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Written {
     /// Whose it is; nobody's once it was given up.
-    pub(super) pull: Option<PullRef>,
+    pub(super) attempt: Option<AttemptId>,
     /// When it was written.
     pub(super) at: Nanos,
     /// Its first place in the connection's bytes, and the place behind its last.
     pub(super) begin: u64,
     pub(super) end: u64,
-    /// Its download may not simply run again.
+    /// Its request may not simply run again.
     pub(super) once: bool,
     /// It was answered.
     pub(super) answered: bool,
-    /// How many pulls of the download this connection has carried.
+    /// How many attempts of the request this connection has carried.
     pub(super) uses: u8,
-    /// When its download expires: after that its id does not come again.
+    /// When its request expires: after that its id does not come again.
     pub(super) expires: Nanos,
 }
 
@@ -28,16 +28,16 @@
     pub(super) node: NodeId,
     /// The connection has come up.
     pub(super) up: bool,
-    /// It takes no further pulls.
+    /// It takes no further attempts.
     pub(super) retired: bool,
     pub(super) decoder: Decoder,
-    /// Pulls not yet written.
-    pub(super) waiting: VecDeque<PullRef>,
-    /// Pulls written and not yet answered, by the downloads' ids.
+    /// Attempts not yet written.
+    pub(super) waiting: VecDeque<AttemptId>,
+    /// Attempts written and not yet answered, by the requests' ids.
     pub(super) out: HashMap<Hex, Written>,
-    /// Words that give pulls up and may not have left yet: where they begin, and of which id.
+    /// Words that give attempts up and may not have left yet: where they begin, and of which id.
     pub(super) aborts: VecDeque<(u64, Hex)>,
-    /// How many of the pulls written and not yet answered still are somebody's.
+    /// How many of the attempts written and not yet answered still are somebody's.
     pub(super) live: usize,
     /// Bytes given to the connection, and those that have left.
     pub(super) queued: u64,
@@ -75,34 +75,38 @@
         }
     }
 
-    /// Retracts what has not begun to leave, from the first pull that is meant on. Returns the pulls that were meant; those
+    /// Retracts what has not begun to leave, from the first attempt that is meant on. Returns the attempts that were meant; those
     /// that were not wait again. Of bytes given to the connection only their number is known here, so what is to be
     /// said all the same is said anew.
     pub(super) fn retract(
         &mut self,
         number: u32,
-        meant: &impl Fn(&PullRef) -> bool,
+        meant: &impl Fn(&AttemptId) -> bool,
         effects: &mut Vec<Effect>,
-    ) -> Vec<PullRef> {
+    ) -> Vec<AttemptId> {
         if self.queued <= self.written {
             return Vec::new();
         }
         let unbegun = |w: &Written| w.begin >= self.written && w.end > self.written;
-        let is_meant = |w: &Written| unbegun(w) && w.pull.is_some_and(|pull| meant(&pull));
+        let is_meant = |w: &Written| unbegun(w) && w.attempt.is_some_and(|attempt| meant(&attempt));
         let Some(from) = self.out.values().filter(|w| is_meant(w)).map(|w| w.begin).min() else {
             return Vec::new();
         };
-        let mut behind: Vec<_> =
-            self.out.iter().filter(|(_, w)| w.begin >= from).map(|(id, w)| (w.begin, *id, w.pull)).collect();
+        let mut behind: Vec<_> = self
+            .out
+            .iter()
+            .filter(|(_, w)| w.begin >= from)
+            .map(|(id, w)| (w.begin, *id, w.attempt))
+            .collect();
         behind.sort_by_key(|(begin, ..)| *begin);
         let mut back = Vec::new();
-        for (_, id, pull) in behind.into_iter().rev() {
+        for (_, id, attempt) in behind.into_iter().rev() {
             self.out.remove(&id);
-            let Some(pull) = pull else { continue };
+            let Some(attempt) = attempt else { continue };
             self.live -= 1;
-            match meant(&pull) {
-                true => back.push(pull),
-                false => self.waiting.push_front(pull),
+            match meant(&attempt) {
+                true => back.push(attempt),
+                false => self.waiting.push_front(attempt),
             }
         }
         self.queued = from;
@@ -124,13 +128,13 @@
         effects.push(Effect::Write(Peer::Node(number), bytes));
     }
 
-    /// Whether a pull of this download may be written here. A node may answer twice, so that one pull's answer is taken for
+    /// Whether an attempt of this request may be written here. A node may answer twice, so that one attempt's answer is taken for
     /// the next one's: what may run once only is written once, and nothing a third time.
     pub(super) fn may_carry(&self, id: &Hex) -> bool {
         self.out.get(id).is_none_or(|written| written.answered && !written.once && written.uses < MOST_USES)
     }
 
-    /// The pulls that it carries or will carry.
+    /// The attempts that it carries or will carry.
     pub(super) fn load(&self) -> usize {
         self.waiting.len() + self.live
     }
--- a/crates/dispatcher/src/nodes/connections.rs
+++ b/crates/dispatcher/src/nodes/connections.rs
@@ -45,7 +45,7 @@
         }
     }
 
-    /// The next whole answer of a node, and whose pull it ends, if it still is somebody's. Where no more can
+    /// The next whole answer of a node, and whose attempt it ends, if it still is somebody's. Where no more can
     /// be read, the connection is to be closed.
     pub fn answer(&mut self, number: u32, now: Nanos) -> Next {
         let Some(connection) = self.connections.get_mut(&number) else { return Next::Nothing };
@@ -56,16 +56,16 @@
             }
             Ok(Some(answer)) => {
                 connection.answered = now;
-                // A second answer may follow: before a later pull of the same download has left whole, it can't be that
-                // one's. The id stays until its download expires, see `may_carry`.
+                // A second answer may follow: before a later attempt of the same request has left whole, it can't be that
+                // one's. The id stays until its request expires, see `may_carry`.
                 let has_left = |w: &&mut Written| w.end <= connection.written;
                 let asked = answer.id.and_then(|id| connection.out.get_mut(&id)).filter(has_left);
-                let pull = asked.and_then(|written| {
-                    written.answered |= written.pull.is_some();
-                    written.pull.take()
+                let attempt = asked.and_then(|written| {
+                    written.answered |= written.attempt.is_some();
+                    written.attempt.take()
                 });
-                connection.live -= usize::from(pull.is_some());
-                Next::Answer(pull, answer)
+                connection.live -= usize::from(attempt.is_some());
+                Next::Answer(attempt, answer)
             }
             Err(fault) => {
                 self.complaints.warn(now, format_args!("node {}: {fault}", self.ids.key(connection.node.0)));
@@ -74,31 +74,31 @@
         }
     }
 
-    /// Whether a pull has begun to leave on a connection and is not whole.
-    pub fn is_partly_written(&self, number: u32, pull: PullRef) -> bool {
+    /// Whether an attempt has begun to leave on a connection and is not whole.
+    pub fn is_partly_written(&self, number: u32, attempt: AttemptId) -> bool {
         let Some(connection) = self.connections.get(&number) else { return false };
         let mut out = connection.out.values();
-        out.any(|w| w.pull == Some(pull) && w.begin < connection.written && connection.written < w.end)
+        out.any(|w| w.attempt == Some(attempt) && w.begin < connection.written && connection.written < w.end)
     }
 
     /// A connection is over, or never came up; one that came up and brought nothing was turned away. Returns as
     /// `close`.
-    pub fn ended(&mut self, number: u32, now: Nanos, effects: &mut Vec<Effect>) -> Vec<(PullRef, Outcome)> {
+    pub fn ended(&mut self, number: u32, now: Nanos, effects: &mut Vec<Effect>) -> Vec<(AttemptId, Outcome)> {
         let turned_away = |c: &&Connection| c.up && c.unheard && c.load() > 0;
         let node = self.connections.get(&number).filter(turned_away).map(|connection| connection.node);
-        let pulls = self.close(number, effects);
+        let attempts = self.close(number, effects);
         if let Some(node) = node
             && let Some(pool) = self.pools.get_mut(node.0)
         {
             let until = self.openings.turned_away(now, &mut pool.opening);
             self.full.extend(until.filter(|_| pool.connections.is_empty()).map(|until| (node, until)));
         }
-        pulls
+        attempts
     }
 
-    /// Lets go of a connection. Returns the pulls on it in their order, and how each ended: one
+    /// Lets go of a connection. Returns the attempts on it in their order, and how each ended: one
     /// whose last byte had not left never ran, and a connection that had come up says nothing of the node.
-    pub(super) fn close(&mut self, number: u32, effects: &mut Vec<Effect>) -> Vec<(PullRef, Outcome)> {
+    pub(super) fn close(&mut self, number: u32, effects: &mut Vec<Effect>) -> Vec<(AttemptId, Outcome)> {
         let Some(connection) = self.connections.remove(&number) else { return Vec::new() };
         if connection.after_rest && connection.live > 0 {
             self.doubt = connection.used.after(DOUBT);
@@ -111,18 +111,18 @@
         out.sort_by_key(|written| written.end);
         let unsent = if connection.up { Outcome::NotSent } else { Outcome::Unreachable };
         let end = |w: &Written| if w.end <= connection.written { Outcome::Broken } else { unsent };
-        let out = out.into_iter().filter_map(|w| w.pull.map(|pull| (pull, end(w))));
-        out.chain(connection.waiting.iter().map(|pull| (*pull, unsent))).collect()
+        let out = out.into_iter().filter_map(|w| w.attempt.map(|attempt| (attempt, end(w))));
+        out.chain(connection.waiting.iter().map(|attempt| (*attempt, unsent))).collect()
     }
 
-    /// Closes a connection that takes no further pulls once it carries none.
+    /// Closes a connection that takes no further attempts once it carries none.
     pub fn close_if_spent(&mut self, number: u32, effects: &mut Vec<Effect>) {
         if self.connections.get(&number).is_some_and(|c| c.retired && c.load() == 0) {
             self.close(number, effects);
         }
     }
 
-    /// The connections to a node that have finished no answer since then take no further pulls.
+    /// The connections to a node that have finished no answer since then take no further attempts.
     pub(super) fn retire(&mut self, node: NodeId, since: Nanos, effects: &mut Vec<Effect>) {
         let numbers = self.pools.get(node.0).map(|pool| pool.connections.clone()).unwrap_or_default();
         for number in numbers {
@@ -145,12 +145,12 @@
         stuck
     }
 
-    /// Closes connections that carry nothing before the node does, so that no pull crosses its close, and
-    /// forgets the ids of pulls that were given up once they can't come again.
+    /// Closes connections that carry nothing before the node does, so that no attempt crosses its close, and
+    /// forgets the ids of attempts that were given up once they can't come again.
     pub fn sweep(&mut self, now: Nanos, effects: &mut Vec<Effect>) {
         let idle = Nanos(self.limits.idle.0 / 4 * 3);
         for connection in self.connections.values_mut() {
-            connection.out.retain(|_, written| written.pull.is_some() || written.expires > now);
+            connection.out.retain(|_, written| written.attempt.is_some() || written.expires > now);
         }
         let old = |c: &Connection| c.load() == 0 && idle > Nanos::ZERO && now.since(c.used) > idle;
         // While connections are spared, others need those that carry nothing beside another.
--- a/crates/dispatcher/src/nodes/list.rs
+++ b/crates/dispatcher/src/nodes/list.rs
@@ -111,7 +111,7 @@
         forgotten.into_iter().map(NodeId).collect()
     }
 
-    /// A node takes no new work: its connections take no further pulls.
+    /// A node takes no new work: its connections take no further attempts.
     pub fn withdraw(&mut self, node: NodeId, readiness: Readiness, now: Nanos, effects: &mut Vec<Effect>) {
         if let Some(pool) = self.pools.get_mut(node.0) {
             (pool.readiness, pool.listed) = (readiness, now);
--- a/crates/dispatcher/src/nodes/mod.rs
+++ b/crates/dispatcher/src/nodes/mod.rs
@@ -1,6 +1,6 @@
-//! Node connections: a few for each node, shared by its pulls.
+//! Node connections: a few for each node, shared by its attempts.
 
-pub use crate::attempt::PullRef;
+pub use crate::attempt::AttemptId;
 use crate::effects::{Due, Effect, Peer};
 use crate::logs::Sparse;
 use copperroute_protocol::hex::Hex;
@@ -13,25 +13,25 @@
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::net::SocketAddr;
 
-/// Bytes of pulls handed to a connection at once; what waits longer can still be dropped unsent.
+/// Bytes of attempts handed to a connection at once; what waits longer can still be dropped unsent.
 const GATHERED: usize = 16 * 1024;
 /// An answer of which nothing more comes for so long holds up all that is out behind it.
 const STUCK: Nanos = Nanos(400_000_000);
 
-/// A connection that carried nothing for so long may be closed by its node just as the next pull is written,
+/// A connection that carried nothing for so long may be closed by its node just as the next attempt is written,
 /// which may then have run.
 const RESTED: Nanos = Nanos(20_000_000);
-/// Pulls of one download on one connection, the second after the first was answered.
+/// Attempts of one request on one connection, the second after the first was answered.
 const MOST_USES: u8 = 2;
 /// That a node has gone is told so long after another is at its address, at the latest; until then it is left out.
 const TOLD_AFTER: Nanos = Nanos(10_000_000_000);
 /// After that has happened, connections that rested are not used for so long.
 const DOUBT: Nanos = Nanos(10_000_000_000);
 
+mod attempts;
 mod connection;
 mod connections;
 mod list;
-mod pulls;
 
 use connection::{Connection, Written};
 
@@ -120,8 +120,8 @@
 pub enum Next {
     /// No whole answer yet.
     Nothing,
-    /// An answer, and the pull that it ends.
-    Answer(Option<PullRef>, copperroute_protocol::nodes::Answer),
+    /// An answer, and the attempt that it ends.
+    Answer(Option<AttemptId>, copperroute_protocol::nodes::Answer),
     /// What can't be read.
     Unreadable,
 }
--- a/crates/dispatcher/src/reducer/clients.rs
+++ b/crates/dispatcher/src/reducer/clients.rs
@@ -1,4 +1,4 @@
-//! What clients send, and downloads until the decisions are told of them.
+//! What clients send, and requests until the decisions are told of them.
 
 use super::*;
 
@@ -78,7 +78,7 @@
                     self.desk.write(number, tag, if up { Answer::Up } else { Answer::Down });
                 }
             }
-            // What the module has ended at once must be heard before the next download is decided.
+            // What the module has ended at once must be heard before the next request is decided.
             self.hand_on_ends(now);
         }
     }
@@ -94,7 +94,7 @@
                 Err(format!("timeout: {} ms are more than the expiry of '{name}'", request.timeout_ms))
             }
             _ if !request.body.is_empty() && !offer.writes => Err(format!("'{name}' takes no bytes")),
-            // Answers of two downloads with one id could not be told apart.
+            // Answers of two requests with one id could not be told apart.
             _ if self.desk.has(request.id) => Err(format!("req: {} is open already", request.id)),
             _ => Ok(content_type),
         }
@@ -153,7 +153,7 @@
         self.module.request_arrived(now, &routing_request, &mut self.desk);
     }
 
-    /// Answers a download from an own copy.
+    /// Answers a request from an own copy.
     pub(super) fn serve(&mut self, now: Nanos, routing_request: &RoutingRequest, own: Own) {
         self.module.served_here(now, routing_request, &mut self.desk);
         match own {
@@ -175,7 +175,7 @@
         copies::key(routing_request.content_type.0, object, part).filter(|key| copies.asks_disk(key))
     }
 
-    /// The disk has answered: the download is served, or goes on as if there were no disk.
+    /// The disk has answered: the request is served, or goes on as if there were no disk.
     pub(super) fn copy_read(&mut self, now: Nanos, at: u64, copy: Option<(Facts, &[u8])>) {
         let request_id = RequestId((at >> 32) as u32);
         let asked =
@@ -201,21 +201,21 @@
         self.serve(now, &routing_request, own);
     }
 
-    /// A download goes on without the disk.
+    /// A request goes on without the disk.
     pub(super) fn go_on(&mut self, now: Nanos, request_id: RequestId) {
         let Some(Reading { routing_request, .. }) = self.reading.remove(&request_id.0) else { return };
         self.desk.tell(&routing_request);
         self.module.request_arrived(now, &routing_request, &mut self.desk);
     }
 
-    /// All downloads for which the disk was asked go on without it.
+    /// All requests for which the disk was asked go on without it.
     pub(super) fn go_on_without_disk(&mut self, now: Nanos) {
         let mut waiting: Vec<_> = self.reading.keys().copied().collect();
         waiting.sort();
         waiting.into_iter().for_each(|request_id| self.go_on(now, RequestId(request_id)));
     }
 
-    /// What a download is served from here with, if anything.
+    /// What a request is served from here with, if anything.
     pub(super) fn own_copy(
         &mut self,
         now: Nanos,
@@ -235,7 +235,7 @@
                 return self.desk.release(request_id);
             }
             self.module.client_gone(now, request_id, &mut self.desk);
-            // Where pulls are not called off, what waits to be sent must not be sent for who has left.
+            // Where attempts are not called off, what waits to be sent must not be sent for who has left.
             self.desk.drop_unsent(request_id);
             self.hand_on_ends(now);
         }
@@ -302,7 +302,7 @@
     }
 }
 
-/// What the disk is asked under: the download's slot, and enough of its serial to tell it from the next one there.
+/// What the disk is asked under: the request's slot, and enough of its serial to tell it from the next one there.
 fn ticket(request_id: RequestId, serial: u64) -> u64 {
     u64::from(request_id.0) << 32 | serial & 0xffff_ffff
 }
--- a/crates/dispatcher/src/reducer/deadlines.rs
+++ b/crates/dispatcher/src/reducer/deadlines.rs
@@ -9,7 +9,7 @@
         match *due {
             // Also for a client that has gone: where attempts are not cancelled, they end by this deadline.
             Due::Expiry(request, serial) => self.desk.serial_of(request) == serial,
-            Due::SendBy(pull, serial) => self.desk.is_out(pull, serial),
+            Due::SendBy(attempt, serial) => self.desk.is_out(attempt, serial),
             Due::Disk(request_id, serial) => self.is_reading(request_id, serial),
             Due::Module(_)
             | Due::Connect(_)
@@ -21,7 +21,7 @@
         }
     }
 
-    /// Whether the disk still has to answer for this download.
+    /// Whether the disk still has to answer for this request.
     pub(super) fn is_reading(&self, request_id: RequestId, serial: u64) -> bool {
         self.reading.get(&request_id.0).is_some_and(|reading| reading.serial == serial)
     }
--- a/crates/dispatcher/src/reducer/mod.rs
+++ b/crates/dispatcher/src/reducer/mod.rs
@@ -55,10 +55,10 @@
 const IDLE_AT_ONCE: usize = 8;
 const SWEEP: Nanos = Nanos(250_000_000);
 
-/// The disk has so long to read a copy; then the download goes on without.
+/// The disk has so long to read a copy; then the request goes on without.
 const DISK_PATIENCE: Nanos = Nanos(50_000_000);
 
-/// A download for which the disk was asked.
+/// A request for which the disk was asked.
 #[derive(Debug)]
 struct Reading {
     serial: u64,
@@ -83,7 +83,7 @@
     shut: bool,
     /// Own copies, where any are kept.
     copies: Option<Copies>,
-    /// Downloads for which the disk was asked; the module is not told of them yet.
+    /// Requests for which the disk was asked; the module is not told of them yet.
     reading: HashMap<u32, Reading>,
     /// The last event of the change log whose purge the disk has marked.
     marked: u64,
@@ -258,7 +258,7 @@
         std::mem::take(&mut self.desk.effects)
     }
 
-    /// Pulls that have ended reach the module one by one, with what it does of it.
+    /// Attempts that have ended reach the module one by one, with what it does of it.
     fn hand_on_ends(&mut self, now: Nanos) {
         if let Some(made_ms) = self.desk.latest_made_ms.take() {
             self.outside.copy_heard(now, made_ms);
@@ -266,8 +266,8 @@
         for (node, until) in self.desk.turned_away() {
             self.module.node_turns_away(node, until);
         }
-        while let Some((pull, end)) = self.desk.ended.pop_front() {
-            self.module.pull_ended(now, pull.request_id, pull.number, &end, &mut self.desk);
+        while let Some((attempt, end)) = self.desk.ended.pop_front() {
+            self.module.attempt_ended(now, attempt.request_id, attempt.number, &end, &mut self.desk);
         }
         for (routing_request, offered) in std::mem::take(&mut self.desk.offered) {
             let known = self.module.known(&routing_request);
@@ -319,7 +319,7 @@
             Due::ChangeLog => self.log.connect(now, &mut self.desk.effects),
             Due::Sweep => {
                 self.desk.sweep();
-                // No download in hand is older than the longest expiry.
+                // No request in hand is older than the longest expiry.
                 for node in self.desk.forget_nodes(self.longest_expiry().after(SWEEP)) {
                     self.module.node_forgotten(node);
                 }
@@ -341,7 +341,7 @@
                 self.desk.effects.extend(list.map(Effect::KeepList));
                 self.desk.effects.push(Effect::Arm(now.after(SWEEP), Due::Sweep));
             }
-            Due::SendBy(pull, serial) => self.desk.too_late(pull, serial),
+            Due::SendBy(attempt, serial) => self.desk.too_late(attempt, serial),
             Due::LastRequests => self.last_requests = true,
             Due::Lingered => self.desk.clients.sweep(now, &mut self.desk.effects),
             Due::Drained => {
--- a/crates/dispatcher/src/reducer/reload.rs
+++ b/crates/dispatcher/src/reducer/reload.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl Reducer {
-    /// Takes what can change while downloads are open: where the change log is, and what the machine and the
+    /// Takes what can change while requests are open: where the change log is, and what the machine and the
     /// nodes' connections bear, and rules: at once where there are no versions of them, else those versions that the
     /// file brings. What else the decisions were built on stays until a restart, which is said. Events that the file
     /// knows are not applied: the change log tells all from the last that was.
--- a/crates/dispatcher/tests/dispatcher/agreed.rs
+++ b/crates/dispatcher/tests/dispatcher/agreed.rs
@@ -25,8 +25,8 @@
     .to_string()
 }
 
-/// The most pulls that one of several downloads takes whose nodes refuse, beside others that are served.
-fn pulls(play: &mut Play, round: u8) -> usize {
+/// The most attempts that one of several requests takes whose nodes refuse, beside others that are served.
+fn attempts(play: &mut Play, round: u8) -> usize {
     let mut most = 0;
     for number in 0..12 {
         play.take();
@@ -57,12 +57,12 @@
 fn out_of_touch_a_download_takes_no_more_pulls_than_the_floor_allows() {
     let mut play = Play::with(config());
     let mut trace = String::new();
-    let _ = writeln!(trace, "before anything is heard: {}", pulls(&mut play, 1));
+    let _ = writeln!(trace, "before anything is heard: {}", attempts(&mut play, 1));
     lines(&mut play, 2, 1);
-    let _ = writeln!(trace, "in touch: {}", pulls(&mut play, 2));
+    let _ = writeln!(trace, "in touch: {}", attempts(&mut play, 2));
     lines(&mut play, 1, 1);
     play.pass(3_100);
-    let _ = writeln!(trace, "after 3.1 s of silence: {}", pulls(&mut play, 3));
+    let _ = writeln!(trace, "after 3.1 s of silence: {}", attempts(&mut play, 3));
     expect![[r#"
         before anything is heard: 2
         in touch: 3
@@ -82,9 +82,9 @@
     play.log(1, &first);
     play.log(1, &version(3, 2, &written_digest(1, digest), 2_000, 4_500, json!({"max_pulls": 6})));
     play.log(1, "3");
-    let _ = writeln!(trace, "tightened: {}", pulls(&mut play, 1));
+    let _ = writeln!(trace, "tightened: {}", attempts(&mut play, 1));
     lines(&mut play, 5, 3);
-    let _ = writeln!(trace, "loosened: {}", pulls(&mut play, 2));
+    let _ = writeln!(trace, "loosened: {}", attempts(&mut play, 2));
     expect![[r#"
         tightened: 2
         loosened: 3
@@ -121,7 +121,7 @@
 fn what_was_taken_under_stricter_rules_stays_under_them() {
     let mut play = Play::with(config());
     play.client(&request(7, "image", "0001", ",need=100"));
-    // In touch from here on: six pulls are allowed again, but not to this one.
+    // In touch from here on: six attempts are allowed again, but not to this one.
     lines(&mut play, 1, 1);
     for _ in 0..8 {
         play.node("0001 refused - 0");
--- a/crates/dispatcher/tests/dispatcher/pulls.rs
+++ b/crates/dispatcher/tests/dispatcher/attempts.rs
@@ -1,4 +1,4 @@
-//! Events in, effects out: pulls and their ends, without sockets.
+//! Events in, effects out: attempts and their ends, without sockets.
 
 use crate::common::{LOOPBACK, Play, last_connection, request};
 use copperroute_dispatcher::effects::{Event, Peer};
@@ -257,7 +257,7 @@
         play.node(&format!("{id} ok why=local 4"));
         play.pass(100);
     }
-    // A node ends a connection that rested just as a pull comes: none that rested is used for a while.
+    // A node ends a connection that rested just as an attempt comes: none that rested is used for a while.
     play.client(&request(11, "image", "9b11", ",need=100"));
     let last = last_connection(&play.trace);
     play.event(Event::Closed(Peer::Node(last)));
@@ -306,7 +306,7 @@
     play.node_bytes("9b1f ok - 4", "bo");
     play.take();
     play.pass(300);
-    // Further pulls on it do not keep it alive.
+    // Further attempts on it do not keep it alive.
     play.client(&request(8, "image", "9b20", ",need=100000"));
     play.pass(400);
     expect![[r#"
--- a/crates/dispatcher/tests/dispatcher/clients.rs
+++ b/crates/dispatcher/tests/dispatcher/clients.rs
@@ -77,7 +77,7 @@
     .assert_eq(&play.take());
 }
 
-/// Answers of the greatest size to downloads with these ids.
+/// Answers of the greatest size to requests with these ids.
 fn large(play: &mut Play, ids: &[&str]) -> String {
     let body = "x".repeat(240_000);
     for id in ids {
@@ -86,7 +86,7 @@
     play.take().replace(&body, "(240000 bytes)")
 }
 
-/// Guards against pulls for clients that have left unseen: one that reads slowly was not read from before.
+/// Guards against attempts for clients that have left unseen: one that reads slowly was not read from before.
 #[test]
 fn who_reads_slowly_is_still_heard() {
     let mut play = Play::new();
@@ -188,7 +188,7 @@
             .replace("$0\r\n", "$1\r\nx")
             .into_bytes(),
     );
-    // What it sent before does not keep a client's downloads from being taken.
+    // What it sent before does not keep a client's requests from being taken.
     play.client(&request(4, "post", "9b20", ""));
     // The id of an open request, with another object; then a number that is open.
     play.client(&request(5, "image", "9b20", ",block=1"));
--- a/crates/dispatcher/tests/dispatcher/clocks.rs
+++ b/crates/dispatcher/tests/dispatcher/clocks.rs
@@ -22,24 +22,24 @@
     )
 }
 
-/// Asks for an object's parts, `each` milliseconds apart, which are served with a copy made then; tells how many pulls
+/// Asks for an object's parts, `each` milliseconds apart, which are served with a copy made then; tells how many attempts
 /// went to each of two caches.
-fn pulls(play: &mut Play, from: u64, count: u64, each: u64) -> [usize; 2] {
-    let mut pulls = [0; 2];
+fn attempts(play: &mut Play, from: u64, count: u64, each: u64) -> [usize; 2] {
+    let mut attempts = [0; 2];
     for number in from..from + count {
         play.take();
         let id = format!("{number:04x}");
         play.client(&request(number, "image", &id, &format!(",block={number},need=10000")));
         let asked = play.take();
         let to = play.pulled_at(&asked);
-        for (pulled, port) in pulls.iter_mut().zip(PORTS) {
+        for (pulled, port) in attempts.iter_mut().zip(PORTS) {
             *pulled += usize::from(to == Some(port));
         }
         let made = format!("etag=4b00000000000000,made={},why=local", START_MS + play.passed_ms());
         play.node(&format!("{id} ok {made} 4"));
         play.pass(each);
     }
-    pulls
+    attempts
 }
 
 /// The change log is followed, and two heartbeats have come in time: what it tells next is heard of live.
@@ -52,11 +52,11 @@
 /// What goes to a cache that has just started and to another in eight seconds from 1 s after its start on.
 fn sent_to_a_cold_cache(off_ms: i64) -> [usize; 2] {
     let mut play = play(off_ms, 0);
-    pulls(&mut play, 1, 20, 100);
+    attempts(&mut play, 1, 20, 100);
     follow_live(&mut play);
     play.log(1, &listed(2, "s-a", 6001, START_MS + play.passed_ms()));
     play.pass(1_000);
-    pulls(&mut play, 100, 160, 50)
+    attempts(&mut play, 100, 160, 50)
 }
 
 #[test]
@@ -75,9 +75,9 @@
     let mut config = Config::parse(CONFIG).expect("a good configuration");
     config.known.results.push(serde_json::from_str(&event).expect("an event"));
     let mut play = Play::with_clock_off(config, off_ms);
-    let first = pulls(&mut play, 1, 160, 50);
-    pulls(&mut play, 1_000, 160, 50);
-    [first, pulls(&mut play, 2_000, 160, 50)]
+    let first = attempts(&mut play, 1, 160, 50);
+    attempts(&mut play, 1_000, 160, 50);
+    [first, attempts(&mut play, 2_000, 160, 50)]
 }
 
 #[test]
@@ -93,10 +93,10 @@
     }
 }
 
-/// The age limits in whole seconds, if any, of pulls so long after a purge that was heard of live.
+/// The age limits in whole seconds, if any, of attempts so long after a purge that was heard of live.
 fn limits(off_ms: i64) -> Vec<Option<u64>> {
     let mut play = play(off_ms, 0);
-    pulls(&mut play, 1, 10, 100);
+    attempts(&mut play, 1, 10, 100);
     play.log(1, "1");
     let purge =
         format!(r#"{{"seq":2,"invalidate":{{"object":"{OBJECT}","time":{}}}}}"#, START_MS + play.passed_ms());
@@ -156,7 +156,7 @@
 #[test]
 fn a_purge_told_live_with_an_old_number_counts_as_just_now() {
     let mut play = play(0, 0);
-    pulls(&mut play, 1, 10, 100);
+    attempts(&mut play, 1, 10, 100);
     follow_live(&mut play);
     play.log(
         1,
@@ -170,7 +170,7 @@
 #[test]
 fn a_purge_out_of_a_queue_is_as_old_as_its_number_says() {
     let mut play = play(0, 0);
-    pulls(&mut play, 1, 10, 100);
+    attempts(&mut play, 1, 10, 100);
     follow_live(&mut play);
     // The process is stopped; what came meanwhile is read at once.
     play.stop(20_000);
--- a/crates/dispatcher/tests/dispatcher/clocks_process.rs
+++ b/crates/dispatcher/tests/dispatcher/clocks_process.rs
@@ -14,10 +14,10 @@
 const ROUNDED_MS: u128 = 2;
 /// The plans' clocks have stepped by then.
 const STEPPED_AFTER: Duration = Duration::from_millis(700);
-/// What a loaded machine may take for a download.
+/// What a loaded machine may take for a request.
 const LATE: Duration = Duration::from_secs(1);
 
-/// Asks for a download; returns the age limit of its pull in milliseconds, if it has one.
+/// Asks for a request; returns the age limit of its attempt in milliseconds, if it has one.
 fn limit(rig: &Rig, number: u64) -> Option<u64> {
     let mut client = rig.client();
     let id = format!("9b{number:02x}");
--- a/crates/dispatcher/tests/dispatcher/common.rs
+++ b/crates/dispatcher/tests/dispatcher/common.rs
@@ -53,7 +53,7 @@
     format!("*2\r\n${}\r\n{verb}\r\n${}\r\n{tag}\r\n", verb.len(), tag.len()).into_bytes()
 }
 
-/// The connection that the last pull went out on.
+/// The connection that the last attempt went out on.
 pub fn last_connection(trace: &str) -> u32 {
     let line = trace.lines().rev().find(|line| line.contains("<- fetch")).unwrap_or_default();
     line.split(['(', ')']).nth(1).and_then(|number| number.parse().ok()).unwrap_or_default()
@@ -71,7 +71,7 @@
     given: HashMap<Peer, u64>,
     /// Where each connection leads.
     places: HashMap<Peer, SocketAddr>,
-    /// The connections that downloads were last asked for on, by their ids.
+    /// The connections that requests were last asked for on, by their ids.
     carried: HashMap<String, u32>,
     /// Connections come up and bytes leave by themselves, as on a calm network.
     pub calm: bool,
@@ -184,7 +184,7 @@
         self.event(Event::Received(Peer::Client(1), bytes));
     }
 
-    /// A node's answer line, and its bytes if it has any, where its download was last asked for.
+    /// A node's answer line, and its bytes if it has any, where its request was last asked for.
     pub fn node(&mut self, answer: &str) {
         let body = if answer.ends_with(" 0") { "" } else { "body" };
         self.node_bytes(answer, &format!("{body}\r\n"));
@@ -240,7 +240,7 @@
         (self.now.0 - EPOCH_NS) / 1_000_000
     }
 
-    /// The port of the node that the last pull of a trace went to.
+    /// The port of the node that the last attempt of a trace went to.
     pub fn pulled_at(&self, trace: &str) -> Option<u16> {
         self.places.get(&Peer::Node(last_connection(trace))).map(SocketAddr::port)
     }
--- a/crates/dispatcher/tests/dispatcher/crossings.rs
+++ b/crates/dispatcher/tests/dispatcher/crossings.rs
@@ -145,7 +145,7 @@
     bytes.extend(message("ABORT", 7));
     SockRef::from(&client).set_send_buffer_size(1_000_000).expect("an option");
     client.write_all(&bytes).expect("it is kept for the program");
-    // The pull is overdue after 0.9 s, and its node silent: all that is out there would go elsewhere.
+    // The attempt is overdue after 0.9 s, and its node silent: all that is out there would go elsewhere.
     thread::sleep(Duration::from_millis(1_200));
     rig.signal("CONT");
     let next = rig.asked();
@@ -213,7 +213,7 @@
     .assert_eq(&trace);
 }
 
-/// An answer and a reset behind it are found in one turn: the answer counts, and the download runs once.
+/// An answer and a reset behind it are found in one turn: the answer counts, and the request runs once.
 #[test]
 fn an_answer_with_a_reset_behind_it_counts() {
     for _ in 0..10 {
--- a/crates/dispatcher/tests/dispatcher/driver/bytes.rs
+++ b/crates/dispatcher/tests/dispatcher/driver/bytes.rs
@@ -39,7 +39,7 @@
         self.event(Event::Written(Peer::Node(number), left));
     }
 
-    /// The first byte of a pull is about to leave on a connection, as its whole line, looked at before, says.
+    /// The first byte of an attempt is about to leave on a connection, as its whole line, looked at before, says.
     pub fn begins(&self, line: &str, address: &str) {
         let id = u64::from_str_radix(line.split(' ').next().expect("an id"), 16).expect("hex");
         let field =
@@ -82,7 +82,7 @@
         asked.first = asked.first.or(Some(self.now));
     }
 
-    /// Whole pulls among the bytes that are about to begin to leave.
+    /// Whole attempts among the bytes that are about to begin to leave.
     pub fn look(&mut self, number: u32, bytes: u64) {
         let way = self.way(number);
         let text = String::from_utf8_lossy(&way.unsent).into_owned();
--- a/crates/dispatcher/tests/dispatcher/driver/world.rs
+++ b/crates/dispatcher/tests/dispatcher/driver/world.rs
@@ -23,7 +23,7 @@
     /// Its client waits for it.
     pub waits: bool,
     pub answers: u32,
-    /// Pulls that came whole to a node and are not proved never to have run; when the first began to leave.
+    /// Attempts that came whole to a node and are not proved never to have run; when the first began to leave.
     pub may_have_run: u32,
     pub first: Option<Nanos>,
 }
--- a/crates/dispatcher/tests/dispatcher/fleet.rs
+++ b/crates/dispatcher/tests/dispatcher/fleet.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 const PROCESSES: usize = 24;
-/// A node answers so long after it was asked, as long as a download is sent.
+/// A node answers so long after it was asked, as long as a request is sent.
 const SENDS: Duration = Duration::from_millis(100);
 const NODES: [(&str, u32); 5] = [("s-a", 6001), ("s-b", 6002), ("p-1", 6003), ("p-2", 6004), ("o-1", 6005)];
 
@@ -134,7 +134,7 @@
         }
     }
 
-    /// How long each takes to say UP. Once it does, a download that it is asked for at once is not refused.
+    /// How long each takes to say UP. Once it does, a request that it is asked for at once is not refused.
     fn ready(&self) -> Vec<f64> {
         let begun = Instant::now();
         let mut took: Vec<_> = thread::scope(|scope| {
@@ -245,7 +245,7 @@
     let config = config.replace("\"weight\": 20", "\"weight\": 12");
     let fleet = Fleet::new(&config);
     fleet.ready();
-    // Uneven: the first are asked several times as often as the last, 360 downloads a second in all.
+    // Uneven: the first are asked several times as often as the last, 360 requests a second in all.
     thread::scope(|scope| {
         for at in 0..PROCESSES {
             let fleet = &fleet;
--- a/crates/dispatcher/tests/dispatcher/growth.rs
+++ b/crates/dispatcher/tests/dispatcher/growth.rs
@@ -3,7 +3,7 @@
 use crate::common::{Play, request};
 use copperroute_dispatcher::effects::{Event, Peer};
 
-/// Downloads of so many objects that nobody asked for before, each served by a cache at once.
+/// Requests of so many objects that nobody asked for before, each served by a cache at once.
 fn serve_new_objects(play: &mut Play, from: u64, count: u64) {
     for at in from..from + count {
         let id = format!("{:016x}", at * 7_919 + 1);
--- a/crates/dispatcher/tests/dispatcher/loopback.rs
+++ b/crates/dispatcher/tests/dispatcher/loopback.rs
@@ -49,7 +49,7 @@
         first.node
     );
     rig.tell(&drains);
-    // The change log is heard when the next download names an age.
+    // The change log is heard when the next request names an age.
     let mut second = loop {
         client.write_all(&request(8, "image", "9b20", UNHURRIED)).expect("the program reads");
         let asked = rig.asked();
@@ -197,7 +197,7 @@
     let mut asked = rig.asked();
     rig.signal("STOP");
     asked.back.write_all(&told("9b1f ok why=local 1", b"x\r\n")).expect("it is kept for the program");
-    // The pull is overdue after 0.9 s.
+    // The attempt is overdue after 0.9 s.
     thread::sleep(Duration::from_millis(1_200));
     rig.signal("CONT");
     let mut trace = answer(&client);
--- a/crates/dispatcher/tests/dispatcher/main.rs
+++ b/crates/dispatcher/tests/dispatcher/main.rs
@@ -1,6 +1,7 @@
 //! The reducer by hand, and the program on loopback sockets.
 
 mod agreed;
+mod attempts;
 mod broken_connections;
 mod clients;
 mod clocks;
@@ -27,7 +28,6 @@
 mod life;
 mod loopback;
 mod outside_time;
-mod pulls;
 mod relay_process;
 mod request_cost;
 mod rig;
--- a/crates/dispatcher/tests/dispatcher/rig.rs
+++ b/crates/dispatcher/tests/dispatcher/rig.rs
@@ -15,7 +15,7 @@
 /// Nothing here takes nearly as long; it only ends a test that hangs.
 pub const LONG: Duration = Duration::from_secs(20);
 
-/// A download so large that no stand-in counts as slow, however busy the machine is.
+/// A request so large that no stand-in counts as slow, however busy the machine is.
 pub const UNHURRIED: &str = ",need=25000,timeout=15000";
 
 /// What a stand-in of a node was sent, and its way to answer.
@@ -66,7 +66,7 @@
         Rig::limited("true", Stdio::null())
     }
 
-    /// The same with a client that has asked for one download, under tag 7, and the pull that came of it.
+    /// The same with a client that has asked for one request, under tag 7, and the attempt that came of it.
     pub fn asked_for(content_type: &str) -> (Rig, TcpStream, Asked) {
         let rig = Rig::start();
         let mut client = rig.client();
--- a/crates/dispatcher/tests/dispatcher/stopped.rs
+++ b/crates/dispatcher/tests/dispatcher/stopped.rs
@@ -22,14 +22,14 @@
 /// For what a busy machine takes between a byte's leaving and its being seen here.
 const MEASURING: Duration = Duration::from_millis(60);
 
-/// A pull as a node saw it.
+/// An attempt as a node saw it.
 struct Seen {
     id: String,
     at: Instant,
     left: Duration,
 }
 
-/// Nodes that hold nothing, and fill whatever is asked of them with a source; each pull is told.
+/// Nodes that hold nothing, and fill whatever is asked of them with a source; each attempt is told.
 fn answer_all(asked: Receiver<Asked>, seen: Sender<Seen>) {
     for mut asked in asked {
         let at = Instant::now();
--- a/crates/dispatcher/tests/dispatcher/storm.rs
+++ b/crates/dispatcher/tests/dispatcher/storm.rs
@@ -26,11 +26,11 @@
 /// Clients that ask by turns.
 const CLIENTS: u64 = 8;
 
-/// What is known of a download, by its id.
+/// What is known of a request, by its id.
 struct Asked {
     post: bool,
     expires: Nanos,
-    /// Pulls written that are not proved never to have run.
+    /// Attempts written that are not proved never to have run.
     may_have_run: u32,
     /// The connections on which it is out.
     out: HashSet<Peer>,
--- a/crates/dispatcher/tests/dispatcher/time_left.rs
+++ b/crates/dispatcher/tests/dispatcher/time_left.rs
@@ -1,11 +1,11 @@
-//! The time that a pull tells its node is what its client has left as the first byte leaves. Events in, effects out.
+//! The time that an attempt tells its node is what its client has left as the first byte leaves. Events in, effects out.
 
 use crate::common::{CONFIG, Play, request};
 use copperroute_dispatcher::effects::{Event, Peer};
 use copperroute_routing::interface::Nanos;
 use expect_test::expect;
 
-/// The time that the last pull told.
+/// The time that the last attempt told.
 fn told(trace: &str) -> Option<u64> {
     let line = trace.lines().rev().find(|line| line.contains("<- fetch"))?;
     line.split("ttl=").nth(1)?.split([',', ' ']).next()?.parse().ok()
@@ -28,7 +28,7 @@
     assert_eq!(told(&play.take()), Some(1_300));
 }
 
-/// A pull was put into words as it was given to its connection, and left whenever that took bytes again.
+/// An attempt was put into words as it was given to its connection, and left whenever that took bytes again.
 #[test]
 fn what_waited_to_leave_tells_what_is_left() {
     let mut play = slow_network();
@@ -48,7 +48,7 @@
 #[test]
 fn what_has_begun_to_leave_is_not_put_into_other_words() {
     let mut play = slow_network();
-    // As many connections as one node gets, and one more pull on the first of them.
+    // As many connections as one node gets, and one more attempt on the first of them.
     for tag in 7..12 {
         play.client(&request(tag, "image", &format!("9b{tag:02}"), ",need=100"));
     }
--- a/crates/dispatcher/tests/dispatcher/two_streams.rs
+++ b/crates/dispatcher/tests/dispatcher/two_streams.rs
@@ -242,8 +242,8 @@
     "#]].assert_eq(&taken.concat());
 }
 
-/// How many pulls one download is allowed: two for a dispatcher that is out of touch, more for one in touch.
-fn pulls(play: &mut Play) -> usize {
+/// How many attempts one request is allowed: two for a dispatcher that is out of touch, more for one in touch.
+fn attempts(play: &mut Play) -> usize {
     play.take();
     ask(play, 7, "0001", ",need=100");
     (0..8).for_each(|_| play.node("0001 refused - 0"));
@@ -264,7 +264,7 @@
             both(&mut play, &[2], last);
         }
         play.pass(1_100);
-        pulls(&mut play)
+        attempts(&mut play)
     };
     assert_eq!(format!("in touch {}, behind {}", left_says(2), left_says(1)), "in touch 4, behind 2");
 }
@@ -286,7 +286,7 @@
             play.log(1, "2");
         }
         play.pass(1_200);
-        pulls(&mut play)
+        attempts(&mut play)
     };
     assert_eq!(format!("in time {}, held {}", is_held(false), is_held(true)), "in time 4, held 2");
 }
--- a/crates/dispatcher/tests/dispatcher/unsent.rs
+++ b/crates/dispatcher/tests/dispatcher/unsent.rs
@@ -14,7 +14,7 @@
     )
 }
 
-/// A download whose pull was given to a connection that takes nothing.
+/// A request whose attempt was given to a connection that takes nothing.
 fn stuck(config: &str) -> Play {
     let mut play = Play::of(config);
     play.calm = false;
@@ -24,7 +24,7 @@
     play
 }
 
-/// Where pulls are not called off, one that waited for its connection was sent though its client had left.
+/// Where attempts are not called off, one that waited for its connection was sent though its client had left.
 #[test]
 fn who_leaves_while_a_pull_waits_for_its_connection_is_not_sent_for() {
     for cancel in ["true", "false"] {
@@ -45,7 +45,7 @@
     }
 }
 
-/// The same for a pull that was given to its connection: none of it had left.
+/// The same for an attempt that was given to its connection: none of it had left.
 #[test]
 fn who_leaves_while_a_pull_waits_to_leave_is_not_sent_for() {
     let mut play = stuck(CONFIG);
@@ -101,7 +101,7 @@
         play.event(Event::Received(Peer::Client(2), &bytes));
     }
     let first = play.take();
-    // Unsent on connection 1: the pull of 9b11, then the abort of 9b07, which was sent before.
+    // Unsent on connection 1: the attempt of 9b11, then the abort of 9b07, which was sent before.
     play.client(&message("ABORT", 7));
     play.event(Event::Received(Peer::Client(2), &message("ABORT", 11)));
     let trace = first + &play.take();
@@ -114,12 +114,12 @@
     .assert_eq(&of_one.join("\n"));
 }
 
-/// Two pulls were given to a connection at once, and the client of the first leaves: the second is said anew.
+/// Two attempts were given to a connection at once, and the client of the first leaves: the second is said anew.
 #[test]
 fn a_pull_behind_one_that_is_unsaid_is_sent_all_the_same() {
     let mut play = Play::new();
     play.calm = false;
-    // As many connections as one node gets, and one more pull on the first of them.
+    // As many connections as one node gets, and one more attempt on the first of them.
     for tag in 7..12 {
         play.client(&request(tag, "image", &format!("9b{tag:02}"), ",need=100"));
     }
@@ -133,7 +133,7 @@
     "#]].assert_eq(&play.take());
 }
 
-/// A purge is heard while the pull waits to leave: it asks for a newer copy.
+/// A purge is heard while the attempt waits to leave: it asks for a newer copy.
 #[test]
 fn what_has_not_begun_to_leave_when_a_purge_is_heard_asks_for_a_newer_copy() {
     let mut play = stuck(CONFIG);
@@ -159,7 +159,7 @@
     assert!(!trace.contains("Node(1) <- fetch") && trace.contains("connect Node(2)"), "{trace}");
 }
 
-/// A node is listed with a new start while its connection comes up: the pull for the one before is ordered anew.
+/// A node is listed with a new start while its connection comes up: the attempt for the one before is ordered anew.
 #[test]
 fn what_waits_for_a_node_that_starts_anew_is_ordered_anew() {
     let mut play = Play::new();
@@ -197,14 +197,14 @@
     assert!(trace.contains("127.0.0.1:6001"), "{trace}");
 }
 
-/// A second answer to the first pull of a post came for that of the second, on the same connection: it counted as turned
+/// A second answer to the first attempt of a post came for that of the second, on the same connection: it counted as turned
 /// away, and a third was sent though the second may have run.
 #[test]
 fn a_second_answer_does_not_end_a_later_pull_of_what_may_run_once() {
     let config = CONFIG.replace("\"pass_through_ok\": true", "\"pass_through_ok\": false");
     let refused = b"9b1f000000000000 refused why=turned_away 0\r\n\r\n";
     let mut play = Play::of(&config);
-    // One cache only: the second pull goes where the first did.
+    // One cache only: the second attempt goes where the first did.
     play.log(1, &listed(2, "s-b", 6002, "left"));
     play.client(&request(7, "post", "9b1f", ",need=100"));
     play.event(Event::Received(Peer::Node(1), refused));
@@ -218,8 +218,8 @@
     .assert_eq(&play.take());
 }
 
-/// The same answer again, before the second pull has left: it ended a pull that was never sent, the download was refused, and
-/// the pull left all the same (found by the driver).
+/// The same answer again, before the second attempt has left: it ended an attempt that was never sent, the request was refused, and
+/// the attempt left all the same (found by the driver).
 #[test]
 fn a_second_answer_does_not_end_a_pull_that_has_not_left() {
     let mut play = stuck(CONFIG);
@@ -233,7 +233,7 @@
     .assert_eq(&play.take());
 }
 
-/// A deduped download broke off and goes again: what waits for its connection when its repeats are known no longer is not
+/// A deduped request broke off and goes again: what waits for its connection when its repeats are known no longer is not
 /// sent, however late the connection comes up.
 #[test]
 fn a_repeat_that_waits_past_its_time_is_not_sent() {
--- a/crates/protocol/src/clients.rs
+++ b/crates/protocol/src/clients.rs
@@ -13,7 +13,7 @@
 /// Sizes are told in KB; no object has a terabyte.
 const MOST_KB: f64 = 1e9;
 
-/// A download as a client asks for it.
+/// A request as a client asks for it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Request {
     /// The name of its content type.
@@ -34,7 +34,7 @@
     pub size_kb: Option<f64>,
     /// The tag of a copy that the client holds.
     pub held: Option<Hex>,
-    /// The mark by which a repeat of a deduped download is known, passed on unchanged.
+    /// The mark by which a repeat of a deduped request is known, passed on unchanged.
     pub mark: Option<String>,
     /// What a write brings.
     pub body: Vec<u8>,
@@ -43,7 +43,7 @@
 /// What a client sends.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Message {
-    /// Asks for a download under a tag.
+    /// Asks for a request under a tag.
     Request(u64, Box<Request>),
     /// A framed request whose fields can't be used, and why.
     Unusable(u64, String),
--- a/crates/protocol/src/hex.rs
+++ b/crates/protocol/src/hex.rs
@@ -1,4 +1,4 @@
-//! Sixteen hex digits: the form of ids of downloads, of objects, and of the tags of copies.
+//! Sixteen hex digits: the form of ids of requests, of objects, and of the tags of copies.
 
 use std::fmt;
 
--- a/crates/protocol/src/nodes.rs
+++ b/crates/protocol/src/nodes.rs
@@ -2,17 +2,17 @@
 
 use crate::hex::Hex;
 use crate::incoming::{Incoming, Unreadable, digits, fields};
-use copperroute_routing::interface::{Nanos, Outcome, Pull, Remark, Report};
+use copperroute_routing::interface::{Attempt, Nanos, Outcome, Remark, Report};
 use std::fmt::Write as _;
 
 const LONGEST_LINE: usize = 1024;
 /// What an object holds at most.
 const LONGEST_BODY: u64 = 240_000;
 
-/// A pull as it goes to a node.
+/// An attempt as it goes to a node.
 #[derive(Debug, Clone)]
 pub struct Fetch<'a> {
-    /// The download's own id.
+    /// The request's own id.
     pub id: Hex,
     /// The name of its content type.
     pub content_type: &'a str,
@@ -24,8 +24,8 @@
     pub wait: Nanos,
     /// Who fills a miss; nobody if absent.
     pub source: Option<&'a str>,
-    /// The pull as it was ordered; its age limit is that of the moment of writing.
-    pub order: Pull,
+    /// The attempt as it was ordered; its age limit is that of the moment of writing.
+    pub order: Attempt,
     /// The tag of the client's copy.
     pub held: Option<Hex>,
     /// The mark by which a repeat is known.
@@ -34,12 +34,12 @@
     pub body: &'a [u8],
 }
 
-/// A node's answer to a pull.
+/// A node's answer to an attempt.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Answer {
-    /// The id of the download; nothing if it has not the form of one.
+    /// The id of the request; nothing if it has not the form of one.
     pub id: Option<Hex>,
-    /// How the pull ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
     /// The client's copy is the one.
     pub current: bool,
@@ -60,7 +60,7 @@
     (span.0 / 1_000_000).max(1)
 }
 
-/// Writes a pull to the end of `bytes`.
+/// Writes an attempt to the end of `bytes`.
 pub fn encode_fetch(fetch: &Fetch<'_>, bytes: &mut Vec<u8>) {
     let mut line = format!(
         "fetch {} lane={},name={},piece={},ttl={}",
@@ -91,7 +91,7 @@
     bytes.extend_from_slice(b"\r\n");
 }
 
-/// Writes that a pull is given up to the end of `bytes`.
+/// Writes that an attempt is given up to the end of `bytes`.
 pub fn encode_abort(id: Hex, bytes: &mut Vec<u8>) {
     bytes.extend_from_slice(format!("abort {id}\r\n").as_bytes());
 }
--- a/crates/protocol/tests/codecs.rs
+++ b/crates/protocol/tests/codecs.rs
@@ -2,7 +2,7 @@
 
 use copperroute_protocol::hex::Hex;
 use copperroute_protocol::{changes, clients, nodes};
-use copperroute_routing::interface::{Nanos, NodeId, Pull};
+use copperroute_routing::interface::{Attempt, Nanos, NodeId};
 use copperroute_routing::structures::random::Random;
 use expect_test::expect;
 
@@ -162,7 +162,7 @@
         part: 3,
         wait: Nanos(1_500_900_000),
         source: None,
-        order: Pull {
+        order: Attempt {
             node: NodeId(0),
             source: NodeId(0),
             try_for: None,
@@ -180,7 +180,7 @@
     };
     let full = nodes::Fetch {
         source: Some("p-1"),
-        order: Pull {
+        order: Attempt {
             rank: 3,
             // Under a millisecond must not become 0, which stands for no limit.
             max_age: Some(Nanos(900_000)),
--- a/crates/routing/src/fleet/bandwidth_share.rs
+++ b/crates/routing/src/fleet/bandwidth_share.rs
@@ -72,7 +72,7 @@
         self.limit
     }
 
-    /// What it bears of own pulls that go past the caches.
+    /// What it bears of own attempts that go past the caches.
     pub fn bears(&self) -> f64 {
         self.limit.min(self.part.max(1.0))
     }
--- a/crates/routing/src/fleet/duplicate_filter.rs
+++ b/crates/routing/src/fleet/duplicate_filter.rs
@@ -8,12 +8,12 @@
 //! dropped first.
 //!
 //! Refusing all else that a connection sends once it has sent something unusable was measured and not kept: on
-//! the days of rude clients their later downloads are worth serving (`docs/fleet.md`).
+//! the days of rude clients their later requests are worth serving (`docs/fleet.md`).
 
 use crate::interface::Nanos;
 use std::collections::{HashMap, VecDeque};
 
-/// Ids that are kept at most: a dispatcher takes some tens of downloads a second, a flood some thousands.
+/// Ids that are kept at most: a dispatcher takes some tens of requests a second, a flood some thousands.
 pub const MOST_IDS: usize = 65_536;
 
 /// What becomes of a request.
@@ -38,7 +38,7 @@
 }
 
 impl DuplicateFilter {
-    /// Keeps each id for `kept_for`, the longest that a download may be open, and at most `most` of them.
+    /// Keeps each id for `kept_for`, the longest that a request may be open, and at most `most` of them.
     pub fn new(kept_for: Nanos, most: usize) -> Self {
         DuplicateFilter { seen: HashMap::new(), order: VecDeque::new(), kept_for, most: most.max(1) }
     }
--- a/crates/routing/src/fleet/origin_limiter.rs
+++ b/crates/routing/src/fleet/origin_limiter.rs
@@ -46,7 +46,7 @@
         self.usual_s
     }
 
-    /// A fetch has come, whose first byte took so long, of a download with this target time.
+    /// A fetch has come, whose first byte took so long, of a request with this target time.
     pub fn answered(&mut self, now: Nanos, waited_s: f64, target_s: f64) {
         let late = waited_s > (LATE * target_s).max(SLOW * self.usual_s);
         self.usual_s += SMOOTH * (waited_s - self.usual_s).min(self.usual_s);
--- a/crates/routing/src/fleet/overload_control/mod.rs
+++ b/crates/routing/src/fleet/overload_control/mod.rs
@@ -233,7 +233,7 @@
         let repeat = d.repeat || (!self.s.clients_mark && page.as_ref().is_some_and(Page::waits));
         let mut page = page.unwrap_or_default();
         let tried = if repeat { page.returns(now) } else { None };
-        reservation.spent = tried.map_or(0, |tried| tried.pulls);
+        reservation.spent = tried.map_or(0, |tried| tried.attempts);
         let row = &mut self.rows[at];
         if !repeat {
             row.seen.add(now, 0, 1.0);
@@ -253,7 +253,7 @@
         if repeat {
             self.pages.insert(now, print, page);
         }
-        if u32::from(reservation.spent) >= self.s.max_pulls {
+        if u32::from(reservation.spent) >= self.s.max_attempts {
             return Admission::Never(reservation);
         }
         let in_time = told.is_some_and(|tried| tried.reserved && now <= tried.back.after(LATE));
@@ -300,12 +300,12 @@
                 self.admission[backend].ended(now, in_time);
             }
         }
-        let pulls = reservation
+        let attempts = reservation
             .spent
-            .saturating_add(request_id.pulls.iter().filter(|pull| pull.reached).count() as u8);
+            .saturating_add(request_id.attempts.iter().filter(|attempt| attempt.reached).count() as u8);
         if to != Stage::Throttled {
-            if to == Stage::Abandoned && pulls > 0 && !row.is_once() {
-                self.remember(now, reservation.print, Tried { pulls, back: Nanos::ZERO, reserved: false });
+            if to == Stage::Abandoned && attempts > 0 && !row.is_once() {
+                self.remember(now, reservation.print, Tried { attempts, back: Nanos::ZERO, reserved: false });
             }
             return None;
         }
@@ -321,7 +321,7 @@
             LoadState::Calm => (Nanos::ZERO, false),
             _ => self.slot(now, backend, reservation.level, request_id.work_s),
         };
-        self.remember(now, reservation.print, Tried { pulls, back, reserved });
+        self.remember(now, reservation.print, Tried { attempts, back, reserved });
         (back > Nanos::ZERO).then(|| back.since(now))
     }
 
--- a/crates/routing/src/fleet/overload_control/tries.rs
+++ b/crates/routing/src/fleet/overload_control/tries.rs
@@ -9,7 +9,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Tried {
     /// Attempts that it and the tries before it used.
-    pub(super) pulls: u8,
+    pub(super) attempts: u8,
     /// When its retry-after ends; zero if none was given.
     pub(super) back: Nanos,
     /// A slot is reserved for it then.
@@ -50,7 +50,7 @@
 
     /// Remembers a try; if there is no room it replaces the one with the fewest attempts.
     pub(super) fn put(&mut self, tried: Tried) {
-        let place = self.tried.iter_mut().min_by_key(|place| place.map_or(0, |held| 1 + held.pulls));
+        let place = self.tried.iter_mut().min_by_key(|place| place.map_or(0, |held| 1 + held.attempts));
         place.into_iter().for_each(|place| *place = Some(tried));
     }
 
--- a/crates/routing/src/fleet/slow_start.rs
+++ b/crates/routing/src/fleet/slow_start.rs
@@ -2,15 +2,15 @@
 //! fleet keeps to rule 4 without coordination. No I/O; time comes with each call, random draws from the caller.
 //! See docs/cold-start.md.
 //!
-//! Each dispatcher has a token bucket for each cold node: seconds of sending grow in it and are spent by pulls. Of hundreds
-//! of dispatchers one's tokens of a second are far less than a pull: then a pull is sent with the chance that they come
+//! Each dispatcher has a token bucket for each cold node: seconds of sending grow in it and are spent by attempts. Of hundreds
+//! of dispatchers one's tokens of a second are far less than a pull: then an attempt is sent with the chance that they come
 //! to, and they are spent, sent or not.
 //!
 //! The sum, stated: in any window of the rule's length all together may send what grows in it and what was saved before
 //! it ([`Rate::most_in_window_s`]). What is saved is bounded so that this is `WORST` of the N calls that the rule bears in
 //! that window, were every dispatcher to come at once with all that it may have saved; chance puts roots of N around that,
 //! and the bound that is kept is N + 2 roots of N + 2 for every N (`tests/module/cold_sum.rs`: 1 to 900 dispatchers, N from
-//! 2, uneven traffic, silence and then all at once, restarts). Before, one whole pull was saved by each: of 300 far more
+//! 2, uneven traffic, silence and then all at once, restarts). Before, one whole attempt was saved by each: of 300 far more
 //! than N.
 //!
 //! The share of one is that of as many dispatchers as the settings name, and nothing that one sees tells how many there
@@ -63,7 +63,7 @@
     }
 
     /// What all together may send in any window of the rule's length, in seconds of sending: what grows in it, and what
-    /// they may have saved before it. Chance moves what is sent around it, as each pull is drawn.
+    /// they may have saved before it. Chance moves what is sent around it, as each attempt is drawn.
     pub fn most_in_window_s(&self) -> f64 {
         self.bearable * (self.window.secs() + self.burst_s())
     }
@@ -81,7 +81,7 @@
         TokenBucket { tokens_s: 0.0, at }
     }
 
-    /// The chance with which a pull of so much work is sent now, which is spent, sent or not.
+    /// The chance with which an attempt of so much work is sent now, which is spent, sent or not.
     pub fn spend(&mut self, now: Nanos, rate: &Rate, work_s: f64) -> f64 {
         if work_s > MOST * rate.bearable * rate.window.secs() {
             return 0.0;
@@ -97,7 +97,7 @@
         chance
     }
 
-    /// How long it takes until a pull of so much work has grown again, at what the dispatcher may send a second.
+    /// How long it takes until an attempt of so much work has grown again, at what the dispatcher may send a second.
     pub fn until(&self, rate: &Rate, work_s: f64) -> Nanos {
         Nanos::from_secs(((work_s - self.tokens_s) / rate.share().max(1e-6)).clamp(0.0, LONGEST_S))
     }
--- a/crates/routing/src/interface.rs
+++ b/crates/routing/src/interface.rs
@@ -35,7 +35,7 @@
     }
 }
 
-/// A download in hand: a slot that the adapter may use again after [`Outbox::release`].
+/// A request in hand: a slot that the adapter may use again after [`Outbox::release`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct RequestId(pub u32);
 
@@ -77,7 +77,7 @@
 pub struct ContentType {
     /// An answer within this time earns the whole benefit.
     pub target_time: Nanos,
-    /// Added to the target time, as a multiple of the download's own sending time.
+    /// Added to the target time, as a multiple of the request's own sending time.
     pub target_stretch: f64,
     /// Whether it may run again.
     pub repeat: Repeat,
@@ -116,8 +116,8 @@
     /// A marked repeat of what must not run twice counts as one that may have run, though its first try is not
     /// known here.
     pub doubt_unknown: bool,
-    /// The most pulls for one download and its repeats.
-    pub max_pulls: u32,
+    /// The most attempts for one request and its repeats.
+    pub max_attempts: u32,
 }
 
 /// What a dispatcher is told when it starts.
@@ -137,9 +137,9 @@
     pub parent_kind: Option<u32>,
     /// The kind of node that is the origin.
     pub origin_kind: Option<u32>,
-    /// Whether parents and the origin take pulls too.
+    /// Whether parents and the origin take attempts too.
     pub direct: bool,
-    /// Whether a download can join a fill that is under way.
+    /// Whether a request can join a fill that is under way.
     pub joins: bool,
     /// Whether answers tell a fill that a parent held from one that went to the origin.
     pub fills_told: bool,
@@ -163,14 +163,14 @@
     pub origin_stop_multiple: f64,
     /// The list of nodes comes only when followed.
     pub list_is_asked: bool,
-    /// Pulls may be called off.
+    /// Attempts may be called off.
     pub cancel: bool,
     /// Clients are told when to come back.
     pub come_back: bool,
     /// The longest advice that clients heed.
     pub max_come_back: Nanos,
-    /// The most pulls for one download.
-    pub max_pulls: u32,
+    /// The most attempts for one request.
+    pub max_attempts: u32,
     /// The list tells the sizes of nodes, exactly or roughly; else it gives every node the same.
     pub sizes_told: bool,
     /// Nodes may be probed, and say what they are doing.
@@ -211,7 +211,7 @@
     pub started: Nanos,
 }
 
-/// A download that the dispatcher has taken.
+/// A request that the dispatcher has taken.
 #[derive(Debug, Clone, Copy)]
 pub struct RoutingRequest {
     /// Its slot.
@@ -228,7 +228,7 @@
     pub group: Option<u64>,
     /// When the client stops waiting for this try.
     pub expires: Nanos,
-    /// A client's repeat of a download that was not served, where clients mark it.
+    /// A client's repeat of a request that was not served, where clients mark it.
     pub repeat: bool,
     /// Its size, where told.
     pub size_kb: Option<f64>,
@@ -238,7 +238,7 @@
     pub body_hash: u64,
 }
 
-/// How a pull ended.
+/// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
     /// Served.
@@ -288,14 +288,14 @@
     OriginFailed,
 }
 
-/// The end of a pull.
+/// The end of an attempt.
 #[derive(Debug, Clone, Copy)]
-pub struct PullEnd {
+pub struct AttemptEnd {
     /// How it ended.
     pub outcome: Outcome,
     /// How long it took.
     pub took: Nanos,
-    /// Nothing more is owed for the download.
+    /// Nothing more is owed for the request.
     pub closed: bool,
     /// Time to the source's first byte or to the fill's failure, where told.
     pub waited: Option<Nanos>,
@@ -308,15 +308,15 @@
 /// What a node says of its load: some time old, and not exact.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Report {
-    /// Downloads in hand.
+    /// Requests in hand.
     pub in_hand: Option<f64>,
     /// The part of the node that is busy, 0 to 1.
     pub busy: Option<f64>,
 }
 
-/// A pull as the module orders it.
+/// An attempt as the module orders it.
 #[derive(Debug, Clone, Copy)]
-pub struct Pull {
+pub struct Attempt {
     /// The node that is asked.
     pub node: NodeId,
     /// Who supplies a miss; the node itself for no fill.
@@ -341,9 +341,9 @@
 
 /// Through this the module sends. An adapter writes each call out in the order in which it comes.
 pub trait Outbox {
-    /// Makes a pull for a download. The first of a download is number 0, and so on.
-    fn pull(&mut self, request_id: RequestId, pull: &Pull);
-    /// Calls off a pull that is out.
+    /// Makes an attempt for a request. The first of a request is number 0, and so on.
+    fn attempt(&mut self, request_id: RequestId, attempt: &Attempt);
+    /// Calls off an attempt that is out.
     fn call_off(&mut self, request_id: RequestId, number: u32);
     /// Final answer: not served, and trying again is harmless; after `come_back`, if given.
     fn throttle(&mut self, request_id: RequestId, come_back: Option<Nanos>);
@@ -357,7 +357,7 @@
     fn follow(&mut self);
     /// Writes a line for on-call staff.
     fn note(&mut self, line: &str);
-    /// The module holds nothing more of this download.
+    /// The module holds nothing more of this request.
     fn release(&mut self, request_id: RequestId);
     /// The module holds nothing more of this object.
     fn release_object(&mut self, object: ObjectId);
--- a/crates/routing/src/nodes.rs
+++ b/crates/routing/src/nodes.rs
@@ -16,7 +16,7 @@
     pub listed: bool,
     /// When it last started, told or judged; zero for long ago.
     pub started: Nanos,
-    /// RecencyWindow pulls that worked and that failed.
+    /// RecencyWindow attempts that worked and that failed.
     pub ended: RingBuffer<2>,
     /// What its recent hits took, and their sending time; load reports count as hits.
     pub pace: RingBuffer<2>,
@@ -28,13 +28,13 @@
     pub bucket: TokenBucket,
     /// Smoothed time to first byte of its fills, and when it was last seen.
     pub first_byte: (f64, Nanos),
-    /// Pulls and fills out.
+    /// Attempts and fills out.
     pub out: u32,
     /// When it last answered anything.
     pub heard: Nanos,
     /// Set aside until then.
     pub aside_until: Nanos,
-    /// To be tried with one pull first.
+    /// To be tried with one attempt first.
     pub on_trial: bool,
     /// When a connection to it last broke, or could not be made.
     pub broke: Nanos,
@@ -77,7 +77,7 @@
         self.pace.add(now, 1, work_s);
     }
 
-    /// Counts the end of a pull; returns how many worked and failed lately.
+    /// Counts the end of an attempt; returns how many worked and failed lately.
     pub fn saw_end(&mut self, now: Nanos, worked: bool) -> [f64; 2] {
         self.in_row = if worked { 0 } else { self.in_row + 1 };
         self.ended.add(now, usize::from(!worked), 1.0);
@@ -154,7 +154,7 @@
         true
     }
 
-    /// An own pull has ended at a cache after so long, in which so much was sent.
+    /// An own attempt has ended at a cache after so long, in which so much was sent.
     pub fn held(&mut self, now: Nanos, took_s: f64, work_s: f64) {
         self.sizes.held(now, took_s, work_s);
     }
@@ -291,7 +291,7 @@
         self.get(id).and_then(|n| n.age(now)).is_some_and(|age| age < warm_after)
     }
 
-    /// Counts a pull in or out at the nodes that it puts work on.
+    /// Counts an attempt in or out at the nodes that it puts work on.
     pub fn count_out(&mut self, sent: &Sent, by: i32) {
         for id in [Some(sent.node), (!sent.is_look()).then_some(sent.source)].into_iter().flatten() {
             self.get_mut(id).into_iter().for_each(|n| n.out = n.out.saturating_add_signed(by));
@@ -308,7 +308,7 @@
         self.get(id).is_some_and(|n| Some(n.e.kind) == self.parent_kind)
     }
 
-    /// Whether a pull is a fill from a parent or the origin.
+    /// Whether an attempt is a fill from a parent or the origin.
     pub fn from_above(&self, sent: &Sent) -> bool {
         !sent.is_look() && (self.is_parent(sent.source) || self.is_origin(sent.source))
     }
--- a/crates/routing/src/pinned_rules.rs
+++ b/crates/routing/src/pinned_rules.rs
@@ -19,13 +19,13 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PinnedRules {
     repeat: Repeat,
-    max_pulls: u32,
+    max_attempts: u32,
 }
 
 impl PinnedRules {
     /// The rules of a content type in these settings.
     pub fn new(s: &Settings, content_type: TypeId) -> PinnedRules {
-        PinnedRules { repeat: s.content_types[content_type.0 as usize].repeat, max_pulls: s.max_pulls }
+        PinnedRules { repeat: s.content_types[content_type.0 as usize].repeat, max_attempts: s.max_attempts }
     }
 
     /// The stricter of these and of those in force.
@@ -33,7 +33,7 @@
         let other = PinnedRules::new(s, content_type);
         PinnedRules {
             repeat: stricter(self.repeat, other.repeat),
-            max_pulls: self.max_pulls.min(other.max_pulls),
+            max_attempts: self.max_attempts.min(other.max_attempts),
         }
     }
 
@@ -42,8 +42,8 @@
         self.repeat
     }
 
-    /// How many pulls it may take.
-    pub fn max_pulls(&self) -> usize {
-        self.max_pulls as usize
+    /// How many attempts it may take.
+    pub fn max_attempts(&self) -> usize {
+        self.max_attempts as usize
     }
 }
--- a/crates/routing/src/policy/ends.rs
+++ b/crates/routing/src/policy/ends.rs
@@ -1,27 +1,27 @@
-//! What the end of a pull, or that it does not end, teaches.
+//! What the end of an attempt, or that it does not end, teaches.
 
 use super::*;
 
 impl Dispatcher {
-    /// A stream has begun: the download is bound to this pull.
+    /// A stream has begun: the request is bound to this attempt.
     pub fn first_byte(&mut self, now: Nanos, id: RequestId, number: u32, out: &mut impl Outbox) {
         let node =
-            self.requests.get(id.0).and_then(|request| request.pulls.get(number as usize)).map(|p| p.node);
+            self.requests.get(id.0).and_then(|request| request.attempts.get(number as usize)).map(|p| p.node);
         node.and_then(|node| self.nodes.get_mut(node)).into_iter().for_each(|n| n.heard = now);
         self.move_to(now, id, Stage::Streaming, out);
     }
 
-    /// A pull has ended.
-    pub fn pull_ended(
+    /// An attempt has ended.
+    pub fn attempt_ended(
         &mut self,
         now: Nanos,
         id: RequestId,
         number: u32,
-        end: &PullEnd,
+        end: &AttemptEnd,
         out: &mut impl Outbox,
     ) {
         let Some(request) = self.requests.get_mut(id.0) else { return };
-        let Some(sent) = request.pulls.get_mut(number as usize).filter(|p| p.out) else { return };
+        let Some(sent) = request.attempts.get_mut(number as usize).filter(|p| p.out) else { return };
         (sent.out, sent.left) = (false, end.outcome != Outcome::NotSent);
         sent.reached = !matches!(end.outcome, Outcome::NotSent | Outcome::Unreachable);
         let sent = *sent;
@@ -29,7 +29,7 @@
         let missed = end.outcome == NotHeld && sent.is_look();
         // A cache elsewhere that lacks the copy leaves the parents to fill it: that was no fill.
         let lacks = end.remark == Remark::SourceHasNone && !sent.is_look() && !self.nodes.from_above(&sent);
-        let filled = request.pulls.iter().take(number as usize).any(|p| self.nodes.from_above(p));
+        let filled = request.attempts.iter().take(number as usize).any(|p| self.nodes.from_above(p));
         let again =
             (filled || (number > 0 && request.missed_at.is_none())) && !missed && end.outcome != CalledOff;
         let worked = end.outcome == Fulfilled;
@@ -43,7 +43,7 @@
         let blamed = if worked || end.outcome == NotHeld { request.erred_at.take() } else { None };
         request.erred_at = erred.or(request.erred_at);
         request.missed_at = (missed || lacks).then_some(sent.node);
-        // Where fills can't be shared, one under way for another download is waited for, not made twice.
+        // Where fills can't be shared, one under way for another request is waited for, not made twice.
         request.rides = (missed && end.remark == Remark::Joined && !self.s.joins).then_some(sent.node);
         let request = request.clone();
         if !sent.is_look() {
@@ -56,22 +56,22 @@
         }
         if end.closed {
             self.move_to(now, id, if worked { Stage::Fulfilled } else { Stage::Left }, out);
-        } else if request.stage == Stage::Pulling && request.pulls.iter().all(|p| !p.out) {
-            // Further pulls follow the share of recent ones that worked, so a wide failure brings no storm.
+        } else if request.stage == Stage::Attempting && request.attempts.iter().all(|p| !p.out) {
+            // Further attempts follow the share of recent ones that worked, so a wide failure brings no storm.
             let [worked, failed] = self.further.sums(now);
             let share = ((worked + 2.0) / (worked + failed + 2.0)).max(FURTHER_FLOOR);
             let in_time = request.d.expires.since(now).secs() > request.work_s;
             let storm = self.storm.as_ref().map_or(1.0, |storm| storm.further(request.d.content_type));
-            let pulls = request.pulls.len() + usize::from(request.reservation.spent);
-            let most = request.pinned.max_pulls();
-            let allowed = in_time && pulls < most;
+            let attempts = request.attempts.len() + usize::from(request.reservation.spent);
+            let most = request.pinned.max_attempts();
+            let allowed = in_time && attempts < most;
             // What a parent lacks, or the origin refused or failed, is to be had nowhere else.
             let nowhere = (end.outcome == NotHeld && !missed && !lacks) || end.remark == Remark::OriginFailed;
             // The look after it leaves room for a fill of its own.
             let wait =
                 if request.rides.is_some() { self.fill_usual_s * (0.5 + self.random.share()) } else { 0.0 };
             let in_time = request.d.expires.since(now).secs() > wait + request.work_s;
-            let rides = allowed && request.rides.is_some() && in_time && pulls + 2 <= most;
+            let rides = allowed && request.rides.is_some() && in_time && attempts + 2 <= most;
             self.requests
                 .get_mut(id.0)
                 .filter(|_| !rides)
@@ -80,7 +80,7 @@
             if rides {
                 out.arm(Nanos::from_secs(wait), u64::from(id.0) << 32 | u64::from(LOOK_AGAIN));
             } else if allowed && !nowhere && (missed || lacks || self.random.share() < share * storm) {
-                self.pull(now, id, out);
+                self.attempt(now, id, out);
             } else {
                 self.give_up(now, id, out);
             }
@@ -89,7 +89,7 @@
     }
 
     /// The answer tells how far the closest held copy was; a hit keeps the hops of the last fill.
-    pub(super) fn learn(&mut self, now: Nanos, request: &RequestState, sent: &Sent, end: &PullEnd) {
+    pub(super) fn learn(&mut self, now: Nanos, request: &RequestState, sent: &Sent, end: &AttemptEnd) {
         let told = request.d.size_kb.is_some() && self.s.client_kb_per_s > 0.0;
         let own_s = match end.remark {
             _ if told => Some(request.work_s),
@@ -118,13 +118,13 @@
         entry.work_s = own_s.map(|own_s| entry.work_s.map_or(own_s, |w| w.min(own_s))).or(entry.work_s);
     }
 
-    /// Judges node and source by how a pull ended.
+    /// Judges node and source by how an attempt ended.
     pub(super) fn judge(
         &mut self,
         now: Nanos,
         request: &RequestState,
         sent: &Sent,
-        end: &PullEnd,
+        end: &AttemptEnd,
         out: &mut impl Outbox,
     ) {
         use Outcome::*;
@@ -177,7 +177,7 @@
         }
     }
 
-    /// Counts for or against a node; sets it aside when recent pulls failed too often, whatever the cause.
+    /// Counts for or against a node; sets it aside when recent attempts failed too often, whatever the cause.
     pub(super) fn mark(&mut self, now: Nanos, id: NodeId, worked: bool, died: bool, out: &mut impl Outbox) {
         let Some(n) = self.nodes.get_mut(id) else { return };
         let [ok, failed] = n.saw_end(now, worked);
@@ -193,7 +193,7 @@
         }
     }
 
-    /// Sets a node aside for a fixed time and a random part; then it is tried with one pull first. One
+    /// Sets a node aside for a fixed time and a random part; then it is tried with one attempt first. One
     /// that may have died comes back cold, told or not, and is treated so.
     pub(super) fn set_aside(&mut self, now: Nanos, id: NodeId, died: bool, out: &mut impl Outbox) {
         let aside = ASIDE.after(Nanos::from_secs(ASIDE_SPREAD_S * self.random.share()));
@@ -207,28 +207,28 @@
         out.note(&format!("node {} set aside for {:.1} s", id.0, aside.secs()));
     }
 
-    /// A pull is overdue. If its node, or its source, answered nothing since it was sent, that is silent: it
+    /// An attempt is overdue. If its node, or its source, answered nothing since it was sent, that is silent: it
     /// is set aside, and what is out there is called off to go elsewhere.
     pub fn timer(&mut self, now: Nanos, token: u64, out: &mut impl Outbox) {
         if token >= PROBE_DUE {
             return if token == PROBE_DUE { self.probe(out) } else { out.follow() };
         }
         let Some(request) = self.requests.get((token >> 32) as u32) else { return };
-        let waits = request.stage == Stage::Pulling
+        let waits = request.stage == Stage::Attempting
             && request.rides.is_some()
-            && request.pulls.iter().all(|p| !p.out);
+            && request.attempts.iter().all(|p| !p.out);
         if token as u32 == LOOK_AGAIN && waits {
-            return self.pull(now, request.d.request_id, out);
+            return self.attempt(now, request.d.request_id, out);
         }
-        let found = request.pulls.iter().position(|p| p.out && p.serial == token as u32);
-        let Some((number, sent)) = found.map(|at| (at, request.pulls[at])) else { return };
+        let found = request.attempts.iter().position(|p| p.out && p.serial == token as u32);
+        let Some((number, sent)) = found.map(|at| (at, request.attempts[at])) else { return };
         let at_origin = self.nodes.is_origin(sent.node) || self.nodes.from_above(&sent);
         if at_origin && !sent.held_only {
             self.origin.overdue(now);
             self.requests
                 .get_mut((token >> 32) as u32)
                 .into_iter()
-                .for_each(|request| request.pulls[number].overdue = true);
+                .for_each(|request| request.attempts[number].overdue = true);
         }
         let heard = |id: NodeId| self.nodes.get(id).is_none_or(|n| n.heard >= sent.at || n.aside_until > now);
         // Where the node answers, what is overdue hangs further up: at the source, or at the origin. There it
@@ -243,8 +243,11 @@
         }
         let aside = self.nodes.get(silent).is_some_and(|n| n.aside_until > now);
         let retriable = |request: &&RequestState| request.pinned.repeat() == Repeat::Retriable;
-        let stuck =
-            self.requests.iter().filter(|request| aside && request.stage == Stage::Pulling).filter(retriable);
+        let stuck = self
+            .requests
+            .iter()
+            .filter(|request| aside && request.stage == Stage::Attempting)
+            .filter(retriable);
         for id in stuck.map(|request| request.d.request_id).collect::<Vec<_>>() {
             self.call_off(id, Some(silent), out);
         }
--- a/crates/routing/src/policy/fill.rs
+++ b/crates/routing/src/policy/fill.rs
@@ -10,7 +10,7 @@
     }
 
     /// Link and source hear how slowly a fill ran.
-    pub(super) fn fill_ended(&mut self, now: Nanos, request: &RequestState, sent: &Sent, end: &PullEnd) {
+    pub(super) fn fill_ended(&mut self, now: Nanos, request: &RequestState, sent: &Sent, end: &AttemptEnd) {
         self.link.ended();
         if end.outcome == Outcome::CalledOff {
             return;
@@ -36,11 +36,11 @@
         }
     }
 
-    /// Where caches may fill from other locations: the first of theirs for the copy, once a download. The
+    /// Where caches may fill from other locations: the first of theirs for the copy, once a request. The
     /// same copy is asked for everywhere, so it is often held there, one hop away; else it is one more look.
     pub(super) fn sibling(&mut self, now: Nanos, request: &RequestState) -> Option<NodeId> {
         let asked =
-            !self.s.sideways || request.pulls.iter().any(|p| !p.is_look() && !self.nodes.from_above(p));
+            !self.s.sideways || request.attempts.iter().any(|p| !p.is_look() && !self.nodes.from_above(p));
         let homes = self.nodes.homes_away(request.d.copy_hash, now, self.s.cache_cold.warm_after);
         homes.into_iter().find(|id| !asked && self.open(now, *id))
     }
@@ -66,7 +66,7 @@
         parents.sort();
         let mean = self.row(&request.d).mean_work_s;
         parents.retain(|(_, id)| self.open(now, *id));
-        let failed = |id: NodeId| request.pulls.iter().any(|p| !p.is_look() && p.source == id);
+        let failed = |id: NodeId| request.attempts.iter().any(|p| !p.is_look() && p.source == id);
         let first_byte = |id: NodeId| self.nodes.get(id).map_or(0.0, |n| n.first_byte_s(now, FADES));
         // The origin stands in for a parent that is not open. As all locations turn to it at once, uncached
         // and unjoined, each dispatcher asks it for a few at a time only.
--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -40,17 +40,17 @@
 const RUNS_ASIDE: u32 = 3; // at an origin that is set aside but has not died
 const ASIDE: Nanos = Nanos(3_000_000_000);
 const ASIDE_SPREAD_S: f64 = 2.0;
-const OVERDUE_STRETCH: f64 = 2.0; // a pull is looked at after this many times its work and
+const OVERDUE_STRETCH: f64 = 2.0; // an attempt is looked at after this many times its work and
 const OVERDUE_SLACK: Nanos = Nanos(300_000_000);
 const PROBE_DUE: u64 = u64::MAX - 1; // the token of the next
 const ASK_AGAIN: Nanos = Nanos(1_000_000_000); // after a failed call to discovery
 // Load, in transfers for each one that the node's link fits.
 const FULL: f64 = 1.5; // the next cache in hash order takes over
 const UNEVEN: f64 = 1.5; // or this many times the location's mean
-const PRIOR_COUNT: f64 = 4.0; // own pulls out that weigh as much as what hits took
+const PRIOR_COUNT: f64 = 4.0; // own attempts out that weigh as much as what hits took
 const IN_TIME: f64 = 0.9; // of the target time
 const LARGE: f64 = 2.0; // times the mean sending time of its content type
-const LATE_SHARE: f64 = 0.15; // of large downloads that would come late, but before their client gives up
+const LATE_SHARE: f64 = 0.15; // of large requests that would come late, but before their client gives up
 const FILL_WEIGHT: f64 = 1.3; // a fill keeps this much more of its target time in reserve than a hit
 const COLD_LOAD: f64 = 0.5; // of what the rule bears, and never over what the node can do
 const FILL_LEEWAY: f64 = 0.5; // fills that use up more of what the target time leaves crowd the link
@@ -75,10 +75,10 @@
     link: BandwidthShare,
     fill_usual_s: f64,      // of fills that worked, from send to end
     origin: OriginLimiter,  // how far it is spared
-    further: RingBuffer<2>, // further pulls that worked, that failed
+    further: RingBuffer<2>, // further attempts that worked, that failed
     purges: Purges,
     storm: Option<OverloadControl>, // off unless the operators tell of storms
-    again: Nanos,                   // when the cold node that was asked last bears a pull of this one's
+    again: Nanos,                   // when the cold node that was asked last bears an attempt of this one's
     random: Random,
     serial: u32,
 }
@@ -170,12 +170,12 @@
         self.link.listed(&self.s, self.nodes.caches_can(self.s.zone_dispatchers));
     }
 
-    /// Pulls and fills believed to be out at a node.
+    /// Attempts and fills believed to be out at a node.
     pub fn out_at(&self, id: NodeId) -> u32 {
         self.nodes.get(id).map_or(0, |n| n.out)
     }
 
-    /// A node that left the list so long ago that no download in hand has met it: its slot may be given anew.
+    /// A node that left the list so long ago that no request in hand has met it: its slot may be given anew.
     pub fn node_forgotten(&mut self, id: NodeId) {
         self.nodes.forget(id);
     }
--- a/crates/routing/src/policy/ordinary.rs
+++ b/crates/routing/src/policy/ordinary.rs
@@ -1,9 +1,9 @@
-//! The ordinary path: a download is counted in the shadow table, judged by MC3 and sent on its way.
+//! The ordinary path: a request is counted in the shadow table, judged by MC3 and sent on its way.
 
 use super::*;
 
 impl Dispatcher {
-    /// A download has come: counted in the shadow table, judged by MC3, and sent on its way.
+    /// A request has come: counted in the shadow table, judged by MC3, and sent on its way.
     pub fn request_arrived(&mut self, now: Nanos, d: &RoutingRequest, out: &mut impl Outbox) {
         let (mut keep, mut seen) = (Keep::default(), None);
         if !self.row(d).told.uncacheable {
@@ -23,20 +23,20 @@
         self.admit(now, d, work_s, out);
     }
 
-    /// A download that was answered from an own copy: counted in the shadow table as any other.
+    /// A request that was answered from an own copy: counted in the shadow table as any other.
     pub fn served_here(&mut self, now: Nanos, d: &RoutingRequest, out: &mut impl Outbox) {
         self.count(now, d, out);
     }
 
-    /// What the shadow table knows of a copy: own downloads a second, and hops to the closest copy.
+    /// What the shadow table knows of a copy: own requests a second, and hops to the closest copy.
     pub fn known(&self, d: &RoutingRequest) -> Option<(Option<f64>, f64)> {
         let shadow = self.shadows.get(d.object).filter(|shadow| shadow.copy_hash == d.copy_hash)?;
         Some((shadow.gap_s.map(|gap| 1.0 / gap), shadow.hops))
     }
 
-    /// Sends a download on its way, unless the storm module holds it off: then it is answered at once.
+    /// Sends a request on its way, unless the storm module holds it off: then it is answered at once.
     pub(super) fn admit(&mut self, now: Nanos, d: &RoutingRequest, work_s: f64, out: &mut impl Outbox) {
-        let Some(mut storm) = self.storm.take() else { return self.pull(now, d.request_id, out) };
+        let Some(mut storm) = self.storm.take() else { return self.attempt(now, d.request_id, out) };
         let changed = if storm.is_due(now) { storm.look(now, self.supply(now)) } else { None };
         if let Some((of, from, to)) = changed {
             out.note(&format!("content type {}: {to:?} after {from:?}", of.0));
@@ -49,7 +49,7 @@
             .into_iter()
             .for_each(|request| request.reservation = reservation);
         match admission {
-            Admission::Take(_) => self.pull(now, d.request_id, out),
+            Admission::Take(_) => self.attempt(now, d.request_id, out),
             Admission::Later(_) => self.give_up(now, d.request_id, out),
             Admission::Never(_) => self.end(now, d.request_id, Stage::Abandoned, out),
         }
@@ -73,7 +73,7 @@
     /// Chooses node and source and sends; gives up at once where nothing can take it. A cache is looked at
     /// before a fill is asked of it, so that every fill is decided as one: link, cold parents and origin get
     /// only what they bear. One that drained meanwhile is not filled (rule 3): the look goes elsewhere.
-    pub(super) fn pull(&mut self, now: Nanos, id: RequestId, out: &mut impl Outbox) {
+    pub(super) fn attempt(&mut self, now: Nanos, id: RequestId, out: &mut impl Outbox) {
         let Some(request) = self.requests.get_mut(id.0) else { return };
         let (rides, request) = (request.rides.take(), request.clone());
         self.again = Nanos::ZERO;
@@ -99,14 +99,14 @@
         let by_cache = !sent.is_look() && !self.nodes.from_above(&sent);
         let asked_of = if sent.is_look() { request.keep.hit_rank } else { request.keep.fill_rank };
         let rank = if self.nodes.is_parent(node) { 0 } else { asked_of };
-        let pull = Pull {
+        let attempt = Attempt {
             node,
             source,
             try_for: None,
             rank,
             max_age: self.max_age(now, &request.d),
             send_by: request.may_have_run.and_then(|(first, _)| request.pinned.repeat().send_by(first)),
-            join: self.s.joins && request.pulls.len() < 2,
+            join: self.s.joins && request.attempts.len() < 2,
             held_only: by_cache || (by_parent && !self.may_fetch(now, &request, request.keep.fill_rank)),
             no_parent_copy: rank == 3 && by_parent,
             renew: rank >= 2 && self.row(&request.d).told.fresh_for.is_some(),
@@ -115,23 +115,23 @@
         if !sent.is_look() {
             self.link.begun();
         }
-        self.move_to(now, id, Stage::Pulling, out);
+        self.move_to(now, id, Stage::Attempting, out);
         if let Some(request) = self.requests.get_mut(id.0) {
-            request.pulls.push(Sent { held_only: pull.held_only, ..sent });
+            request.attempts.push(Sent { held_only: attempt.held_only, ..sent });
         }
-        out.pull(id, &pull);
+        out.attempt(id, &attempt);
         let look = Nanos::from_secs(request.work_s * OVERDUE_STRETCH).after(OVERDUE_SLACK);
         out.arm(look, u64::from(id.0) << 32 | u64::from(sent.serial));
     }
 
-    /// Counts a download in the shadow table and returns the entry.
+    /// Counts a request in the shadow table and returns the entry.
     pub(super) fn count(&mut self, now: Nanos, d: &RoutingRequest, out: &mut impl Outbox) -> Shadow {
         let mut entry = Shadow { copy_hash: d.copy_hash, last: now, hops: 2.0, ..Shadow::default() };
         if let Some(known) = self.shadows.get(d.object) {
             let gap = now.since(known.last).secs().max(1e-3);
-            // After twice the estimate without downloads, the estimate is the gap so far.
+            // After twice the estimate without requests, the estimate is the gap so far.
             let old = known.gap_s.map_or(gap, |old| if gap > 2.0 * old { gap } else { old });
-            // A client's repeat is no download more: else a jam would have all that it refuses kept, scans
+            // A client's repeat is no request more: else a jam would have all that it refuses kept, scans
             // too, and feed itself.
             let counted = Shadow { gap_s: Some(0.5 * gap + 0.5 * old), last: now, ..*known };
             entry = if d.repeat { *known } else { counted };
@@ -143,8 +143,8 @@
 
     /// Benefit and rank: keep where hops x rate exceeds storage cost.
     pub(super) fn keep(&mut self, now: Nanos, shadow: &Shadow) -> Keep {
-        // A first download has negative benefit: its fill passes unkept, and a hit stays as it was.
-        // Of Z dispatchers all but one in Z of what is new to one is taken as the location's second download.
+        // A first request has negative benefit: its fill passes unkept, and a hit stays as it was.
+        // Of Z dispatchers all but one in Z of what is new to one is taken as the location's second request.
         let z = f64::from(self.s.zone_dispatchers.max(1));
         let Some(gap_s) = shadow.gap_s else {
             return Keep { fill_rank: u8::from(self.random.share() * z >= 1.0), ratio: 1.0, hit_rank: 0 };
--- a/crates/routing/src/policy/place.rs
+++ b/crates/routing/src/policy/place.rs
@@ -1,4 +1,4 @@
-//! Where a pull goes: which cache, and what goes past the caches.
+//! Where an attempt goes: which cache, and what goes past the caches.
 
 use super::*;
 use crate::listed::{counted, key_of, share_of};
@@ -32,7 +32,7 @@
     }
 
     /// The load of a node, in transfers for each that fits, by what its hits took lately and those of all, of which sums
-    /// are given. Alone, a dispatcher counts its own pulls; of several it sees a part only, and by chance. So what hits took
+    /// are given. Alone, a dispatcher counts its own attempts; of several it sees a part only, and by chance. So what hits took
     /// over their sending time, which shows the load of all, is a prior for its count, the stronger the more
     /// dispatchers there are.
     fn load(&self, request: &RequestState, all: &[[f64; 2]]) -> impl Fn(&Node, [f64; 2]) -> f64 + '_ {
@@ -85,7 +85,7 @@
         caches.retain(|c| {
             self.may_repeat_at(now, request, c.node) && (self.open(now, c.node) || answers(c.node))
         });
-        let tried = |id: NodeId| request.pulls.iter().any(|p| p.left && p.node == id);
+        let tried = |id: NodeId| request.attempts.iter().any(|p| p.left && p.node == id);
         keep_one_cold(&mut caches, |c| self.nodes.is_cold(now, c.node, self.s.cache_cold.warm_after));
         // Where all are as full, another cache would only hold less of what is asked for.
         let full = FULL.max(UNEVEN * caches.iter().map(|c| c.load).sum::<f64>() / caches.len().max(1) as f64);
@@ -96,7 +96,7 @@
         chosen.filter(|c| self.is_worth_asking(now, request, c.load.max(1.0))).map(|c| c.node)
     }
 
-    /// Whether a cache of this load is asked: a download that it could not serve in time would only slow those begun. The
+    /// Whether a cache of this load is asked: a request that it could not serve in time would only slow those begun. The
     /// larger an object, the lower the load at which it is late, so the largest would get next to nothing while the rest of
     /// their content type is served: of those that are only late, a part is asked for at any load.
     fn is_worth_asking(&mut self, now: Nanos, request: &RequestState, load: f64) -> bool {
@@ -109,13 +109,13 @@
         is_large && only_late && self.random.share() < LATE_SHARE
     }
 
-    /// An uncacheable download runs at the origin: straight, or through a parent if that fails.
+    /// An uncacheable request runs at the origin: straight, or through a parent if that fails.
     pub(super) fn runs_at(&mut self, now: Nanos, request: &RequestState) -> Option<(NodeId, NodeId)> {
         let origin = self.nodes.origin()?;
         if request.may_have_run.is_some() || !self.may_fetch(now, request, 4) {
             return None;
         }
-        if self.s.direct && request.pulls.iter().all(|p| p.node != origin) {
+        if self.s.direct && request.attempts.iter().all(|p| p.node != origin) {
             return Some((origin, origin));
         }
         let parent = self.source(now, request).filter(|id| *id != origin && self.s.direct);
--- a/crates/routing/src/policy/rules.rs
+++ b/crates/routing/src/policy/rules.rs
@@ -73,13 +73,13 @@
         self.settle(now, id, out);
     }
 
-    /// The one place where a download changes its stage, and the only one that sends final answers.
+    /// The one place where a request changes its stage, and the only one that sends final answers.
     pub(super) fn move_to(&mut self, now: Nanos, id: RequestId, to: Stage, out: &mut impl Outbox) -> bool {
         use Stage::*;
         let Some(request) = self.requests.get_mut(id.0) else { return false };
         let allowed = match request.stage {
-            Taken => matches!(to, Pulling | Throttled | Abandoned | Left),
-            Pulling => to != Taken,
+            Taken => matches!(to, Attempting | Throttled | Abandoned | Left),
+            Attempting => to != Taken,
             Streaming => matches!(to, Fulfilled | Left),
             Fulfilled | Throttled | Abandoned | Left => false,
         };
@@ -98,26 +98,26 @@
         true
     }
 
-    /// The storm module hears of a final answer, and says when a throttled download is to come back.
+    /// The storm module hears of a final answer, and says when a throttled request is to come back.
     pub(super) fn answered(&mut self, now: Nanos, id: RequestId, to: Stage) -> Option<Nanos> {
-        let final_one = !matches!(to, Stage::Taken | Stage::Pulling | Stage::Streaming);
+        let final_one = !matches!(to, Stage::Taken | Stage::Attempting | Stage::Streaming);
         let request = self.requests.get(id.0).filter(|_| final_one)?;
         let target_s = self.target_s(request);
         self.storm.as_mut()?.answered(now, request, to, target_s)
     }
 
-    /// Lets go of an answered download once all its pulls are in.
+    /// Lets go of an answered request once all its attempts are in.
     pub(super) fn settle(&mut self, now: Nanos, id: RequestId, out: &mut impl Outbox) {
         let Some(request) = self.requests.get(id.0) else { return };
-        let open = matches!(request.stage, Stage::Taken | Stage::Pulling | Stage::Streaming);
-        if !open && request.pulls.iter().all(|p| !p.out) {
+        let open = matches!(request.stage, Stage::Taken | Stage::Attempting | Stage::Streaming);
+        if !open && request.attempts.iter().all(|p| !p.out) {
             self.storm.iter_mut().for_each(|storm| storm.settled(now, request));
             self.requests.clear(id.0);
             out.release(id);
         }
     }
 
-    /// Nobody waits for this download any more.
+    /// Nobody waits for this request any more.
     pub fn client_gone(&mut self, now: Nanos, id: RequestId, out: &mut impl Outbox) {
         if self.move_to(now, id, Stage::Left, out) {
             self.call_off(id, None, out);
@@ -127,7 +127,7 @@
 
     pub(super) fn call_off(&mut self, id: RequestId, at: Option<NodeId>, out: &mut impl Outbox) {
         let Some(request) = self.requests.get(id.0).filter(|_| self.s.cancel) else { return };
-        for (number, sent) in request.pulls.iter().enumerate() {
+        for (number, sent) in request.attempts.iter().enumerate() {
             if sent.out && at.is_none_or(|node| node == sent.node || node == sent.source) {
                 out.call_off(id, number as u32);
             }
--- a/crates/routing/src/retry_safety.rs
+++ b/crates/routing/src/retry_safety.rs
@@ -8,18 +8,18 @@
 /// of the loop. Guards against a repeat that comes a moment too late; harms nothing but those last moments.
 const LEEWAY: Nanos = Nanos(25_000_000);
 
-/// Whether a download may run again.
+/// Whether a request may run again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Repeat {
     /// It may run any number of times.
     Retriable,
-    /// A repeat is known and dropped within a group of caches, for a time from the first pull.
+    /// A repeat is known and dropped within a group of caches, for a time from the first attempt.
     Deduped { scope: DedupScope, window: Nanos },
     /// It must never run twice.
     NonRetriable,
 }
 
-/// Which caches know a deduped download's repeats.
+/// Which caches know a deduped request's repeats.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DedupScope {
     /// All of them.
@@ -44,7 +44,7 @@
 }
 
 impl Repeat {
-    /// Until when a further pull may be sent, of a download whose first pull that may have run was ordered at `first`;
+    /// Until when a further attempt may be sent, of a request whose first attempt that may have run was ordered at `first`;
     /// `None` where time sets no limit.
     pub fn send_by(self, first: Nanos) -> Option<Nanos> {
         match self {
--- a/crates/routing/src/size.rs
+++ b/crates/routing/src/size.rs
@@ -1,7 +1,7 @@
 //! Decisions on what nodes can do, in transfers at once at full pace: what the list says of it, corrected by what the
 //! nodes show. No input or output; time comes with each call. See docs/sizes.md.
 //!
-//! A list may give no sizes, or rough ones. A node shows its size by its load reports (downloads in hand over the part
+//! A list may give no sizes, or rough ones. A node shows its size by its load reports (requests in hand over the part
 //! of it that is busy), and, where there are none, by the work that it ends: what it sends a second at full pace is
 //! less than it can do, what it sends while all is slower than that is what it can do. Both are kept as sums of work
 //! over sums of busy time, so that what was seen at little load weighs little. What nodes of a kind show together
@@ -11,7 +11,7 @@
 use crate::structures::ring_buffer::RingBuffer;
 
 /// Where sizes are not told and nodes may be probed, each dispatcher asks one so often, and of those this part are
-/// parents. A fleet of 25 then makes one probe for some fifty downloads.
+/// parents. A fleet of 25 then makes one probe for some fifty requests.
 pub const PROBE_EVERY: Nanos = Nanos(500_000_000);
 pub(crate) const PROBE_PARENTS: f64 = 0.25;
 /// A told size counts as much as this many seconds of a wholly busy node that shows it; one that is not told, as this.
@@ -22,7 +22,7 @@
 const NODE_MOST_S: f64 = 20.0;
 /// What a kind shows counts for one of its nodes as this many seconds of its own.
 const KIND_S: f64 = 1.0;
-/// Reports of nodes less busy than this show no size, as a few downloads more or fewer are a large part of what they
+/// Reports of nodes less busy than this show no size, as a few requests more or fewer are a large part of what they
 /// have in hand; nor do those of nodes busier than this: what waits is in hand too.
 const IDLE: f64 = 0.1;
 const BUSY: f64 = 0.9;
@@ -59,7 +59,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct Size {
     shown: Shown,
-    /// Own pulls that were answered since it was last looked at: sending time, what they took, how many.
+    /// Own attempts that were answered since it was last looked at: sending time, what they took, how many.
     ended: [f64; 3],
     looked: Nanos,
 }
@@ -69,7 +69,7 @@
 pub struct Sizes {
     told: bool,
     kinds: Vec<Shown>,
-    /// Own pulls at caches: what they took, and what of that they waited for a source.
+    /// Own attempts at caches: what they took, and what of that they waited for a source.
     held: RingBuffer<2>,
 }
 
@@ -104,14 +104,14 @@
         self.kinds[kind as usize].add(work / listed.max(1e-6), busy, KIND_MOST_S);
     }
 
-    /// An own pull has ended at a cache after so long, in which so much was sent to it.
+    /// An own attempt has ended at a cache after so long, in which so much was sent to it.
     pub fn held(&mut self, now: Nanos, took_s: f64, work_s: f64) {
         self.held.add(now, 0, took_s);
         self.held.add(now, 1, work_s.min(took_s));
     }
 
-    /// A warm node has reported how many downloads it has in hand, and what part of it is busy. At a cache, at this time,
-    /// what waits for a source, or is slowed by it, keeps less of it busy, as own pulls show.
+    /// A warm node has reported how many requests it has in hand, and what part of it is busy. At a cache, at this time,
+    /// what waits for a source, or is slowed by it, keeps less of it busy, as own attempts show.
     pub fn reported(
         &mut self,
         cache: Option<Nanos>,
@@ -127,7 +127,7 @@
         }
     }
 
-    /// A warm node has answered a pull of so much sending time, which took so long; one dispatcher of so many sees it.
+    /// A warm node has answered an attempt of so much sending time, which took so long; one dispatcher of so many sees it.
     pub fn answered(
         &mut self,
         now: Nanos,
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -1,4 +1,4 @@
-//! What a dispatcher keeps of its downloads and objects. State only: nothing here decides.
+//! What a dispatcher keeps of its requests and objects. State only: nothing here decides.
 
 use crate::interface::{ContentType, Nanos, NodeId, ObjectId, RoutingRequest};
 use crate::pinned_rules::PinnedRules;
@@ -53,13 +53,13 @@
     }
 }
 
-/// Where a download stands.
+/// Where a request stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stage {
     /// Taken, nothing sent.
     Taken,
-    /// A pull is out, or about to be.
-    Pulling,
+    /// An attempt is out, or about to be.
+    Attempting,
     /// Bound to a stream that has begun.
     Streaming,
     /// Answered: served.
@@ -72,7 +72,7 @@
     Left,
 }
 
-/// A pull of a download.
+/// An attempt of a request.
 #[derive(Debug, Clone, Copy)]
 pub struct Sent {
     /// The node asked.
@@ -96,7 +96,7 @@
 }
 
 impl Sent {
-    /// A pull that goes out now.
+    /// An attempt that goes out now.
     pub fn new(node: NodeId, source: NodeId, at: Nanos, serial: u32) -> Self {
         let (out, left, reached, held_only, overdue) = (true, true, true, false, false);
         Sent { node, source, at, serial, out, left, reached, held_only, overdue }
@@ -139,7 +139,7 @@
     pub const EARLY: u8 = u8::MAX;
 }
 
-/// A download in hand.
+/// A request in hand.
 #[derive(Debug, Clone)]
 pub struct RequestState {
     /// As it came.
@@ -150,13 +150,13 @@
     pub work_s: f64,
     /// What MC3 says.
     pub keep: Keep,
-    /// Its pulls, in order.
-    pub pulls: Vec<Sent>,
+    /// Its attempts, in order.
+    pub attempts: Vec<Sent>,
     /// The cache that was looked at last and holds nothing.
     pub missed_at: Option<NodeId>,
     /// That cache fills the copy for another download: it is looked at again once that may be done.
     pub rides: Option<NodeId>,
-    /// The first pull that is not proved never to have run.
+    /// The first attempt that is not proved never to have run.
     pub may_have_run: Option<(Nanos, NodeId)>,
     /// The node that last answered with an error of its own.
     pub erred_at: Option<NodeId>,
@@ -167,9 +167,9 @@
 }
 
 impl RequestState {
-    /// A download just taken, with its sending time, what MC3 says, and the rules that it is taken under.
+    /// A request just taken, with its sending time, what MC3 says, and the rules that it is taken under.
     pub fn new(d: RoutingRequest, work_s: f64, keep: Keep, pinned: PinnedRules) -> Self {
-        let (pulls, stage) = (Vec::new(), Stage::Taken);
+        let (attempts, stage) = (Vec::new(), Stage::Taken);
         let reservation = Reservation::default();
         let (missed_at, rides, may_have_run, erred_at) = (None, None, None, None);
         RequestState {
@@ -177,7 +177,7 @@
             stage,
             work_s,
             keep,
-            pulls,
+            attempts,
             missed_at,
             rides,
             may_have_run,
@@ -221,7 +221,7 @@
     pub copy_hash: u64,
     /// When it was last asked for.
     pub last: Nanos,
-    /// The estimate of the gap between downloads.
+    /// The estimate of the gap between requests.
     pub gap_s: Option<f64>,
     /// Hops to the closest held copy at the last fill.
     pub hops: f64,
--- a/crates/routing/tests/module/changed.rs
+++ b/crates/routing/tests/module/changed.rs
@@ -1,18 +1,18 @@
-//! Rules that change while downloads are out.
+//! Rules that change while requests are out.
 
 use crate::common::*;
 use copperroute_routing::interface::*;
 use expect_test::expect;
 
-/// The most pulls that a download takes whose nodes all refuse, by seeds, with other rules in force once it is out.
-fn pulls(before: &Settings, after: &Settings) -> usize {
+/// The most attempts that a request takes whose nodes all refuse, by seeds, with other rules in force once it is out.
+fn attempts(before: &Settings, after: &Settings) -> usize {
     let one = |seed: u64| {
         let (mut module, mut trace) = start(Settings { seed, ..before.clone() });
         ask(&mut module, ms(1_000), 0, 0, 1, &mut trace);
         module.settings_changed(after);
         for number in 0..8 {
             let refused = end(Outcome::Refused, Remark::None);
-            module.pull_ended(ms(1_010), RequestId(0), number, &refused, &mut trace);
+            module.attempt_ended(ms(1_010), RequestId(0), number, &refused, &mut trace);
         }
         trace.0.matches("pull").count()
     };
@@ -22,10 +22,10 @@
 #[test]
 fn a_further_pull_obeys_what_a_download_was_taken_under_and_what_is_in_force() {
     let (loose, mut tight) = (settings(), settings());
-    tight.max_pulls = 2;
-    assert!(pulls(&loose, &loose) > 2);
-    assert_eq!(pulls(&loose, &tight), 2);
-    assert_eq!(pulls(&tight, &loose), 2);
+    tight.max_attempts = 2;
+    assert!(attempts(&loose, &loose) > 2);
+    assert_eq!(attempts(&loose, &tight), 2);
+    assert_eq!(attempts(&tight, &loose), 2);
 }
 
 #[test]
@@ -37,9 +37,9 @@
         let (mut module, mut trace) = start(before.clone());
         ask(&mut module, ms(1_000), 0, 0, 1, &mut trace);
         module.settings_changed(after);
-        module.pull_ended(ms(1_100), RequestId(0), 0, &end(Outcome::Broken, Remark::None), &mut trace);
+        module.attempt_ended(ms(1_100), RequestId(0), 0, &end(Outcome::Broken, Remark::None), &mut trace);
         ask(&mut module, ms(1_200), 1, 0, 1, &mut trace);
-        module.pull_ended(ms(1_300), RequestId(1), 0, &end(Outcome::Broken, Remark::None), &mut trace);
+        module.attempt_ended(ms(1_300), RequestId(1), 0, &end(Outcome::Broken, Remark::None), &mut trace);
         said += &format!("{name}\n{}", trace.0);
     }
     expect![[r#"
@@ -64,7 +64,7 @@
     let (mut module, mut trace) = start(settings());
     for at in 0..4 {
         ask(&mut module, ms(1_000 + 500 * at), 0, 0, 1, &mut trace);
-        module.pull_ended(
+        module.attempt_ended(
             ms(1_100 + 500 * at),
             RequestId(0),
             0,
@@ -87,7 +87,7 @@
     };
     let known = module.known(&d);
     let mut tight = settings();
-    (tight.max_pulls, tight.cache_cold.share) = (2, 0.1);
+    (tight.max_attempts, tight.cache_cold.share) = (2, 0.1);
     module.settings_changed(&tight);
     assert!(known.is_some_and(|known| known.0.is_some()));
     assert_eq!(module.known(&d), known);
--- a/crates/routing/tests/module/cold.rs
+++ b/crates/routing/tests/module/cold.rs
@@ -93,7 +93,7 @@
     for at in 0..300 {
         let now = ms(60_000 + at * 40);
         ask(&mut module, now, at as u32, 0, 1, &mut trace);
-        module.pull_ended(
+        module.attempt_ended(
             now,
             RequestId(at as u32),
             0,
@@ -147,7 +147,7 @@
         ask(&mut module, ms(now), request_id, 0, request_id + 1, &mut trace);
         miss(&mut module, ms(now + 1), request_id, &mut trace);
         let filled = end(Outcome::Fulfilled, Remark::FilledFromCopy);
-        module.pull_ended(ms(now + 5), RequestId(request_id), 1, &filled, &mut trace);
+        module.attempt_ended(ms(now + 5), RequestId(request_id), 1, &filled, &mut trace);
     }
     let fills = trace.0.lines().filter(|line| line.contains("from 3") || line.contains("from 4"));
     fills.filter(|line| !line.contains("held-only")).count()
@@ -182,7 +182,7 @@
 struct Told(Vec<Nanos>);
 
 impl Outbox for Told {
-    fn pull(&mut self, _dl: RequestId, _pull: &Pull) {}
+    fn attempt(&mut self, _dl: RequestId, _attempt: &Attempt) {}
     fn call_off(&mut self, _dl: RequestId, _number: u32) {}
     fn throttle(&mut self, _dl: RequestId, come_back: Option<Nanos>) {
         self.0.extend(come_back);
@@ -228,7 +228,7 @@
 
 #[test]
 fn a_dispatcher_that_has_answered_nothing_rates_its_first_pull_by_the_size_that_is_told() {
-    // A part of a second is 0.12 s of sending, the download 0.1 s: its chance is certain once it is rated by its own size.
+    // A part of a second is 0.12 s of sending, the request 0.1 s: its chance is certain once it is rated by its own size.
     let pulled = (0..40).filter(|seed| {
         let mut s = settings();
         (s.seed, s.dispatchers, s.zone_dispatchers) = (*seed, 20, 20);
--- a/crates/routing/tests/module/cold_fleet.rs
+++ b/crates/routing/tests/module/cold_fleet.rs
@@ -17,9 +17,9 @@
     pub weight: f64,
     pub multiple: f64,
     pub window: Nanos,
-    /// Downloads a second of all dispatchers.
+    /// Requests a second of all dispatchers.
     pub rate: f64,
-    /// No download comes from this second to that; then forty times as many for a second.
+    /// No request comes from this second to that; then forty times as many for a second.
     pub silent: (u64, u64),
     pub restarts: Restarts,
 }
@@ -54,7 +54,7 @@
     }
 }
 
-/// Of each download 100 ms are sent.
+/// Of each request 100 ms are sent.
 pub const WORK_S: f64 = 0.1;
 /// How both nodes start.
 pub const SHARE: f64 = 0.2;
@@ -66,20 +66,20 @@
 /// The cold cache, and the cold parent.
 const COLD: [u32; 2] = [0, 3];
 
-/// Ends of pulls to come: whose, of which download, the pull's number, its node and source.
+/// Ends of attempts to come: whose, of which request, the attempt's number, its node and source.
 type Ends = BTreeMap<(Nanos, u32), (usize, RequestId, u32, u32, u32)>;
 
 /// What one dispatcher sends: whether a call goes to the cold nodes.
 #[derive(Default)]
 struct Calls {
-    pulls: Vec<(RequestId, u32, u32, u32)>,
+    attempts: Vec<(RequestId, u32, u32, u32)>,
     counts: BTreeMap<u32, u32>,
 }
 
 impl Outbox for Calls {
-    fn pull(&mut self, request_id: RequestId, pull: &Pull) {
+    fn attempt(&mut self, request_id: RequestId, attempt: &Attempt) {
         let number = self.counts.entry(request_id.0).or_default();
-        self.pulls.push((request_id, *number, pull.node.0, pull.source.0));
+        self.attempts.push((request_id, *number, attempt.node.0, attempt.source.0));
         *number += 1;
     }
     fn call_off(&mut self, _dl: RequestId, _number: u32) {}
@@ -165,7 +165,7 @@
                     false if chance.share() < 0.5 => end(Outcome::NotHeld, Remark::Joined),
                     false => end(Outcome::NotHeld, Remark::None),
                 };
-                fleet[at].pull_ended(now, request_id, number, &how, &mut outs[at]);
+                fleet[at].attempt_ended(now, request_id, number, &how, &mut outs[at]);
                 self.sent(now, at, &mut outs[at], &mut came, &mut ends, &mut count);
                 continue;
             }
@@ -182,7 +182,7 @@
             let at = at.unwrap_or(0);
             count += 1;
             let object = (chance.share() * 2_000.0) as u32;
-            // No download is in hand for so long that its number comes again.
+            // No request is in hand for so long that its number comes again.
             let d = sized(now, count % 8_192, object, WORK_S * 10_000.0);
             fleet[at].request_arrived(now, &d, &mut outs[at]);
             self.sent(now, at, &mut outs[at], &mut came, &mut ends, &mut count);
@@ -199,7 +199,7 @@
         ends: &mut Ends,
         count: &mut u32,
     ) {
-        for (request_id, number, node, source) in std::mem::take(&mut out.pulls) {
+        for (request_id, number, node, source) in std::mem::take(&mut out.attempts) {
             for (cold, came) in COLD.iter().zip(came.iter_mut()) {
                 if node == *cold || source == *cold {
                     came.push(now);
--- a/crates/routing/tests/module/cold_sum.rs
+++ b/crates/routing/tests/module/cold_sum.rs
@@ -180,7 +180,7 @@
 /// What a dispatcher does with its bucket.
 #[derive(Debug, Clone, Copy)]
 enum Step {
-    /// It is asked for a pull that takes so many milliseconds to send.
+    /// It is asked for an attempt that takes so many milliseconds to send.
     Asked(u64),
     BeginsAnew,
 }
--- a/crates/routing/tests/module/common.rs
+++ b/crates/routing/tests/module/common.rs
@@ -13,7 +13,7 @@
 }
 
 impl Outbox for Trace {
-    fn pull(&mut self, request_id: RequestId, p: &Pull) {
+    fn attempt(&mut self, request_id: RequestId, p: &Attempt) {
         let age = p.max_age.map_or(String::new(), |age| format!(" age<={:.3}", age.secs()));
         let join = if p.join { " join" } else { "" };
         let no_copy = if p.no_parent_copy { " no-parent-copy" } else { "" };
@@ -94,7 +94,7 @@
         cancel: true,
         come_back: true,
         max_come_back: ms(2_000),
-        max_pulls: 6,
+        max_attempts: 6,
         sizes_told: true,
         probes: false,
         storms: None,
@@ -118,7 +118,7 @@
     (module, trace)
 }
 
-/// Download `request_id` of content type 0 for object `object`, of so many KB, which expires 3 s from now.
+/// Request `request_id` of content type 0 for object `object`, of so many KB, which expires 3 s from now.
 pub fn sized(now: Nanos, request_id: u32, object: u32, size_kb: f64) -> RoutingRequest {
     let hash = stable_hash(format!("object-{object}").as_bytes());
     RoutingRequest {
@@ -136,7 +136,7 @@
     }
 }
 
-/// Download `request_id` of content type `kind` for object `object`, which expires 3 s from now; 10 more on
+/// Request `request_id` of content type `kind` for object `object`, which expires 3 s from now; 10 more on
 /// `kind` for a client's repeat.
 pub fn ask(module: &mut Dispatcher, now: Nanos, request_id: u32, kind: u32, object: u32, trace: &mut Trace) {
     let d = RoutingRequest {
@@ -148,13 +148,13 @@
     module.request_arrived(now, &d, trace);
 }
 
-/// The end of a pull with this outcome and remark.
-pub fn end(outcome: Outcome, remark: Remark) -> PullEnd {
+/// The end of an attempt with this outcome and remark.
+pub fn end(outcome: Outcome, remark: Remark) -> AttemptEnd {
     let closed = outcome == Outcome::Fulfilled;
-    PullEnd { outcome, took: ms(120), closed, waited: Some(ms(20)), remark, report: Report::default() }
+    AttemptEnd { outcome, took: ms(120), closed, waited: Some(ms(20)), remark, report: Report::default() }
 }
 
-/// The look of download `request_id` finds nothing.
+/// The look of request `request_id` finds nothing.
 pub fn miss(module: &mut Dispatcher, now: Nanos, request_id: u32, trace: &mut Trace) {
-    module.pull_ended(now, RequestId(request_id), 0, &end(Outcome::NotHeld, Remark::None), trace);
+    module.attempt_ended(now, RequestId(request_id), 0, &end(Outcome::NotHeld, Remark::None), trace);
 }
--- a/crates/routing/tests/module/failures.rs
+++ b/crates/routing/tests/module/failures.rs
@@ -32,7 +32,7 @@
     module.timer(ms(1_600), 1, &mut trace);
     let called_off = end(Outcome::CalledOff, Remark::None);
     (0..2).for_each(|request_id| {
-        module.pull_ended(ms(1_600), RequestId(request_id), 0, &called_off, &mut trace)
+        module.attempt_ended(ms(1_600), RequestId(request_id), 0, &called_off, &mut trace)
     });
     ask(&mut module, ms(1_700), 7, 0, 9, &mut trace);
     expect![[r#"
@@ -53,14 +53,14 @@
     let (mut module, mut trace) = start(settings());
     for request_id in 0..2 {
         ask(&mut module, ms(1_000), request_id, 0, 9, &mut trace);
-        module.pull_ended(
+        module.attempt_ended(
             ms(1_010),
             RequestId(request_id),
             0,
             &end(Outcome::Failed, Remark::None),
             &mut trace,
         );
-        module.pull_ended(
+        module.attempt_ended(
             ms(1_020),
             RequestId(request_id),
             1,
@@ -71,7 +71,7 @@
     for (request_id, at) in [(10, 7_000), (11, 7_001)] {
         ask(&mut module, ms(at), request_id, 0, 9, &mut trace);
     }
-    module.pull_ended(ms(7_100), RequestId(10), 0, &end(Outcome::Fulfilled, Remark::Hit), &mut trace);
+    module.attempt_ended(ms(7_100), RequestId(10), 0, &end(Outcome::Fulfilled, Remark::Hit), &mut trace);
     ask(&mut module, ms(7_200), 12, 0, 9, &mut trace);
     expect![[r#"
         dl 0: pull 1 from 1 rank 0 join
@@ -93,7 +93,7 @@
         ask(&mut module, ms(1_000), request_id, 0, 9, &mut trace);
         for number in 0..3 {
             let error = end(Outcome::Failed, Remark::None);
-            module.pull_ended(ms(1_010), RequestId(request_id), number, &error, &mut trace);
+            module.attempt_ended(ms(1_010), RequestId(request_id), number, &error, &mut trace);
         }
     }
     assert!(!trace.0.contains("set aside"), "{}", trace.0);
@@ -105,9 +105,9 @@
     (0..4).for_each(|request_id| ask(&mut module, ms(1_000), request_id, 0, 9, &mut trace));
     trace.0.clear();
     for (request_id, outcome) in [(0, Outcome::Broken), (1, Outcome::Broken), (2, Outcome::NotSent)] {
-        module.pull_ended(ms(1_010), RequestId(request_id), 0, &end(outcome, Remark::None), &mut trace);
+        module.attempt_ended(ms(1_010), RequestId(request_id), 0, &end(outcome, Remark::None), &mut trace);
     }
-    module.pull_ended(ms(1_020), RequestId(3), 0, &end(Outcome::Broken, Remark::None), &mut trace);
+    module.attempt_ended(ms(1_020), RequestId(3), 0, &end(Outcome::Broken, Remark::None), &mut trace);
     expect![[r#"
         dl 0: pull 2 from 2 rank 0 join
         dl 1: pull 2 from 2 rank 1 join
@@ -125,7 +125,7 @@
         for request_id in 0..40 {
             let at = ms(1_000 + 20 * u64::from(request_id));
             ask(&mut module, at, request_id, 0, 9, &mut trace);
-            module.pull_ended(
+            module.attempt_ended(
                 at.after(ms(10)),
                 RequestId(request_id),
                 0,
@@ -136,7 +136,7 @@
         for request_id in 40..42 {
             let at = ms(1_000 + 20 * u64::from(request_id));
             ask(&mut module, at, request_id, 0, 9, &mut trace);
-            module.pull_ended(
+            module.attempt_ended(
                 at.after(ms(1)),
                 RequestId(request_id),
                 0,
@@ -158,7 +158,7 @@
         miss(&mut module, at, request_id, &mut trace);
         if request_id >= 9 {
             let held = end(Outcome::Fulfilled, Remark::FilledFromCopy);
-            module.pull_ended(ms(1_450), RequestId(request_id), 1, &held, &mut trace);
+            module.attempt_ended(ms(1_450), RequestId(request_id), 1, &held, &mut trace);
         }
     }
     trace.0.clear();
@@ -184,8 +184,8 @@
         miss(&mut module, now, request_id, &mut trace);
         let slow = trace.0.lines().last().is_some_and(|line| line.contains("from 3"));
         let (took, waited) = if slow { (ms(900), Some(ms(10))) } else { (ms(130), Some(ms(30))) };
-        let ended = PullEnd { took, waited, ..end(Outcome::Fulfilled, Remark::FilledFromCopy) };
-        module.pull_ended(now.after(ms(90)), RequestId(request_id), 1, &ended, &mut trace);
+        let ended = AttemptEnd { took, waited, ..end(Outcome::Fulfilled, Remark::FilledFromCopy) };
+        module.attempt_ended(now.after(ms(90)), RequestId(request_id), 1, &ended, &mut trace);
     }
     counts(&trace, &["from 3", "from 4", "from 5"])
 }
@@ -230,7 +230,7 @@
         let ok = request_id % 5 < 2;
         let (outcome, remark) =
             if ok { (Outcome::Fulfilled, Remark::Hit) } else { (Outcome::Broken, Remark::None) };
-        module.pull_ended(now, RequestId(request_id), 0, &end(outcome, remark), &mut trace);
+        module.attempt_ended(now, RequestId(request_id), 0, &end(outcome, remark), &mut trace);
     }
     expect![[r#"
         set aside: 3
@@ -241,15 +241,16 @@
 
 #[test]
 fn one_own_pull_out_is_no_full_cache_and_slow_hits_are() {
-    // Found at full size: own pulls times twenty dispatchers sent nearly every download to another cache
+    // Found at full size: own attempts times twenty dispatchers sent nearly every request to another cache
     // than its hash says; without them an overloaded cache did not show.
     let (mut module, mut trace) = start(Settings { zone_dispatchers: 20, ..settings() });
     (0..4).for_each(|request_id| ask(&mut module, ms(1_000), request_id, 0, 9, &mut trace));
-    let slow = PullEnd { took: ms(1_500), ..end(Outcome::Fulfilled, Remark::Hit) };
-    (0..4).for_each(|request_id| module.pull_ended(ms(2_500), RequestId(request_id), 0, &slow, &mut trace));
+    let slow = AttemptEnd { took: ms(1_500), ..end(Outcome::Fulfilled, Remark::Hit) };
+    (0..4)
+        .for_each(|request_id| module.attempt_ended(ms(2_500), RequestId(request_id), 0, &slow, &mut trace));
     for request_id in 10..16 {
         ask(&mut module, ms(2_500), request_id, 0, 2, &mut trace);
-        module.pull_ended(
+        module.attempt_ended(
             ms(2_600),
             RequestId(request_id),
             0,
@@ -274,13 +275,13 @@
         s.content_types[0].target_stretch = 1.0;
         s.client_kb_per_s = 2_000.0;
         let (mut module, mut trace) = start(s);
-        let busy = PullEnd {
+        let busy = AttemptEnd {
             report: Report { in_hand: Some(12.0 * f64::from(load)), busy: None },
             ..end(Outcome::Fulfilled, Remark::Hit)
         };
         for request_id in 0..60 {
             ask(&mut module, ms(1_000), request_id, 0, request_id, &mut trace);
-            module.pull_ended(ms(1_500), RequestId(request_id), 0, &busy, &mut trace);
+            module.attempt_ended(ms(1_500), RequestId(request_id), 0, &busy, &mut trace);
         }
         trace.0.clear();
         ask(&mut module, ms(1_600), 70, 0, 70, &mut trace);
@@ -324,22 +325,22 @@
 
 #[test]
 fn where_sources_refuse_fills_further_pulls_become_few() {
-    // Found at full size: second fills did not count as further pulls, so each download made all six.
+    // Found at full size: second fills did not count as further attempts, so each request made all six.
     let (mut module, mut trace) = start(settings());
-    let pulls = (0..6).map(|request_id| {
+    let attempts = (0..6).map(|request_id| {
         trace.0.clear();
         ask(&mut module, ms(1_000), request_id, 0, 10 * request_id, &mut trace);
         for number in 0..6 {
             let refused = end(Outcome::Refused, Remark::SourceRefused);
             let ended = if number % 2 == 0 { end(Outcome::NotHeld, Remark::None) } else { refused };
-            module.pull_ended(ms(1_010), RequestId(request_id), number, &ended, &mut trace);
+            module.attempt_ended(ms(1_010), RequestId(request_id), number, &ended, &mut trace);
         }
         trace.0.matches("pull").count()
     });
     expect![[r#"
         pulls for each of six: [4, 2, 4, 1, 1, 3]
     "#]]
-    .assert_eq(&format!("pulls for each of six: {:?}\n", pulls.collect::<Vec<_>>()));
+    .assert_eq(&format!("pulls for each of six: {:?}\n", attempts.collect::<Vec<_>>()));
 }
 
 #[test]
@@ -349,7 +350,7 @@
         let (mut module, mut trace) = start(Settings { seed, ..settings() });
         ask(&mut module, ms(1_000), 0, 0, 9, &mut trace);
         module.timer(ms(1_600), 1, &mut trace);
-        module.pull_ended(ms(1_600), RequestId(0), 0, &end(Outcome::CalledOff, Remark::None), &mut trace);
+        module.attempt_ended(ms(1_600), RequestId(0), 0, &end(Outcome::CalledOff, Remark::None), &mut trace);
         trace.0.clear();
         let tries = (0..100_u32).map(|step| (step, ms(3_000 + 50 * u64::from(step))));
         let mut asked = tries.map(|(step, now)| {
--- a/crates/routing/tests/module/largest.rs
+++ b/crates/routing/tests/module/largest.rs
@@ -13,7 +13,7 @@
 struct Day {
     /// What is asked for, as a part of what the caches can send.
     load: f64,
-    /// Of downloads, those that a cache holds.
+    /// Of requests, those that a cache holds.
     hits: f64,
     /// So many of the three caches start at second 5, cold.
     cold: u32,
@@ -36,7 +36,7 @@
 const SIGMA: f64 = 1.1;
 const EXPIRY: Nanos = Nanos(5_000_000_000);
 
-/// One pull on its way.
+/// One attempt on its way.
 #[derive(Debug, Clone, Copy)]
 struct Sending {
     dispatcher: usize,
@@ -52,7 +52,7 @@
 
 #[derive(Default)]
 struct Out {
-    pulls: Vec<(RequestId, u32, u32, u32)>,
+    attempts: Vec<(RequestId, u32, u32, u32)>,
     counts: BTreeMap<u32, u32>,
     throttled: Vec<RequestId>,
     called_off: Vec<(RequestId, u32)>,
@@ -60,9 +60,9 @@
 }
 
 impl Outbox for Out {
-    fn pull(&mut self, request_id: RequestId, pull: &Pull) {
+    fn attempt(&mut self, request_id: RequestId, attempt: &Attempt) {
         let number = self.counts.entry(request_id.0).or_default();
-        self.pulls.push((request_id, *number, pull.node.0, pull.source.0));
+        self.attempts.push((request_id, *number, attempt.node.0, attempt.source.0));
         *number += 1;
     }
     fn call_off(&mut self, request_id: RequestId, number: u32) {
@@ -84,7 +84,7 @@
     fn release_object(&mut self, _object: ObjectId) {}
 }
 
-/// A download of a client, over all its tries.
+/// A request of a client, over all its tries.
 #[derive(Debug, Clone, Copy)]
 struct Want {
     object: u32,
@@ -187,7 +187,7 @@
                     (false, _) => (Outcome::NotHeld, Remark::None),
                 };
                 let closed = how.0 == Outcome::Fulfilled;
-                let end = PullEnd {
+                let end = AttemptEnd {
                     outcome: how.0,
                     took: now.since(one.begun),
                     closed,
@@ -198,7 +198,7 @@
                 if closed && let Some((want, _)) = open.remove(&(one.dispatcher, one.request_id.0)) {
                     wants[want].answered = true;
                 }
-                fleet[one.dispatcher].pull_ended(
+                fleet[one.dispatcher].attempt_ended(
                     now,
                     one.request_id,
                     one.number,
@@ -214,8 +214,9 @@
                     .extract_if(.., |one| one.dispatcher == at && one.request_id.0 == request_id)
                     .collect::<Vec<_>>();
                 for one in ended {
-                    let end = PullEnd { took: now.since(one.begun), ..end(Outcome::TimedOut, Remark::None) };
-                    fleet[at].pull_ended(now, one.request_id, one.number, &end, &mut outs[at]);
+                    let end =
+                        AttemptEnd { took: now.since(one.begun), ..end(Outcome::TimedOut, Remark::None) };
+                    fleet[at].attempt_ended(now, one.request_id, one.number, &end, &mut outs[at]);
                 }
             }
             while let Some(((at, _), _)) = timers.first_key_value()
@@ -236,9 +237,11 @@
                     });
                     let gone: Vec<_> = gone.collect();
                     for one in gone {
-                        let end =
-                            PullEnd { took: now.since(one.begun), ..end(Outcome::CalledOff, Remark::None) };
-                        fleet[at].pull_ended(now, one.request_id, one.number, &end, out);
+                        let end = AttemptEnd {
+                            took: now.since(one.begun),
+                            ..end(Outcome::CalledOff, Remark::None)
+                        };
+                        fleet[at].attempt_ended(now, one.request_id, one.number, &end, out);
                     }
                 }
                 for request_id in std::mem::take(&mut out.throttled) {
@@ -248,7 +251,7 @@
                         again.insert((now.after(ms(100 + (chance.share() * 300.0) as u64)), count), want);
                     }
                 }
-                for (request_id, number, node, source) in std::mem::take(&mut out.pulls) {
+                for (request_id, number, node, source) in std::mem::take(&mut out.attempts) {
                     let Some((want, _)) = open.get(&(at, request_id.0)) else { continue };
                     let (work_s, look) = (wants[*want].work_s, node == source);
                     // What is held is found at once, or not.
--- a/crates/routing/tests/module/ordinary.rs
+++ b/crates/routing/tests/module/ordinary.rs
@@ -19,7 +19,7 @@
         let request_id = request_id as u32;
         ask(&mut module, now, request_id, 0, 9, &mut trace);
         miss(&mut module, now, request_id, &mut trace);
-        module.pull_ended(
+        module.attempt_ended(
             now.after(ms(120)),
             RequestId(request_id),
             1,
@@ -59,7 +59,7 @@
     let (mut module, mut trace) = start(settings());
     for (request_id, at) in [(0, 1_000), (1, 3_000), (2, 300_000)] {
         ask(&mut module, ms(at), request_id, 1, 9, &mut trace);
-        module.pull_ended(
+        module.attempt_ended(
             ms(at + 50),
             RequestId(request_id),
             0,
@@ -87,7 +87,7 @@
         ask(&mut module, now, request_id, 0, object, &mut trace);
         miss(&mut module, now, request_id, &mut trace);
         let filled = end(Outcome::Fulfilled, Remark::FilledFromCopy);
-        module.pull_ended(now.after(ms(20)), RequestId(request_id), 1, &filled, &mut trace);
+        module.attempt_ended(now.after(ms(20)), RequestId(request_id), 1, &filled, &mut trace);
     }
     let fills: Vec<_> = trace.0.lines().filter(|l| l.contains("from 3") || l.contains("from 4")).collect();
     let ranks = |rank: &str| fills.iter().filter(|l| l.contains(rank)).count();
@@ -101,7 +101,7 @@
 
 #[test]
 fn a_clients_repeat_is_no_request_more() {
-    // Found on scans: repeats of refused downloads had one-off objects kept, at the upper ranks even.
+    // Found on scans: repeats of refused requests had one-off objects kept, at the upper ranks even.
     let (mut module, mut trace) = start(alone());
     for (request_id, at, kind) in [(0, 1_000, 0), (1, 1_200, 10), (2, 9_000, 0)] {
         ask(&mut module, ms(at), request_id, kind, 9, &mut trace);
@@ -128,7 +128,7 @@
             ask(&mut module, now, request_id, 0, request_id, &mut trace);
             miss(&mut module, now, request_id, &mut trace);
             let filled = end(Outcome::Fulfilled, Remark::FilledFromCopy);
-            module.pull_ended(now.after(ms(20)), RequestId(request_id), 1, &filled, &mut trace);
+            module.attempt_ended(now.after(ms(20)), RequestId(request_id), 1, &filled, &mut trace);
         }
         trace.0.matches("rank 1").count()
     });
@@ -138,7 +138,7 @@
     .assert_eq(&format!("kept of 100, by 1, 2 and 20 dispatchers: {kept:?}\n"));
 }
 
-/// A look at object 9 finds a fill of it under way for another download; then what the look after the wait finds.
+/// A look at object 9 finds a fill of it under way for another request; then what the look after the wait finds.
 fn fill_under_way(joins: bool, again: Outcome, remark: Remark) -> String {
     let (mut module, mut trace) = start(Settings { joins, ..alone() });
     // A look again is armed under a token whose low half is all ones.
@@ -148,10 +148,10 @@
         armed.map(|armed| armed.1)
     };
     ask(&mut module, ms(1_000), 0, 0, 9, &mut trace);
-    module.pull_ended(ms(1_002), RequestId(0), 0, &end(Outcome::NotHeld, Remark::Joined), &mut trace);
+    module.attempt_ended(ms(1_002), RequestId(0), 0, &end(Outcome::NotHeld, Remark::Joined), &mut trace);
     if let Some(token) = waits(&mut trace) {
         module.timer(ms(1_100), token, &mut trace);
-        module.pull_ended(ms(1_200), RequestId(0), 1, &end(again, remark), &mut trace);
+        module.attempt_ended(ms(1_200), RequestId(0), 1, &end(again, remark), &mut trace);
         waits(&mut trace);
     }
     trace.0
@@ -194,7 +194,7 @@
     for request_id in (10..20).filter(|_| spared) {
         ask(&mut module, ms(500), request_id, 0, request_id, &mut trace);
         miss(&mut module, ms(500), request_id, &mut trace);
-        module.pull_ended(
+        module.attempt_ended(
             ms(510),
             RequestId(request_id),
             1,
@@ -205,7 +205,7 @@
     trace.0.clear();
     ask(&mut module, ms(1_000), 0, 0, 9, &mut trace);
     miss(&mut module, ms(1_001), 0, &mut trace);
-    module.pull_ended(ms(1_010), RequestId(0), 1, &end(outcome, remark), &mut trace);
+    module.attempt_ended(ms(1_010), RequestId(0), 1, &end(outcome, remark), &mut trace);
     trace.0
 }
 
--- a/crates/routing/tests/module/repeats.rs
+++ b/crates/routing/tests/module/repeats.rs
@@ -1,4 +1,4 @@
-//! Within which nodes, and until when, a repeat of a deduped download is known.
+//! Within which nodes, and until when, a repeat of a deduped request is known.
 
 use crate::common::*;
 use copperroute_routing::interface::*;
--- a/crates/routing/tests/module/rules.rs
+++ b/crates/routing/tests/module/rules.rs
@@ -10,11 +10,11 @@
     ask(&mut module, ms(1_000), 0, 0, 1, &mut trace);
     module.client_gone(ms(1_100), RequestId(0), &mut trace);
     module.client_gone(ms(1_100), RequestId(0), &mut trace);
-    module.pull_ended(ms(1_200), RequestId(0), 0, &end(Outcome::CalledOff, Remark::None), &mut trace);
-    module.pull_ended(ms(1_300), RequestId(0), 0, &end(Outcome::Failed, Remark::None), &mut trace);
+    module.attempt_ended(ms(1_200), RequestId(0), 0, &end(Outcome::CalledOff, Remark::None), &mut trace);
+    module.attempt_ended(ms(1_300), RequestId(0), 0, &end(Outcome::Failed, Remark::None), &mut trace);
     // Out of time: the answer comes with the outcome, and nothing follows.
     ask(&mut module, ms(2_000), 1, 0, 1, &mut trace);
-    module.pull_ended(ms(5_000), RequestId(1), 0, &end(Outcome::TimedOut, Remark::None), &mut trace);
+    module.attempt_ended(ms(5_000), RequestId(1), 0, &end(Outcome::TimedOut, Remark::None), &mut trace);
     module.client_gone(ms(5_000), RequestId(1), &mut trace);
     expect![[r#"
         dl 0: pull 1 from 1 rank 0 join
@@ -29,10 +29,10 @@
 fn what_must_not_run_twice_goes_again_only_when_it_never_ran() {
     let (mut module, mut trace) = start(settings());
     ask(&mut module, ms(1_000), 0, 2, 1, &mut trace);
-    module.pull_ended(ms(1_100), RequestId(0), 0, &end(Outcome::Unreachable, Remark::None), &mut trace);
-    module.pull_ended(ms(1_200), RequestId(0), 1, &end(Outcome::Broken, Remark::None), &mut trace);
+    module.attempt_ended(ms(1_100), RequestId(0), 0, &end(Outcome::Unreachable, Remark::None), &mut trace);
+    module.attempt_ended(ms(1_200), RequestId(0), 1, &end(Outcome::Broken, Remark::None), &mut trace);
     ask(&mut module, ms(1_300), 1, 2, 1, &mut trace);
-    module.pull_ended(ms(1_400), RequestId(1), 0, &end(Outcome::TimedOut, Remark::None), &mut trace);
+    module.attempt_ended(ms(1_400), RequestId(1), 0, &end(Outcome::TimedOut, Remark::None), &mut trace);
     expect![[r#"
         dl 0: pull 5 from 5 rank 0 join
         dl 0: pull 3 from 5 rank 0 join
@@ -56,7 +56,7 @@
     for (request_id, kind, wait) in [(0, 0, 100), (1, 1, 100), (2, 1, 600)] {
         ask(&mut module, ms(1_000), request_id, kind, 1, &mut trace);
         let now = ms(1_000 + wait);
-        module.pull_ended(now, RequestId(request_id), 0, &end(Outcome::Broken, Remark::None), &mut trace);
+        module.attempt_ended(now, RequestId(request_id), 0, &end(Outcome::Broken, Remark::None), &mut trace);
     }
     expect![[r#"
         dl 0: pull 1 from 1 rank 0 join
@@ -97,7 +97,7 @@
     .assert_eq(&trace.0);
 }
 
-/// How many of 40 downloads at once go to node 1, a cache or parent that started `age` ago.
+/// How many of 40 requests at once go to node 1, a cache or parent that started `age` ago.
 fn sent_to_cold(kind: u32, age: u64) -> usize {
     let (mut module, mut trace) = start(settings());
     let (now, node) = (ms(60_000), if kind == 0 { 1 } else { 4 });
@@ -124,7 +124,7 @@
 #[test]
 fn hundreds_of_dispatchers_share_a_cold_parent_by_chance() {
     // A part of it is under one download: a hard bound sent nothing for the whole warm-up, a floor of one
-    // for each would push it over. What all send in the rule's time, in downloads, as it warms up.
+    // for each would push it over. What all send in the rule's time, in requests, as it warms up.
     let sent = [0, 7_000, 14_000].map(|age| {
         let one = |seed| {
             let (mut module, mut trace) = start(Settings { seed, dispatchers: 300, ..settings() });
--- a/crates/routing/tests/module/sizes.rs
+++ b/crates/routing/tests/module/sizes.rs
@@ -72,7 +72,7 @@
 }
 
 /// Two dispatchers that ask for much, of which the list gives caches this weight and cache 2 is cold; true sizes are 12.
-/// The most that was sent to the cold one, in parts of what rule 4 bears, and pulls sent to it in all.
+/// The most that was sent to the cold one, in parts of what rule 4 bears, and attempts sent to it in all.
 fn cold_cache(told: bool, weight: f64, seed: u64) -> (f64, usize) {
     let s = |seed| Settings { seed, sizes_told: told, probes: true, link_kb_per_s: 1e6, ..settings() };
     let mut fleet = [0, 1].map(|at| (Dispatcher::new(s(seed + at)), Trace::default()));
@@ -101,12 +101,12 @@
                 sent.push(now);
             }
             if last.contains("pull") {
-                let end = PullEnd { took: ms(100), ..end(Outcome::Fulfilled, Remark::Hit) };
-                module.pull_ended(now, RequestId(request_id), 0, &end, trace);
+                let end = AttemptEnd { took: ms(100), ..end(Outcome::Fulfilled, Remark::Hit) };
+                module.attempt_ended(now, RequestId(request_id), 0, &end, trace);
             }
         }
     }
-    // A download's work is 0.1 s; the cache rises from its cold share of 12 in a line.
+    // A request's work is 0.1 s; the cache rises from its cold share of 12 in a line.
     let s = settings();
     let worst = sent.iter().map(|from| {
         let window =
@@ -122,9 +122,9 @@
 fn a_cold_cache_is_not_pushed_over_whatever_the_list_says_of_its_size() {
     for seed in [1, 5, 9] {
         for (told, weight) in [(false, 1.0), (true, 6.0), (true, 12.0), (true, 24.0)] {
-            let (worst, pulls) = cold_cache(told, weight, seed);
+            let (worst, attempts) = cold_cache(told, weight, seed);
             assert!(worst < 1.0, "seed {seed}, listed {weight}: {worst:.2} of what rule 4 bears");
-            assert!(pulls > 300, "seed {seed}, listed {weight}: {pulls} pulls, the cache stays empty");
+            assert!(attempts > 300, "seed {seed}, listed {weight}: {attempts} pulls, the cache stays empty");
         }
     }
 }
--- a/crates/routing/tests/module/spared.rs
+++ b/crates/routing/tests/module/spared.rs
@@ -6,15 +6,15 @@
 use copperroute_routing::policy::Dispatcher;
 use expect_test::expect;
 
-/// Fails the origin eight times in a row, then asks for `more` downloads that must run there.
+/// Fails the origin eight times in a row, then asks for `more` requests that must run there.
 fn aside(outcome: Outcome, more: u32) -> String {
     let (mut module, mut trace) = start(settings());
     let mut now = ms(10);
     for request_id in 0..8 {
         ask(&mut module, now, request_id, 2, request_id, &mut trace);
         now = now.after(ms(5));
-        let end = PullEnd { closed: false, ..end(outcome, Remark::SourceLost) };
-        module.pull_ended(now, RequestId(request_id), 0, &end, &mut trace);
+        let end = AttemptEnd { closed: false, ..end(outcome, Remark::SourceLost) };
+        module.attempt_ended(now, RequestId(request_id), 0, &end, &mut trace);
     }
     trace.0.clear();
     for request_id in 20..20 + more {
@@ -101,8 +101,8 @@
         ask(&mut module, now, request_id, 0, request_id, &mut trace);
         miss(&mut module, now, request_id, &mut trace);
         let waited = Some(ms(290));
-        let end = PullEnd { waited, took: ms(390), ..end(Outcome::Fulfilled, Remark::FilledFromOrigin) };
-        module.pull_ended(now.after(ms(10)), RequestId(request_id), 1, &end, &mut trace);
+        let end = AttemptEnd { waited, took: ms(390), ..end(Outcome::Fulfilled, Remark::FilledFromOrigin) };
+        module.attempt_ended(now.after(ms(10)), RequestId(request_id), 1, &end, &mut trace);
     }
     trace.0.clear();
     ask(&mut module, ms(7_000), 900, 0, 900, &mut trace);
--- a/crates/routing/tests/module/storm_day.rs
+++ b/crates/routing/tests/module/storm_day.rs
@@ -17,7 +17,7 @@
         newcomers: 0.2,
         clients_mark: true,
         doubt_unknown: false,
-        max_pulls: 6,
+        max_attempts: 6,
     }
 }
 
@@ -28,13 +28,13 @@
     pub object: u32,
     pub kind: u32,
     pub tries: u32,
-    pub pulls: u32,
+    pub attempts: u32,
     pub heeds: bool,
 }
 
 #[derive(Default)]
 struct Sent {
-    pulls: Vec<RequestId>,
+    attempts: Vec<RequestId>,
     later: Vec<(RequestId, Nanos)>,
     never: Vec<RequestId>,
     free: Vec<RequestId>,
@@ -42,8 +42,8 @@
 }
 
 impl Outbox for Sent {
-    fn pull(&mut self, request_id: RequestId, _pull: &Pull) {
-        self.pulls.push(request_id);
+    fn attempt(&mut self, request_id: RequestId, _attempt: &Attempt) {
+        self.attempts.push(request_id);
     }
     fn call_off(&mut self, _dl: RequestId, _number: u32) {}
     fn throttle(&mut self, request_id: RequestId, come_back: Option<Nanos>) {
@@ -75,15 +75,15 @@
     pub ending: BTreeMap<u64, Vec<(u32, u32, Outcome, Nanos)>>,
     /// Nodes are there.
     pub up: bool,
-    /// Of a hundred pulls so many are refused.
+    /// Of a hundred attempts so many are refused.
     pub refused: u32,
     pub drawn: u32,
     pub trace: String,
     pub ok: [u32; 3],
     pub later: u32,
     pub never: u32,
-    pub pulls: u32,
-    pub most_pulls: u32,
+    pub attempts: u32,
+    pub most_attempts: u32,
     pub heeded: [u32; 2],
     pub work: BTreeMap<u64, f64>,
 }
@@ -112,8 +112,8 @@
             ok: [0; 3],
             later: 0,
             never: 0,
-            pulls: 0,
-            most_pulls: 0,
+            attempts: 0,
+            most_attempts: 0,
             heeded: [0; 2],
             work,
         };
@@ -162,13 +162,13 @@
         for note in sent.notes.iter().filter(|note| note.starts_with("content type")) {
             let _ = writeln!(self.trace, "{:.1} {note}", self.now.secs() - 1_000.0);
         }
-        for request_id in sent.pulls {
+        for request_id in sent.attempts {
             let (tried, number) = self.held.get_mut(&request_id.0).expect("held");
-            tried.pulls += 1;
+            tried.attempts += 1;
             *number += 1;
             let (kind, number) = (tried.kind, *number - 1);
-            self.most_pulls = self.most_pulls.max(tried.pulls);
-            self.pulls += 1;
+            self.most_attempts = self.most_attempts.max(tried.attempts);
+            self.attempts += 1;
             self.drawn = (self.drawn * 37 + 11) % 101;
             let took = ms([300, 50, 20][kind as usize]);
             let (outcome, after) = match self.up {
@@ -207,13 +207,14 @@
             for (request_id, number, outcome, took) in ends {
                 let remark = if outcome == Outcome::Fulfilled { Remark::Hit } else { Remark::None };
                 let closed = outcome == Outcome::Fulfilled;
-                let end = PullEnd { outcome, took, closed, waited: None, remark, report: Report::default() };
+                let end =
+                    AttemptEnd { outcome, took, closed, waited: None, remark, report: Report::default() };
                 if let Some((tried, _)) = self.held.get(&request_id).filter(|_| closed) {
                     self.ok[tried.kind as usize] += 1;
                     self.heeded[usize::from(tried.heeds)] += 1;
                 }
                 let mut sent = Sent::default();
-                self.module.pull_ended(self.now, RequestId(request_id), number, &end, &mut sent);
+                self.module.attempt_ended(self.now, RequestId(request_id), number, &end, &mut sent);
                 self.carry(sent);
             }
             let due: Vec<_> = self.coming.range(..=self.now.0).map(|(at, _)| *at).collect();
@@ -227,15 +228,15 @@
                         let client = self.now.0 + u64::from(self.drawn);
                         let object = (client % 50) as u32 + 50 * kind;
                         let heeds = heeds(client);
-                        self.come(Try { client, object, kind, tries: 0, pulls: 0, heeds });
+                        self.come(Try { client, object, kind, tries: 0, attempts: 0, heeds });
                     }
                 }
             }
         }
         let (ok, at) = (std::mem::take(&mut self.ok), self.now.secs() - 1_000.0);
         let (later, never) = (std::mem::take(&mut self.later), std::mem::take(&mut self.never));
-        let pulls = std::mem::take(&mut self.pulls);
-        let _ = writeln!(self.trace, "{at:.0}: ok {ok:?}, later {later}, never {never}, pulls {pulls}");
+        let attempts = std::mem::take(&mut self.attempts);
+        let _ = writeln!(self.trace, "{at:.0}: ok {ok:?}, later {later}, never {never}, pulls {attempts}");
     }
 
     /// Nodes can no longer be reached.
