--- a/crates/routing/tests/module/storms.rs
+++ b/crates/routing/tests/module/storms.rs
@@ -13,7 +13,7 @@
     day.pass(20, [2, 3, 1], |_| true);
     day.back();
     (0..4).for_each(|_| day.pass(5, [2, 3, 1], |_| true));
-    let _ = writeln!(day.trace, "most pulls {}", day.most_pulls);
+    let _ = writeln!(day.trace, "most pulls {}", day.most_attempts);
     expect![[r#"
         5: ok [94, 150, 50], later 0, never 0, pulls 300
         5.8 content type 1: Rising after Calm
@@ -89,7 +89,7 @@
     for step in 0..500 {
         for client in 0..5 {
             let (object, tries) = (900 + client, u32::from(step > 0));
-            day.come(Try { client: u64::from(client), object, kind: 0, tries, pulls: 0, heeds: true });
+            day.come(Try { client: u64::from(client), object, kind: 0, tries, attempts: 0, heeds: true });
         }
         if step % 50 == 49 {
             day.pass(1, [2, 3, 1], |_| true);
@@ -120,7 +120,7 @@
     let mut day = Day::new(told());
     day.down();
     for client in 0..400 {
-        let tried = Try { client, object: client as u32 % 50, kind: 0, tries: 1, pulls: 0, heeds: true };
+        let tried = Try { client, object: client as u32 % 50, kind: 0, tries: 1, attempts: 0, heeds: true };
         day.coming.entry(day.now.0 + client * 2_000_000).or_default().push(tried);
     }
     day.pass(4, [1, 1, 0], |_| true);
@@ -211,7 +211,7 @@
 #[test]
 fn a_post_that_may_have_run_is_never_sent_again_nor_refused() {
     let mut day = Day::new(told());
-    let post = |client, tries| Try { client, object: 7, kind: 2, tries, pulls: 0, heeds: true };
+    let post = |client, tries| Try { client, object: 7, kind: 2, tries, attempts: 0, heeds: true };
     let (lost, never_ran, answered) = (post(1, 0), post(2, 0), post(3, 0));
     // Past the time in which what was in hand before the start may still be asked for again.
     day.pass(61, [0, 0, 0], |_| true);
@@ -263,7 +263,7 @@
 fn pulls_of_a_download_and_its_repeats_count_together() {
     let mut day = Day::new(told());
     day.refused = 100;
-    let mut tried = Try { client: 9, object: 3, kind: 0, tries: 0, pulls: 0, heeds: true };
+    let mut tried = Try { client: 9, object: 3, kind: 0, tries: 0, attempts: 0, heeds: true };
     for _ in 0..8 {
         day.come(tried);
         day.pass(1, [0, 0, 0], |_| true);
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -25,7 +25,7 @@
 pub struct Connections {
     /// A connection not made by then never comes.
     pub connect_timeout: Nanos,
-    /// Pulls that one connection carries at once.
+    /// Attempts that one connection carries at once.
     pub streams: usize,
     /// The other side closes a connection that carried nothing for so long; zero if not told.
     pub idle: Nanos,
@@ -47,7 +47,7 @@
 pub struct Offer {
     /// The longest that a client waits for it.
     pub expiry: Nanos,
-    /// A download may bring bytes.
+    /// A request may bring bytes.
     pub writes: bool,
 }
 
@@ -225,7 +225,7 @@
             cancel: self.flag("limits.cancel")?,
             come_back: self.flag("limits.retry_after")?,
             max_come_back: self.span_or_zero("limits.max_retry_after_s")?,
-            max_pulls: self.number("limits.max_attempts")?,
+            max_attempts: self.number("limits.max_attempts")?,
             sizes_told: self.raw("weights") != Some("none"),
             probes: self.flag("limits.probing")?
                 && (0..4).any(|at| self.listed("report.fields", at) == Some("cpu_share")),
--- a/crates/settings/src/operator.rs
+++ b/crates/settings/src/operator.rs
@@ -273,8 +273,8 @@
         Ok(file)
     }
 
-    /// What the decisions are told of storms, where a download and its repeats may take so many pulls.
-    pub fn storms(&self, max_pulls: u32) -> Read<Option<StormSettings>> {
+    /// What the decisions are told of storms, where a request and its repeats may take so many attempts.
+    pub fn storms(&self, max_attempts: u32) -> Read<Option<StormSettings>> {
         let Some(told) = &self.storms else { return Ok(None) };
         let remember = within("storms.remember_s", told.remember_s, "number of seconds", 1.0, 3600.0)?;
         let most =
@@ -287,7 +287,7 @@
             newcomers: within("storms.newcomers", told.newcomers, "part of the pace", 0.0, 0.9)?,
             clients_mark: told.clients_mark,
             doubt_unknown: told.unknown_repeats == UnknownRepeats::Abandon,
-            max_pulls,
+            max_attempts,
         }))
     }
 
--- a/crates/simulator-adapter/src/door.rs
+++ b/crates/simulator-adapter/src/door.rs
@@ -1,6 +1,6 @@
 //! The door of one instance: wire ids to small indices and back, and the lines that it sends.
 
-use copperroute_routing::interface::{Nanos, NodeId, ObjectId, Outbox, Pull, RequestId};
+use copperroute_routing::interface::{Attempt, Nanos, NodeId, ObjectId, Outbox, RequestId};
 use copperroute_routing::structures::ids::Ids;
 use std::fmt::Write as _;
 
@@ -20,12 +20,12 @@
         Door { instance, request_ids, objects, nodes, lines: String::new() }
     }
 
-    /// A slot for a download that has just come.
+    /// A slot for a request that has just come.
     pub fn open(&mut self, id: u64) -> RequestId {
         RequestId(self.request_ids.open(id))
     }
 
-    /// The slot of a download, if it is still held.
+    /// The slot of a request, if it is still held.
     pub fn held(&self, id: u64) -> Option<RequestId> {
         self.request_ids.held(&id).map(RequestId)
     }
@@ -64,21 +64,21 @@
 }
 
 impl Outbox for Door {
-    fn pull(&mut self, request_id: RequestId, pull: &Pull) {
-        let manner = u32::from(pull.join)
-            + 2 * u32::from(pull.held_only)
-            + 4 * u32::from(pull.no_parent_copy)
-            + 8 * u32::from(pull.renew);
+    fn attempt(&mut self, request_id: RequestId, attempt: &Attempt) {
+        let manner = u32::from(attempt.join)
+            + 2 * u32::from(attempt.held_only)
+            + 4 * u32::from(attempt.no_parent_copy)
+            + 8 * u32::from(attempt.renew);
         say!(
             self,
             "pull_via\t{}\t{}\t{}\t{manner}\t{}\t{}\t{}\t{}",
             self.instance,
             self.request_ids.key(request_id.0),
-            Secs(pull.try_for),
-            self.nodes.key(pull.source.0),
-            self.nodes.key(pull.node.0),
-            pull.rank,
-            Secs(pull.max_age),
+            Secs(attempt.try_for),
+            self.nodes.key(attempt.source.0),
+            self.nodes.key(attempt.node.0),
+            attempt.rank,
+            Secs(attempt.max_age),
         );
     }
 
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -2,7 +2,7 @@
 
 use crate::door::Door;
 use copperroute_routing::interface::{
-    Nanos, NodeEntry, Outcome, PullEnd, Readiness, Remark, Report, RoutingRequest, TypeId, UNTOLD, ZoneId,
+    AttemptEnd, Nanos, NodeEntry, Outcome, Readiness, Remark, Report, RoutingRequest, TypeId, UNTOLD, ZoneId,
     mix, stable_hash,
 };
 use copperroute_routing::policy::Dispatcher;
@@ -233,8 +233,8 @@
             let remark = remark(fields.maybe("remark")?.unwrap_or(0));
             let report = report(fields.text("health_info")?);
             if let Some(request_id) = request_id {
-                let end = PullEnd { outcome, took, closed, waited, remark, report };
-                module.pull_ended(now, request_id, number, &end, door);
+                let end = AttemptEnd { outcome, took, closed, waited, remark, report };
+                module.attempt_ended(now, request_id, number, &end, door);
             }
         }
         "client_gone" => {
--- a/crates/testbed/src/capacity/caches.rs
+++ b/crates/testbed/src/capacity/caches.rs
@@ -1,5 +1,5 @@
 //! Stand-ins of nodes for the light load on real dispatchers: each holds a copy of every object that was made before the
-//! run, and says by the body whether the pull's age limit allowed that copy. So whoever asks sees from outside whether
+//! run, and says by the body whether the attempt's age limit allowed that copy. So whoever asks sees from outside whether
 //! the dispatcher had acted on a purge of the object.
 
 use super::clock::unix_us;
@@ -43,7 +43,7 @@
     }
 }
 
-/// The answer to a pull; nothing to any other line.
+/// The answer to an attempt; nothing to any other line.
 pub fn answer(line: &str) -> Option<Vec<u8>> {
     let (id, rest) = line.strip_prefix("fetch ")?.split_once(' ')?;
     let fields = rest.split(' ').next()?.split(',');
--- a/crates/testbed/src/capacity/issuer.rs
+++ b/crates/testbed/src/capacity/issuer.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 use tokio::sync::watch;
 
-/// What versions of the rules say in turn: how many pulls a request may take.
+/// What versions of the rules say in turn: how many attempts a request may take.
 const MAX_PULLS: [u32; 3] = [2, 6, 4];
 /// Sizes that a cache's line in the list says in turn.
 const WEIGHTS: [u32; 2] = [900, 1_000];
@@ -69,14 +69,14 @@
         due += Duration::from_secs_f64(changes.version_each_s);
         number += 1;
         let issued_ms = unix_us() / 1_000;
-        let pulls = MAX_PULLS[number as usize % MAX_PULLS.len()];
+        let attempts = MAX_PULLS[number as usize % MAX_PULLS.len()];
         let issue = Issue {
             version: number,
             after: after.clone(),
             issuer: "lab".into(),
             issued_ms,
             from_ms: issued_ms + ahead_ms,
-            rules: [("max_pulls".to_string(), json!(pulls))].into_iter().collect(),
+            rules: [("max_pulls".to_string(), json!(attempts))].into_iter().collect(),
             floor: None,
         };
         rig.log.version(number, json!(issue));
--- a/crates/testbed/src/clients.rs
+++ b/crates/testbed/src/clients.rs
@@ -56,7 +56,7 @@
     reconnects: u64,
 }
 
-/// One download, with all its tries.
+/// One request, with all its tries.
 struct Wanted<'a> {
     of: &'a ContentType,
     at: usize,
@@ -83,7 +83,7 @@
             if begins >= self.until {
                 return;
             }
-            // Between downloads a client rests without a connection.
+            // Between requests a client rests without a connection.
             if wait > 4.0 {
                 connection = None;
             }
@@ -140,14 +140,14 @@
         Wanted { of, at, object: format!("{object:016x}"), ids, throttled, since: Instant::now() }
     }
 
-    /// The rules that show only at a download's end.
+    /// The rules that show only at a request's end.
     fn check(&self, wanted: &Wanted<'_>) {
-        let pulls = self.world.pulls_of(&wanted.ids);
+        let attempts = self.world.attempts_of(&wanted.ids);
         let together = self.world.scenario.dispatchers.operator.is_some();
         let most = if together {
-            pulls
+            attempts
         } else {
-            wanted.ids.iter().map(|id| self.world.pulls_of(std::slice::from_ref(id))).max().unwrap_or(0)
+            wanted.ids.iter().map(|id| self.world.attempts_of(std::slice::from_ref(id))).max().unwrap_or(0)
         };
         // With several dispatchers none knows what the others have pulled.
         if most > 6 && (!together || self.dispatchers.len() == 1) {
--- a/crates/testbed/src/fleet_simulation/follower.rs
+++ b/crates/testbed/src/fleet_simulation/follower.rs
@@ -28,8 +28,8 @@
 }
 
 /// What a version says in the simulation.
-pub fn rules(pulls: u64) -> Map<String, Value> {
-    [("max_pulls".to_string(), json!(pulls))].into_iter().collect()
+pub fn rules(attempts: u64) -> Map<String, Value> {
+    [("max_pulls".to_string(), json!(attempts))].into_iter().collect()
 }
 
 fn agreement() -> Agreement {
--- a/crates/testbed/src/fleet_simulation/record.rs
+++ b/crates/testbed/src/fleet_simulation/record.rs
@@ -6,7 +6,7 @@
 use copperroute_routing::interface::{Nanos, mix};
 use serde_json::json;
 
-/// Versions in turn say so many pulls.
+/// Versions in turn say so many attempts.
 const PULLS: [u64; 4] = [3, 6, 2, 5];
 /// One purge in so many is of a group.
 const GROUPS_ONE_IN: u64 = 3;
--- a/crates/testbed/src/least.rs
+++ b/crates/testbed/src/least.rs
@@ -20,7 +20,7 @@
     pub after: f64,
 }
 
-/// An object: downloads a second, what it takes to send in seconds, and what an answer earns.
+/// An object: requests a second, what it takes to send in seconds, and what an answer earns.
 struct Object {
     rate: f64,
     work_s: f64,
@@ -77,7 +77,7 @@
             hits_s += (asked - misses) * of.work_s;
             *lacked *= (-taken).exp();
         }
-        // Of what is held only so much is served as caches carry besides; a fill serves the download that asked for it.
+        // Of what is held only so much is served as caches carry besides; a fill serves the request that asked for it.
         let left_s = (caches - fills) * STEP_S + room_s;
         let carried = (left_s / hits_s.max(1e-9)).min(1.0);
         earned.push(of_posts + (hits * carried + by_fills) / STEP_S);
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -82,7 +82,7 @@
         #[command(flatten)]
         place: Place,
     },
-    /// Downloads a core-second of dispatchers, as a share of a bare relay's.
+    /// Requests a core-second of dispatchers, as a share of a bare relay's.
     Pace {
         /// Another program, measured in turn.
         #[arg(long = "with")]
--- a/crates/testbed/src/many_rules.rs
+++ b/crates/testbed/src/many_rules.rs
@@ -89,15 +89,15 @@
         cancel: true,
         come_back: true,
         max_come_back: Nanos(1_000_000_000),
-        max_pulls: 6,
+        max_attempts: 6,
         sizes_told: true,
         probes: false,
         storms: None,
     }
 }
 
-fn said(pulls: u64) -> Map<String, Value> {
-    [("max_pulls".to_string(), json!(pulls))].into_iter().collect()
+fn said(attempts: u64) -> Map<String, Value> {
+    [("max_pulls".to_string(), json!(attempts))].into_iter().collect()
 }
 
 /// All start within a second; versions come for 90 s.
@@ -148,14 +148,14 @@
             after = written_digest(number, issue.digest());
             log.push(issue);
         }
-        let pulls_of = |issue: &Issue| issue.rules["max_pulls"].as_u64().unwrap_or(6);
+        let attempts_of = |issue: &Issue| issue.rules["max_pulls"].as_u64().unwrap_or(6);
         // What a clock may show that is off by no more than is stated.
         let on = |off_ms: i64| {
             let unix = (UNIX_MS + now_ms).saturating_add_signed(off_ms);
-            log.iter().rev().find(|issue| issue.from_ms <= unix).map_or(6, pulls_of)
+            log.iter().rev().find(|issue| issue.from_ms <= unix).map_or(6, attempts_of)
         };
         let allowed = [-250, 0, 250].map(on).into_iter().max().unwrap_or(6);
-        let last = log.last().map(|issue| (issue.issued_ms - UNIX_MS, pulls_of(issue)));
+        let last = log.last().map(|issue| (issue.issued_ms - UNIX_MS, attempts_of(issue)));
         let (mut all_tight, mut all_in) = (true, true);
         for one in &mut all {
             let unix_ms = (UNIX_MS + now_ms).saturating_add_signed(one.off_ms);
--- a/crates/testbed/src/nodes/answers.rs
+++ b/crates/testbed/src/nodes/answers.rs
@@ -107,14 +107,14 @@
         Ok((copy, "pulled_far"))
     }
 
-    /// Counts what a pull asks for.
+    /// Counts what an attempt asks for.
     pub(super) fn tally(&self, node: &Node, fetch: &Fetch) {
         let cold = node.present(&self.world) < 1.0;
         let from = fetch.source.as_deref().filter(|from| *from != node.id);
         self.world.count(|tally| {
-            tally.pulls += 1;
+            tally.attempts += 1;
             tally.cold_looks += u32::from(cold && from.is_none());
-            tally.cold_pulls += u32::from(cold);
+            tally.cold_attempts += u32::from(cold);
             tally.parent_fills += u32::from(from.is_some_and(|from| from.starts_with("p-")));
             tally.origin_fills += u32::from(from.is_some_and(|from| from.starts_with("o-")));
         });
@@ -133,7 +133,7 @@
         Copy { version, made_ms: unix_ms(), rank: 0, used: 0 }
     }
 
-    /// What a pull is answered with; nothing by a node that has fallen.
+    /// What an attempt is answered with; nothing by a node that has fallen.
     pub(super) async fn serve(&self, node: &Node, fetch: &Fetch) -> Option<Reply> {
         let plain =
             |word, why| Some(Reply { word, why, copy: None, waited: Duration::ZERO, body: Vec::new() });
--- a/crates/testbed/src/nodes/wire.rs
+++ b/crates/testbed/src/nodes/wire.rs
@@ -1,11 +1,11 @@
-//! Pulls as they are read from a connection, and answers as they are written to it.
+//! Attempts as they are read from a connection, and answers as they are written to it.
 
 use super::Copy;
 use crate::world::unix_ms;
 use copperroute_protocol::incoming::fields;
 use std::time::Duration;
 
-/// A pull as it was read.
+/// An attempt as it was read.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Fetch {
     pub(super) id: String,
@@ -27,7 +27,7 @@
     pub(super) waited: Duration,
     pub(super) body: Vec<u8>,
 }
-/// Reads the field list of a pull.
+/// Reads the field list of an attempt.
 pub(super) fn read_fetch(id: &str, list: &str) -> Fetch {
     let mut fetch = Fetch { id: id.to_string(), ..Fetch::default() };
     for (name, value) in fields(list) {
--- a/crates/testbed/src/pace.rs
+++ b/crates/testbed/src/pace.rs
@@ -1,4 +1,4 @@
-//! How many downloads a dispatcher carries in a second of a core, beside a bare relay that only passes bytes
+//! How many requests a dispatcher carries in a second of a core, beside a bare relay that only passes bytes
 //! through the same sockets.
 
 use crate::processes::{ready, used};
@@ -119,7 +119,7 @@
     Ok(())
 }
 
-/// Downloads a second of CPU of the process that listens there.
+/// Requests a second of CPU of the process that listens there.
 async fn measure(to: SocketAddr, pid: u32) -> Result<f64, String> {
     ready(to).await?;
     let (done, over) = (Arc::new(AtomicU64::new(0)), Arc::new(AtomicBool::new(false)));
--- a/crates/testbed/src/play/versions.rs
+++ b/crates/testbed/src/play/versions.rs
@@ -16,22 +16,22 @@
     let (mut number, mut after) = (0, String::new());
     let mut due = stage.world.start();
     let ahead_ms = (told.ahead_s * 1e3) as u64;
-    let version = |number, after: &str, from_ms, pulls: u32| Issue {
+    let version = |number, after: &str, from_ms, attempts: u32| Issue {
         version: number,
         after: after.to_string(),
         issuer: "lab".into(),
         issued_ms: unix_ms(),
         from_ms,
-        rules: [("max_pulls".to_string(), json!(pulls))].into_iter().collect(),
+        rules: [("max_pulls".to_string(), json!(attempts))].into_iter().collect(),
         floor: None,
     };
     while due < until {
         tokio::time::sleep_until(due.into()).await;
         due += Duration::from_secs_f64(told.each_s);
-        let pulls = told.max_pulls[number as usize % told.max_pulls.len().max(1)];
-        let good = version(number + 1, &after, unix_ms() + ahead_ms, pulls);
+        let attempts = told.max_pulls[number as usize % told.max_pulls.len().max(1)];
+        let good = version(number + 1, &after, unix_ms() + ahead_ms, attempts);
         let at = Instant::now();
-        stage.world.issued(Issued { at, from: at + Duration::from_millis(ahead_ms), max_pulls: pulls });
+        stage.world.issued(Issued { at, from: at + Duration::from_millis(ahead_ms), max_attempts: attempts });
         stage.service.rules(number + 1, &json!(good), true);
         let before = std::mem::replace(&mut after, written_digest(number + 1, good.digest()));
         number += 1;
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -164,8 +164,8 @@
             "pulls at cold nodes, looks there, fills at parents, at the origin",
             each(&|o| {
                 let sum = |of: fn(&Tally) -> u32| o.tallies.iter().map(of).sum::<u32>();
-                let [pulls, looks] = [sum(|t| t.cold_pulls), sum(|t| t.cold_looks)];
-                format!("{pulls}, {looks}, {}, {}", sum(|t| t.parent_fills), sum(|t| t.origin_fills))
+                let [attempts, looks] = [sum(|t| t.cold_attempts), sum(|t| t.cold_looks)];
+                format!("{attempts}, {looks}, {}, {}", sum(|t| t.parent_fills), sum(|t| t.origin_fills))
             }),
         ),
         (
--- a/crates/testbed/src/results.rs
+++ b/crates/testbed/src/results.rs
@@ -15,7 +15,7 @@
 /// One second.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct Second {
-    /// Downloads begun, and tries that were answered, or found nobody.
+    /// Requests begun, and tries that were answered, or found nobody.
     pub firsts: u32,
     pub tries: u32,
     pub served: u32,
@@ -73,7 +73,7 @@
     pub heard: Heard,
     /// What nodes counted, second by second.
     pub tallies: Vec<Tally>,
-    /// Bytes that the origin gave out, and pulls that came to nodes.
+    /// Bytes that the origin gave out, and attempts that came to nodes.
     pub traffic: [u64; 2],
     /// How well dispatchers kept to versions of rules.
     pub agreed: Agreed,
@@ -107,16 +107,16 @@
     pub back_s: Option<f64>,
     /// Benefit in the thirty seconds after the last fault's end, beside the level.
     pub after: f64,
-    /// Downloads served in the end, and given up.
+    /// Requests served in the end, and given up.
     pub served: u64,
     pub given_up: u64,
-    /// Tries for each download.
+    /// Tries for each request.
     pub tries_each: f64,
     /// Milliseconds that a served try took, at the median and the 99th percentile.
     pub took_ms: [f64; 2],
     /// Seconds from its first try to its end, at the median and the 99th percentile.
     pub waited_s: [f64; 2],
-    /// Bytes that the origin gave out, and pulls that came to nodes.
+    /// Bytes that the origin gave out, and attempts that came to nodes.
     pub traffic: [u64; 2],
     /// CPU seconds of all dispatchers.
     pub cpu_s: f64,
@@ -153,7 +153,7 @@
         }
     }
 
-    /// A download has begun.
+    /// A request has begun.
     pub fn first(&self, at_s: f64) {
         self.second(at_s, |second| second.firsts += 1);
     }
@@ -178,14 +178,14 @@
         self.second(at_s, |second| second.unreachable += 1);
     }
 
-    /// A download is served, so long after its first try.
+    /// A request is served, so long after its first try.
     pub fn served_in_the_end(&self, waited: Duration) {
         let mut counts = self.counts();
         counts.downloads[0] += 1;
         counts.waited.saturating_record(waited.as_micros() as u64);
     }
 
-    /// A download is given up for good.
+    /// A request is given up for good.
     pub fn given_up(&self) {
         self.counts().downloads[1] += 1;
     }
--- a/crates/testbed/src/scenario/expect.rs
+++ b/crates/testbed/src/scenario/expect.rs
@@ -13,7 +13,7 @@
 pub struct Expect {
     /// After the last fault ends benefit is back at 95% of its level before the first within so many seconds.
     pub back_within_s: Option<f64>,
-    /// So large a part of the downloads is served in the end.
+    /// So large a part of the requests is served in the end.
     pub served_share: Option<f64>,
     /// In no second, wherever it begins, more calls at the list service than this.
     pub calls_peak: Option<u32>,
@@ -23,9 +23,9 @@
     pub current_within_s: Option<f64>,
     /// No dispatcher writes more lines to its log.
     pub log_lines: Option<usize>,
-    /// No more tries a download.
+    /// No more tries a request.
     pub tries_each: Option<f64>,
-    /// No pull comes so many seconds after it was last allowed by a version in force.
+    /// No attempt comes so many seconds after it was last allowed by a version in force.
     pub contradiction_s: Option<f64>,
     /// Nodes turn no more connections away.
     pub turned_away: Option<u32>,
--- a/crates/testbed/src/scenario/fleet.rs
+++ b/crates/testbed/src/scenario/fleet.rs
@@ -4,7 +4,7 @@
 use schemars::JsonSchema;
 use serde::Deserialize;
 
-/// Versions of rules that are issued while a scenario is played: how many pulls a download may take.
+/// Versions of rules that are issued while a scenario is played: how many attempts a request may take.
 #[derive(Debug, Clone, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Versions {
@@ -164,7 +164,7 @@
 pub struct ContentType {
     /// Its name.
     pub name: String,
-    /// Its part of the downloads, in relation to the others.
+    /// Its part of the requests, in relation to the others.
     pub share: f64,
     /// What an answer takes to send at full pace, on average.
     pub work_ms: f64,
@@ -190,7 +190,7 @@
     pub count: usize,
     /// First tries a second, of all together, while none waits.
     pub rate: f64,
-    /// How long a client goes on trying for one download.
+    /// How long a client goes on trying for one request.
     pub patience_s: f64,
     /// The part of them that heed advice.
     pub heed: f64,
--- a/crates/testbed/src/tests/world.rs
+++ b/crates/testbed/src/tests/world.rs
@@ -20,7 +20,7 @@
     world.pulled("2", "s-0", None);
     world.pulled("3", "s-1", Some("s-0"));
     assert_eq!(world.breaches().iter().map(|breach| breach.rule).collect::<Vec<_>>(), [2, 3, 3]);
-    assert_eq!(world.pulls_of(&["1".into(), "2".into(), "9".into()]), 2);
+    assert_eq!(world.attempts_of(&["1".into(), "2".into(), "9".into()]), 2);
 }
 
 #[test]
@@ -28,7 +28,7 @@
     let world = world();
     let now = std::time::Instant::now();
     let long = Duration::from_secs(5);
-    let issued = |from, max_pulls| world.issued(super::Issued { at: now - long, from, max_pulls });
+    let issued = |from, max_attempts| world.issued(super::Issued { at: now - long, from, max_attempts });
     issued(now - long, 6);
     issued(now - Duration::from_secs(4), 2);
     issued(now - Duration::from_secs(1), 1);
--- a/crates/testbed/src/world.rs
+++ b/crates/testbed/src/world.rs
@@ -37,9 +37,9 @@
     pub opened: u32,
     pub turned_away: u32,
     pub held_most: u32,
-    /// Pulls, those at cold nodes, and those of them that named no source.
-    pub pulls: u32,
-    pub cold_pulls: u32,
+    /// Attempts, those at cold nodes, and those of them that named no source.
+    pub attempts: u32,
+    pub cold_attempts: u32,
     pub cold_looks: u32,
     /// Fills asked of parents and of the origin.
     pub parent_fills: u32,
@@ -53,8 +53,8 @@
     pub at: Instant,
     /// From when it acts.
     pub from: Instant,
-    /// How many pulls a download may take.
-    pub max_pulls: u32,
+    /// How many attempts a request may take.
+    pub max_attempts: u32,
 }
 
 /// How well dispatchers kept to versions of rules, by what came to nodes.
@@ -62,22 +62,22 @@
 pub struct Agreed {
     /// Versions issued.
     pub versions: usize,
-    /// Pulls that the version in force forbade when they came.
+    /// Attempts that the version in force forbade when they came.
     pub forbidden: u64,
-    /// The longest for which such a pull had been forbidden, in seconds, and when it came.
+    /// The longest for which such an attempt had been forbidden, in seconds, and when it came.
     pub longest_s: f64,
     pub at_s: f64,
-    /// Pulls that came before the moment that allowed them, within the clocks' error; and the longest before it.
+    /// Attempts that came before the moment that allowed them, within the clocks' error; and the longest before it.
     pub early: u64,
     pub early_s: f64,
 }
 
-/// A pull as it came to a node, or a download as its client saw it.
+/// An attempt as it came to a node, or a request as its client saw it.
 #[derive(Debug, Default)]
 struct Truth {
-    /// Pulls that came to nodes, by the id of their try.
-    pulls: HashMap<String, u32>,
-    /// Posts that ran at the origin, by object: the tries whose pulls ran.
+    /// Attempts that came to nodes, by the id of their try.
+    attempts: HashMap<String, u32>,
+    /// Posts that ran at the origin, by object: the tries whose attempts ran.
     ran: HashMap<String, Vec<String>>,
     /// How often everything was purged, and when each was told.
     purges: Vec<Instant>,
@@ -88,9 +88,9 @@
     /// Versions of rules, in the order of their moments.
     versions: Vec<Issued>,
     agreed: Agreed,
-    /// Bytes that the origin gave out, and pulls that came to nodes.
+    /// Bytes that the origin gave out, and attempts that came to nodes.
     origin_bytes: u64,
-    all_pulls: u64,
+    all_attempts: u64,
 }
 
 /// What is true.
@@ -103,22 +103,22 @@
 }
 
 impl Truth {
-    /// The pull of this number of a download comes: does the version in force forbid it, and since when?
+    /// The attempt of this number of a request comes: does the version in force forbid it, and since when?
     fn judge(&mut self, now: Instant, number: u32, at_s: f64) {
         let acts = self.versions.iter().take_while(|version| version.from <= now).count();
         let Some(in_force) = acts.checked_sub(1).and_then(|last| self.versions.get(last)) else { return };
-        if number <= in_force.max_pulls {
+        if number <= in_force.max_attempts {
             return;
         }
-        let soon = self.versions[acts..]
-            .iter()
-            .find(|version| version.at <= now && version.max_pulls >= number && version.from <= now + CLOCKS);
+        let soon = self.versions[acts..].iter().find(|version| {
+            version.at <= now && version.max_attempts >= number && version.from <= now + CLOCKS
+        });
         if let Some(soon) = soon {
             self.agreed.early += 1;
             self.agreed.early_s = self.agreed.early_s.max((soon.from - now).as_secs_f64());
             return;
         }
-        let forbids = |version: &&Issued| version.max_pulls < number;
+        let forbids = |version: &&Issued| version.max_attempts < number;
         let since = self.versions[..acts].iter().rev().take_while(forbids).last().unwrap_or(in_force).from;
         self.agreed.forbidden += 1;
         let late_s = now.duration_since(since).as_secs_f64();
@@ -179,17 +179,17 @@
         self.truth().seconds.clone()
     }
 
-    // Pulls.
+    // Attempts.
 
-    /// A pull has come to a node, and names a source.
+    /// An attempt has come to a node, and names a source.
     pub fn pulled(&self, id: &str, node: &str, source: Option<&str>) {
         let now = Instant::now();
         let mut truth = self.truth();
-        let count = truth.pulls.entry(id.to_string()).or_default();
+        let count = truth.attempts.entry(id.to_string()).or_default();
         *count += 1;
         let number = *count;
         truth.judge(now, number, self.secs());
-        truth.all_pulls += 1;
+        truth.all_attempts += 1;
         for named in [Some(node), source].into_iter().flatten() {
             let late = truth.drained.get(named).is_some_and(|told| now > *told + DRAIN_GRACE + SLACK);
             if late {
@@ -212,10 +212,10 @@
         self.truth().agreed.clone()
     }
 
-    /// How many pulls came for these tries.
-    pub fn pulls_of(&self, ids: &[String]) -> u32 {
+    /// How many attempts came for these tries.
+    pub fn attempts_of(&self, ids: &[String]) -> u32 {
         let truth = self.truth();
-        ids.iter().filter_map(|id| truth.pulls.get(id)).sum()
+        ids.iter().filter_map(|id| truth.attempts.get(id)).sum()
     }
 
     /// The origin gives out so many bytes.
@@ -223,10 +223,10 @@
         self.truth().origin_bytes += bytes as u64;
     }
 
-    /// Bytes that the origin gave out, and pulls that came to nodes.
+    /// Bytes that the origin gave out, and attempts that came to nodes.
     pub fn traffic(&self) -> [u64; 2] {
         let truth = self.truth();
-        [truth.origin_bytes, truth.all_pulls]
+        [truth.origin_bytes, truth.all_attempts]
     }
 
     /// A post runs at the origin.
@@ -278,7 +278,7 @@
         self.truth().purges.len() as u64
     }
 
-    /// The oldest version that a download sent at this time may be answered from.
+    /// The oldest version that a request sent at this time may be answered from.
     pub fn oldest_version(&self, sent: Instant) -> u64 {
         let heeded = |told: &&Instant| **told + PURGE_GRACE + SLACK < sent;
         self.truth().purges.iter().filter(heeded).count() as u64
--- a/crates/testbed/tests/fleet.rs
+++ b/crates/testbed/tests/fleet.rs
@@ -54,7 +54,7 @@
 }
 
 /// Versions of rules each 3 s, some of them not good, while links to the list service, the service and dispatchers fail as
-/// the seed draws: no pull comes for longer than stated after the version in force forbade it.
+/// the seed draws: no attempt comes for longer than stated after the version in force forbade it.
 #[test]
 fn eight_dispatchers_agree_on_versions_of_rules_whatever_fails_between_them() {
     let outcome = played("agree-small", 75, |_| {});
@@ -74,7 +74,7 @@
 
 /// The list gives no sizes and links are not told, a cache is slow and half of them restart cold: four dispatchers find
 /// what nodes can do, instead of turning away what those have room for. The program of commit c4d045c takes 1.23 tries a
-/// download here and gives up ten times as many.
+/// request here and gives up ten times as many.
 #[test]
 fn four_dispatchers_find_what_nodes_can_do_where_the_list_does_not_say() {
     let outcome = played("sizes-untold", 73, |_| {});
