--- a/crates/change-log-replica/src/followers.rs
+++ b/crates/change-log-replica/src/followers.rs
@@ -373,7 +373,7 @@
                 follower.stage = Stage::Told(seq);
                 return Ok(list);
             }
-            Start::NotHeld => return Err(Refusal::NoWholeList),
+            Start::Missed => return Err(Refusal::NoWholeList),
         },
         Stage::Told(told) if !retention.follows(told) => return Err(Refusal::Forgotten),
         Stage::Told(told) => told,
--- a/crates/change-log-replica/src/retention.rs
+++ b/crates/change-log-replica/src/retention.rs
@@ -40,7 +40,7 @@
     /// With this whole list, which stands for all up to the event with this number.
     WholeList(u64, Vec<u8>),
     /// It needs a whole list, and none can be vouched for.
-    NotHeld,
+    Missed,
 }
 
 /// The events that are held.
@@ -131,7 +131,7 @@
         }
         match snapshot.whole_list() {
             Some(list) if snapshot.seq >= least => Start::WholeList(snapshot.seq, list),
-            _ => Start::NotHeld,
+            _ => Start::Missed,
         }
     }
 
--- a/crates/change-log-replica/tests/relay/retention.rs
+++ b/crates/change-log-replica/tests/relay/retention.rs
@@ -61,7 +61,7 @@
     retention.push(at(0.0), event(&list(1)), false);
     retention.push(at(0.0), event(&list(7)), true);
     assert!(!retention.follows(6));
-    assert_eq!(retention.start(6), Start::NotHeld, "there is no later number yet");
+    assert_eq!(retention.start(6), Start::Missed, "there is no later number yet");
     retention.push(at(0.0), event(&purge(8)), false);
     assert_eq!(parsed(retention.start(6)).expect("a list").0, 8);
     assert_eq!(retention.start(5), Start::Behind(5));
@@ -166,7 +166,7 @@
             prop_assert_eq!(listed, ids);
         }
         // Only where no number is left that shows the loss.
-        Start::NotHeld => prop_assert!(all.last().expect("one").0 < since + 2),
+        Start::Missed => prop_assert!(all.last().expect("one").0 < since + 2),
     }
     Ok(())
 }
--- a/crates/config-rollout/benches/switch.rs
+++ b/crates/config-rollout/benches/switch.rs
@@ -19,11 +19,11 @@
 /// Nobody listens.
 struct Nobody;
 
-impl Outbox for Nobody {
+impl Actions for Nobody {
     fn attempt(&mut self, _: RequestId, _: &Attempt) {}
-    fn call_off(&mut self, _: RequestId, _: u32) {}
-    fn throttle(&mut self, _: RequestId, _: Option<Nanos>) {}
-    fn abandon(&mut self, _: RequestId) {}
+    fn cancel(&mut self, _: RequestId, _: u32) {}
+    fn reject(&mut self, _: RequestId, _: Option<Nanos>) {}
+    fn fail(&mut self, _: RequestId) {}
     fn arm(&mut self, _: Nanos, _: u64) {}
     fn probe(&mut self, _node: NodeId) {}
     fn follow(&mut self) {}
@@ -64,8 +64,8 @@
         origin_stop_multiple: 2.5,
         list_is_asked: false,
         cancel: true,
-        come_back: true,
-        max_come_back: Nanos(S),
+        retry_after: true,
+        max_retry_after: Nanos(S),
         max_attempts: 6,
         sizes_told: true,
         probes: false,
--- a/crates/dispatcher/src/desk/outbox.rs
+++ b/crates/dispatcher/src/desk/actions.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl Outbox for Desk {
+impl Actions for Desk {
     fn attempt(&mut self, request_id: RequestId, attempt: &Attempt) {
         let Some(held) = self.held.get_mut(request_id.0) else { return };
         let place = AttemptId { request_id, number: held.attempts.len() as u32 };
@@ -24,16 +24,16 @@
         }
     }
 
-    fn call_off(&mut self, request_id: RequestId, number: u32) {
-        self.give_up(AttemptId { request_id, number }, Outcome::CalledOff);
+    fn cancel(&mut self, request_id: RequestId, number: u32) {
+        self.give_up(AttemptId { request_id, number }, Outcome::Cancelled);
     }
 
-    fn throttle(&mut self, request_id: RequestId, come_back: Option<Nanos>) {
-        self.answer(request_id, Answer::Throttled(come_back.map(|span| span.0.div_ceil(1_000_000))));
+    fn reject(&mut self, request_id: RequestId, retry_after: Option<Nanos>) {
+        self.answer(request_id, Answer::Rejected(retry_after.map(|span| span.0.div_ceil(1_000_000))));
     }
 
-    fn abandon(&mut self, request_id: RequestId) {
-        self.answer(request_id, Answer::Abandoned);
+    fn fail(&mut self, request_id: RequestId) {
+        self.answer(request_id, Answer::Failed);
     }
 
     fn arm(&mut self, span: Nanos, token: u64) {
--- a/crates/dispatcher/src/desk/attempts.rs
+++ b/crates/dispatcher/src/desk/attempts.rs
@@ -11,7 +11,7 @@
         };
         ended.out = false;
         let took = self.now.since(ended.at);
-        let closed = outcome == Outcome::Fulfilled;
+        let closed = outcome == Outcome::Served;
         let why = told.map_or(Remark::None, |told| told.remark);
         let (id, node) = (held.request.id, self.nodes.id(ended.attempt.node));
         let bytes = told.map_or(0, |told| told.body.len());
@@ -31,8 +31,8 @@
                 match told.current {
                     true => Answer::Current,
                     // It may have run, so nothing is promised; others are served from what memory is left.
-                    false if short => Answer::Abandoned,
-                    false => Answer::Fulfilled(&told.body),
+                    false if short => Answer::Failed,
+                    false => Answer::Served(&told.body),
                 },
             );
         }
@@ -138,7 +138,7 @@
         let Some(held) = self.held.get(attempt.request_id.0) else { return true };
         let copy = answer.copy.is_some() || !held.of_copies;
         let current = held.request.held.is_some() && answer.body.is_empty();
-        answer.outcome != Outcome::Fulfilled || (copy && (current || !answer.current))
+        answer.outcome != Outcome::Served || (copy && (current || !answer.current))
     }
 
     /// A connection to a node is over, or never came up: what had not left whole never ran.
--- a/crates/dispatcher/src/desk/mod.rs
+++ b/crates/dispatcher/src/desk/mod.rs
@@ -12,16 +12,16 @@
 use copperroute_protocol::hex::Hex;
 use copperroute_protocol::nodes::{self, Fetch};
 use copperroute_routing::interface::{
-    Attempt, AttemptEnd, Nanos, NodeId, ObjectId, Outbox, Outcome, Readiness, Remark, Report, RequestId,
+    Actions, Attempt, AttemptEnd, Nanos, NodeId, ObjectId, Outcome, Readiness, Remark, Report, RequestId,
     RoutingRequest,
 };
 use copperroute_routing::state::Slots;
 use copperroute_routing::structures::ids::Ids;
 use copperroute_settings::Connections;
 
+mod actions;
 mod attempts;
 mod list;
-mod outbox;
 
 use std::collections::{HashSet, VecDeque};
 
--- a/crates/dispatcher/src/reducer/clients.rs
+++ b/crates/dispatcher/src/reducer/clients.rs
@@ -47,7 +47,7 @@
                     if self.desk.has_run_out_for(number) {
                         self.desk.clients.run_out(number);
                     }
-                    self.desk.write(number, tag, Answer::Throttled(None));
+                    self.desk.write(number, tag, Answer::Rejected(None));
                 }
                 _ if client_is_closing => {}
                 // Two answers under one tag could not be told apart.
@@ -58,7 +58,7 @@
                 Message::Request(..) if self.desk.has_run_out_for(number) => {
                     self.complaints.warn(now, format_args!("client {number}: takes too little, closed"));
                     self.desk.clients.run_out(number);
-                    self.desk.write(number, tag, Answer::Throttled(None));
+                    self.desk.write(number, tag, Answer::Rejected(None));
                 }
                 // At the end of the program, where memory is short, and past the protocol's limit: trying again is harmless.
                 Message::Request(..)
@@ -66,12 +66,12 @@
                         || self.desk.is_short_for(number)
                         || taken >= MOST_OPEN =>
                 {
-                    self.desk.write(number, tag, Answer::Throttled(None));
+                    self.desk.write(number, tag, Answer::Rejected(None));
                 }
                 Message::Request(_, request) => self.request_arrived(now, number, tag, *request),
                 Message::Unusable(_, why) => {
                     self.complaints.warn(now, format_args!("client {number}: {why}"));
-                    self.desk.write(number, tag, Answer::Abandoned);
+                    self.desk.write(number, tag, Answer::Failed);
                 }
                 Message::Health(_) => {
                     let up = self.life.phase() == Phase::Serving && self.desk.has_nodes();
@@ -106,11 +106,11 @@
             (Verdict::Take, Ok(content_type)) => content_type,
             (Verdict::Take, Err(why)) => {
                 self.complaints.warn(now, format_args!("client {client}: {why}"));
-                return self.desk.write(client, tag, Answer::Abandoned);
+                return self.desk.write(client, tag, Answer::Failed);
             }
             (Verdict::Again, _) => {
                 self.complaints.warn(now, format_args!("client {client}: req: {} came before", request.id));
-                return self.desk.write(client, tag, Answer::Abandoned);
+                return self.desk.write(client, tag, Answer::Failed);
             }
         };
         // Under a rule that came later a client waits no longer, whatever it asked for.
@@ -157,7 +157,7 @@
     pub(super) fn serve(&mut self, now: Nanos, routing_request: &RoutingRequest, own: Own) {
         self.module.served_here(now, routing_request, &mut self.desk);
         match own {
-            Own::Bytes(body) => self.desk.answer(routing_request.request_id, Answer::Fulfilled(&body)),
+            Own::Bytes(body) => self.desk.answer(routing_request.request_id, Answer::Served(&body)),
             Own::Current => self.desk.answer(routing_request.request_id, Answer::Current),
         }
         self.desk.release(routing_request.request_id);
@@ -247,13 +247,13 @@
             return self.expire_forsaken(now, request, serial);
         }
         if self.reading.remove(&request.0).is_some() {
-            self.desk.answer(request, Answer::Abandoned);
+            self.desk.answer(request, Answer::Failed);
             return self.desk.release(request);
         }
         self.desk.expire(request);
         self.hand_on_ends(now);
         if self.desk.is_owed(request, serial) {
-            self.desk.answer(request, Answer::Abandoned);
+            self.desk.answer(request, Answer::Failed);
             self.module.client_gone(now, request, &mut self.desk);
             // Before its deadline another attempt may have been ordered, and attempts are not always cancelled.
             self.desk.drop_unsent(request);
@@ -297,7 +297,7 @@
         open.sort_by_key(|(tag, _)| *tag);
         for (tag, request_id) in open {
             self.forsake(now, request_id);
-            self.desk.write(number, tag, Answer::Abandoned);
+            self.desk.write(number, tag, Answer::Failed);
         }
     }
 }
--- a/crates/dispatcher/src/reducer/mod.rs
+++ b/crates/dispatcher/src/reducer/mod.rs
@@ -24,7 +24,7 @@
 use copperroute_routing::fleet::connection_back_off::NodeBackOff;
 use copperroute_routing::fleet::duplicate_filter::{DuplicateFilter, MOST_IDS, Verdict};
 use copperroute_routing::interface::{
-    Nanos, NodeEntry, NodeId, Outbox as _, Readiness, Repeat, RequestId, RoutingRequest, Settings, TypeId,
+    Actions as _, Nanos, NodeEntry, NodeId, Readiness, Repeat, RequestId, RoutingRequest, Settings, TypeId,
     UNTOLD, ZoneId, mix, stable_hash,
 };
 use copperroute_routing::policy::Dispatcher;
--- a/crates/protocol/src/clients.rs
+++ b/crates/protocol/src/clients.rs
@@ -57,13 +57,13 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Answer<'a> {
     /// Served, with the bytes.
-    Fulfilled(&'a [u8]),
+    Served(&'a [u8]),
     /// Served: the client's own copy is the one.
     Current,
     /// Trying again is harmless, after so many milliseconds if given.
-    Throttled(Option<u64>),
+    Rejected(Option<u64>),
     /// Nothing is promised.
-    Abandoned,
+    Failed,
     /// The dispatcher serves.
     Up,
     /// It does not, or not any more.
@@ -202,9 +202,9 @@
     /// The word that it is written with.
     pub fn word(&self) -> &'static str {
         match self {
-            Answer::Fulfilled(_) | Answer::Current => "OK",
-            Answer::Throttled(_) => "BUSY",
-            Answer::Abandoned => "FAILED",
+            Answer::Served(_) | Answer::Current => "OK",
+            Answer::Rejected(_) => "BUSY",
+            Answer::Failed => "FAILED",
             Answer::Up => "UP",
             Answer::Down => "DOWN",
         }
@@ -214,9 +214,9 @@
 /// An answer under a tag.
 pub fn encode(tag: u64, answer: Answer<'_>) -> Vec<u8> {
     let (fields, body): (String, &[u8]) = match answer {
-        Answer::Fulfilled(body) => (String::new(), body),
+        Answer::Served(body) => (String::new(), body),
         Answer::Current => ("keep=1".into(), b""),
-        Answer::Throttled(Some(ms)) => (format!("holdoff={ms}"), b""),
+        Answer::Rejected(Some(ms)) => (format!("holdoff={ms}"), b""),
         _ => (String::new(), b""),
     };
     let word = answer.word();
--- a/crates/protocol/src/nodes.rs
+++ b/crates/protocol/src/nodes.rs
@@ -138,8 +138,8 @@
     let [id, word, list, length] = words[..] else { return Err(unreadable()) };
     let length = digits(length, LONGEST_BODY).ok_or_else(unreadable)? as usize;
     let outcome = match word {
-        "ok" | "current" => Outcome::Fulfilled,
-        "nothing" => Outcome::NotHeld,
+        "ok" | "current" => Outcome::Served,
+        "nothing" => Outcome::Missed,
         "refused" => Outcome::Refused,
         "error" => Outcome::Failed,
         "stale" => Outcome::NotSent,
--- a/crates/protocol/tests/codecs.rs
+++ b/crates/protocol/tests/codecs.rs
@@ -139,7 +139,7 @@
 #[test]
 fn answers_to_clients() {
     use clients::Answer::*;
-    let answers = [Fulfilled(b"\r\n"), Current, Throttled(None), Throttled(Some(120)), Abandoned, Up, Down];
+    let answers = [Served(b"\r\n"), Current, Rejected(None), Rejected(Some(120)), Failed, Up, Down];
     let encoded = answers.map(|answer| clients::encode(7, answer).escape_ascii().to_string() + "\n");
     expect![[r#"
         *4\r\n$1\r\n7\r\n$2\r\nOK\r\n$0\r\n\r\n$2\r\n\r\n\r\n
@@ -215,9 +215,9 @@
         9b2003aa5c7e2d41 current etag=4be0c1927d55a6f3,why=local 0\r\n\r\n9b2103aa5c7e2d41 nothing - 0\r\n\r\n9b2203aa5c7e2d41 refused why=turned_away 0\r\n\r\n\
         9b2303aa5c7e2d41 error why=unheard_of,new=1,rep=inflight:nan 0\r\n\r\n9b24 stale - 0\r\n\r\n";
     expect![[r#"
-        Answer { id: Some(9b1f03aa5c7e2d41), outcome: Fulfilled, current: false, copy: Some((4be0c1927d55a6f3, 1764)), remark: FilledFromOrigin, waited: Some(Nanos(12500000)), report: Report { in_hand: Some(7.0), busy: Some(0.61) }, body: [13, 10, 0, 255] }
-        Answer { id: Some(9b2003aa5c7e2d41), outcome: Fulfilled, current: true, copy: None, remark: Hit, waited: None, report: Report { in_hand: None, busy: None }, body: [] }
-        Answer { id: Some(9b2103aa5c7e2d41), outcome: NotHeld, current: false, copy: None, remark: None, waited: None, report: Report { in_hand: None, busy: None }, body: [] }
+        Answer { id: Some(9b1f03aa5c7e2d41), outcome: Served, current: false, copy: Some((4be0c1927d55a6f3, 1764)), remark: FilledFromOrigin, waited: Some(Nanos(12500000)), report: Report { in_hand: Some(7.0), busy: Some(0.61) }, body: [13, 10, 0, 255] }
+        Answer { id: Some(9b2003aa5c7e2d41), outcome: Served, current: true, copy: None, remark: Hit, waited: None, report: Report { in_hand: None, busy: None }, body: [] }
+        Answer { id: Some(9b2103aa5c7e2d41), outcome: Missed, current: false, copy: None, remark: None, waited: None, report: Report { in_hand: None, busy: None }, body: [] }
         Answer { id: Some(9b2203aa5c7e2d41), outcome: Refused, current: false, copy: None, remark: SourceRefused, waited: None, report: Report { in_hand: None, busy: None }, body: [] }
         Answer { id: Some(9b2303aa5c7e2d41), outcome: Failed, current: false, copy: None, remark: None, waited: None, report: Report { in_hand: None, busy: None }, body: [] }
         Answer { id: None, outcome: NotSent, current: false, copy: None, remark: None, waited: None, report: Report { in_hand: None, busy: None }, body: [] }
--- a/crates/routing/src/fleet/overload_control/mod.rs
+++ b/crates/routing/src/fleet/overload_control/mod.rs
@@ -284,7 +284,7 @@
         target_s: f64,
     ) -> Option<Nanos> {
         let (at, reservation) = (request_id.d.content_type.0 as usize, request_id.reservation);
-        let served = to == Stage::Fulfilled;
+        let served = to == Stage::Served;
         let ended = to != Stage::Left;
         let row = &mut self.rows[at];
         if ended && reservation.level != Reservation::EARLY {
@@ -293,7 +293,7 @@
         let backend = usize::from(row.told.uncacheable);
         if reservation.damped && ended {
             let in_time = served && now.since(reservation.taken).secs() <= target_s;
-            if to == Stage::Throttled && request_id.missed_at.is_some() {
+            if to == Stage::Rejected && request_id.missed_at.is_some() {
                 self.admission[backend].came_to_nothing(request_id.work_s);
             } else {
                 row.let_in.add(now, usize::from(!in_time), 1.0);
@@ -303,8 +303,8 @@
         let attempts = reservation
             .spent
             .saturating_add(request_id.attempts.iter().filter(|attempt| attempt.reached).count() as u8);
-        if to != Stage::Throttled {
-            if to == Stage::Abandoned && attempts > 0 && !row.is_once() {
+        if to != Stage::Rejected {
+            if to == Stage::Failed && attempts > 0 && !row.is_once() {
                 self.remember(now, reservation.print, Tried { attempts, back: Nanos::ZERO, reserved: false });
             }
             return None;
@@ -347,7 +347,7 @@
     pub fn settled(&mut self, now: Nanos, request_id: &RequestState) {
         let row = &self.rows[request_id.d.content_type.0 as usize];
         if row.is_once() && self.once.get(request_id.reservation.print) == Some(&Ran::InHand) {
-            let ran = request_id.may_have_run.is_some() || request_id.stage == Stage::Fulfilled;
+            let ran = request_id.may_have_run.is_some() || request_id.stage == Stage::Served;
             self.once.insert(now, request_id.reservation.print, if ran { Ran::Maybe } else { Ran::Never });
         }
     }
--- a/crates/routing/src/interface.rs
+++ b/crates/routing/src/interface.rs
@@ -1,7 +1,7 @@
 //! What passes between an adapter and the decisions, in the users' words.
 //!
 //! An adapter maps the ids of its protocol to the small indices here, calls the methods of
-//! [`crate::policy::Dispatcher`] as things happen, and implements [`Outbox`], through which the
+//! [`crate::policy::Dispatcher`] as things happen, and implements [`Actions`], through which the
 //! module sends. Nothing here decides anything.
 
 pub use crate::retry_safety::{DedupScope, Repeat, UNTOLD};
@@ -35,7 +35,7 @@
     }
 }
 
-/// A request in hand: a slot that the adapter may use again after [`Outbox::release`].
+/// A request in hand: a slot that the adapter may use again after [`Actions::release`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct RequestId(pub u32);
 
@@ -44,7 +44,7 @@
 pub struct NodeId(pub u32);
 
 /// One cacheable thing (a part of an object, where objects have parts): a slot that the adapter may use
-/// again after [`Outbox::release_object`].
+/// again after [`Actions::release_object`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct ObjectId(pub u32);
 
@@ -166,9 +166,9 @@
     /// Attempts may be called off.
     pub cancel: bool,
     /// Clients are told when to come back.
-    pub come_back: bool,
+    pub retry_after: bool,
     /// The longest advice that clients heed.
-    pub max_come_back: Nanos,
+    pub max_retry_after: Nanos,
     /// The most attempts for one request.
     pub max_attempts: u32,
     /// The list tells the sizes of nodes, exactly or roughly; else it gives every node the same.
@@ -242,7 +242,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
     /// Served.
-    Fulfilled,
+    Served,
     /// The node answered with an error; it may have run.
     Failed,
     /// Not taken by the node or its source; it never ran.
@@ -254,11 +254,11 @@
     /// The connection broke; it may have run.
     Broken,
     /// Called off; it may have run.
-    CalledOff,
+    Cancelled,
     /// Not sent; it never ran.
     NotSent,
     /// Nothing suitable held; it never ran.
-    NotHeld,
+    Missed,
 }
 
 /// What an answer tells of how it came about.
@@ -340,15 +340,15 @@
 }
 
 /// Through this the module sends. An adapter writes each call out in the order in which it comes.
-pub trait Outbox {
+pub trait Actions {
     /// Makes an attempt for a request. The first of a request is number 0, and so on.
     fn attempt(&mut self, request_id: RequestId, attempt: &Attempt);
     /// Calls off an attempt that is out.
-    fn call_off(&mut self, request_id: RequestId, number: u32);
-    /// Final answer: not served, and trying again is harmless; after `come_back`, if given.
-    fn throttle(&mut self, request_id: RequestId, come_back: Option<Nanos>);
+    fn cancel(&mut self, request_id: RequestId, number: u32);
+    /// Final answer: not served, and trying again is harmless; after `retry_after`, if given.
+    fn reject(&mut self, request_id: RequestId, retry_after: Option<Nanos>);
     /// Final answer: not served, and nothing is promised.
-    fn abandon(&mut self, request_id: RequestId);
+    fn fail(&mut self, request_id: RequestId);
     /// Asks for [`crate::policy::Dispatcher::timer`] with `token` after `span`.
     fn arm(&mut self, span: Nanos, token: u64);
     /// Asks a node what it is doing; the answer comes by [`crate::policy::Dispatcher::probed`].
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,6 +1,6 @@
 //! copperroute decides, for each request a dispatcher takes, which edge cache is asked, where a miss
 //! is filled from, and whether the copy is kept (MC3). It does no input or output of its own: an
-//! adapter calls [`policy::Dispatcher`] and hands it an [`interface::Outbox`] to answer through.
+//! adapter calls [`policy::Dispatcher`] and hands it an [`interface::Actions`] to answer through.
 
 pub mod calls;
 pub mod change_log;
--- a/crates/routing/src/policy/ends.rs
+++ b/crates/routing/src/policy/ends.rs
@@ -4,7 +4,7 @@
 
 impl Dispatcher {
     /// A stream has begun: the request is bound to this attempt.
-    pub fn first_byte(&mut self, now: Nanos, id: RequestId, number: u32, out: &mut impl Outbox) {
+    pub fn first_byte(&mut self, now: Nanos, id: RequestId, number: u32, out: &mut impl Actions) {
         let node =
             self.requests.get(id.0).and_then(|request| request.attempts.get(number as usize)).map(|p| p.node);
         node.and_then(|node| self.nodes.get_mut(node)).into_iter().for_each(|n| n.heard = now);
@@ -18,29 +18,29 @@
         id: RequestId,
         number: u32,
         end: &AttemptEnd,
-        out: &mut impl Outbox,
+        out: &mut impl Actions,
     ) {
         let Some(request) = self.requests.get_mut(id.0) else { return };
         let Some(sent) = request.attempts.get_mut(number as usize).filter(|p| p.out) else { return };
         (sent.out, sent.left) = (false, end.outcome != Outcome::NotSent);
         sent.reached = !matches!(end.outcome, Outcome::NotSent | Outcome::Unreachable);
         let sent = *sent;
-        use Outcome::{CalledOff, Failed, Fulfilled, NotHeld, NotSent, Refused, Unreachable};
-        let missed = end.outcome == NotHeld && sent.is_look();
+        use Outcome::{Cancelled, Failed, Missed, NotSent, Refused, Served, Unreachable};
+        let missed = end.outcome == Missed && sent.is_look();
         // A cache elsewhere that lacks the copy leaves the parents to fill it: that was no fill.
         let lacks = end.remark == Remark::SourceHasNone && !sent.is_look() && !self.nodes.from_above(&sent);
         let filled = request.attempts.iter().take(number as usize).any(|p| self.nodes.from_above(p));
         let again =
-            (filled || (number > 0 && request.missed_at.is_none())) && !missed && end.outcome != CalledOff;
-        let worked = end.outcome == Fulfilled;
-        let never_ran = matches!(end.outcome, Refused | Unreachable | NotSent | NotHeld);
+            (filled || (number > 0 && request.missed_at.is_none())) && !missed && end.outcome != Cancelled;
+        let worked = end.outcome == Served;
+        let never_ran = matches!(end.outcome, Refused | Unreachable | NotSent | Missed);
         if !worked && !never_ran && request.may_have_run.is_none() {
             request.may_have_run = Some((sent.at, sent.node));
         }
         // An error may lie in what is asked for: it counts once another node could make use of that. Guards
         // against clients that ask for nonsense; harms where all nodes err, as then none is left out.
         let erred = (end.outcome == Failed && end.remark == Remark::None).then_some(sent.node);
-        let blamed = if worked || end.outcome == NotHeld { request.erred_at.take() } else { None };
+        let blamed = if worked || end.outcome == Missed { request.erred_at.take() } else { None };
         request.erred_at = erred.or(request.erred_at);
         request.missed_at = (missed || lacks).then_some(sent.node);
         // Where fills can't be shared, one under way for another request is waited for, not made twice.
@@ -55,7 +55,7 @@
             self.further.add(now, usize::from(!worked), 1.0);
         }
         if end.closed {
-            self.move_to(now, id, if worked { Stage::Fulfilled } else { Stage::Left }, out);
+            self.move_to(now, id, if worked { Stage::Served } else { Stage::Left }, out);
         } else if request.stage == Stage::Attempting && request.attempts.iter().all(|p| !p.out) {
             // Further attempts follow the share of recent ones that worked, so a wide failure brings no storm.
             let [worked, failed] = self.further.sums(now);
@@ -66,7 +66,7 @@
             let most = request.pinned.max_attempts();
             let allowed = in_time && attempts < most;
             // What a parent lacks, or the origin refused or failed, is to be had nowhere else.
-            let nowhere = (end.outcome == NotHeld && !missed && !lacks) || end.remark == Remark::OriginFailed;
+            let nowhere = (end.outcome == Missed && !missed && !lacks) || end.remark == Remark::OriginFailed;
             // The look after it leaves room for a fill of its own.
             let wait =
                 if request.rides.is_some() { self.fill_usual_s * (0.5 + self.random.share()) } else { 0.0 };
@@ -125,7 +125,7 @@
         request: &RequestState,
         sent: &Sent,
         end: &AttemptEnd,
-        out: &mut impl Outbox,
+        out: &mut impl Actions,
     ) {
         use Outcome::*;
         self.nodes.count_out(sent, -1);
@@ -141,9 +141,9 @@
         if end.remark == Remark::OriginFailed || (end.outcome == Refused && Some(sent.source) == origin) {
             self.origin.refused(now);
         }
-        let answered = !matches!(end.outcome, TimedOut | Unreachable | CalledOff | NotSent);
+        let answered = !matches!(end.outcome, TimedOut | Unreachable | Cancelled | NotSent);
         let mean = self.row(&request.d).mean_work_s;
-        self.nodes.held(now, end.took.secs(), if end.outcome == Fulfilled { request.work_s } else { 0.0 });
+        self.nodes.held(now, end.took.secs(), if end.outcome == Served { request.work_s } else { 0.0 });
         let can = self.nodes.get(sent.node).map_or(0.0, |n| self.can(n));
         if let Some(n) = self.nodes.get_mut(sent.node).filter(|_| answered) {
             n.heard = now;
@@ -153,7 +153,7 @@
             }
         }
         match (end.outcome, from_source) {
-            (Fulfilled, _) => {
+            (Served, _) => {
                 self.learn(now, request, sent, end);
                 self.mark(now, sent.node, true, false, out);
                 if matches!(end.remark, Remark::FilledFromCopy | Remark::FilledFromOrigin) {
@@ -166,7 +166,7 @@
                 }
             }
             // An origin that refuses some is overloaded: without it there would be no service at all.
-            (Failed | Refused | NotHeld, Some(source)) if Some(source) != origin => {
+            (Failed | Refused | Missed, Some(source)) if Some(source) != origin => {
                 self.mark(now, source, false, false, out)
             }
             // All that was on a connection ends with it, which is one failure.
@@ -178,7 +178,7 @@
     }
 
     /// Counts for or against a node; sets it aside when recent attempts failed too often, whatever the cause.
-    pub(super) fn mark(&mut self, now: Nanos, id: NodeId, worked: bool, died: bool, out: &mut impl Outbox) {
+    pub(super) fn mark(&mut self, now: Nanos, id: NodeId, worked: bool, died: bool, out: &mut impl Actions) {
         let Some(n) = self.nodes.get_mut(id) else { return };
         let [ok, failed] = n.saw_end(now, worked);
         // A busy node meets two resets or spoilt answers in a row by chance.
@@ -195,7 +195,7 @@
 
     /// Sets a node aside for a fixed time and a random part; then it is tried with one attempt first. One
     /// that may have died comes back cold, told or not, and is treated so.
-    pub(super) fn set_aside(&mut self, now: Nanos, id: NodeId, died: bool, out: &mut impl Outbox) {
+    pub(super) fn set_aside(&mut self, now: Nanos, id: NodeId, died: bool, out: &mut impl Actions) {
         let aside = ASIDE.after(Nanos::from_secs(ASIDE_SPREAD_S * self.random.share()));
         let Some(n) = self.nodes.get_mut(id).filter(|n| n.aside_until <= now) else { return };
         n.aside_until = now.after(aside);
@@ -209,7 +209,7 @@
 
     /// An attempt is overdue. If its node, or its source, answered nothing since it was sent, that is silent: it
     /// is set aside, and what is out there is called off to go elsewhere.
-    pub fn timer(&mut self, now: Nanos, token: u64, out: &mut impl Outbox) {
+    pub fn timer(&mut self, now: Nanos, token: u64, out: &mut impl Actions) {
         if token >= PROBE_DUE {
             return if token == PROBE_DUE { self.probe(out) } else { out.follow() };
         }
@@ -249,7 +249,7 @@
             .filter(|request| aside && request.stage == Stage::Attempting)
             .filter(retriable);
         for id in stuck.map(|request| request.d.request_id).collect::<Vec<_>>() {
-            self.call_off(id, Some(silent), out);
+            self.cancel(id, Some(silent), out);
         }
     }
 }
--- a/crates/routing/src/policy/fill.rs
+++ b/crates/routing/src/policy/fill.rs
@@ -12,7 +12,7 @@
     /// Link and source hear how slowly a fill ran.
     pub(super) fn fill_ended(&mut self, now: Nanos, request: &RequestState, sent: &Sent, end: &AttemptEnd) {
         self.link.ended();
-        if end.outcome == Outcome::CalledOff {
+        if end.outcome == Outcome::Cancelled {
             return;
         }
         // What ran out of time mostly waited, as for a slow origin or parent: it says nothing of the link.
@@ -31,7 +31,7 @@
         if let Some(n) = self.nodes.get_mut(sent.source) {
             n.saw_first_byte(now, own + (took - fair).max(0.0), SMOOTH, FADES);
         }
-        if end.outcome == Outcome::Fulfilled {
+        if end.outcome == Outcome::Served {
             self.fill_usual_s += SMOOTH * (end.took.secs() - self.fill_usual_s);
         }
     }
--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -1,5 +1,5 @@
 //! Every decision of a dispatcher. An adapter makes one [`Dispatcher`] from the settings, calls `start`, then
-//! a method for each thing that happens. The module answers through the `Outbox` it is handed, before the
+//! a method for each thing that happens. The module answers through the `Actions` it is handed, before the
 //! call returns. Words and trait: `src/interface.rs`.
 
 use crate::fleet::bandwidth_share::BandwidthShare;
@@ -87,7 +87,8 @@
     /// A dispatcher that knows its settings and nothing else.
     pub fn new(s: Settings) -> Self {
         let row = |told: &ContentType| TypeRow::new(told, DEFAULT_WORK_S);
-        let storm = |told| OverloadControl::new(told, &s.content_types, s.max_come_back, s.fall_for, s.seed);
+        let storm =
+            |told| OverloadControl::new(told, &s.content_types, s.max_retry_after, s.fall_for, s.seed);
         Dispatcher {
             types: s.content_types.iter().map(row).collect(),
             nodes: Nodes::new(s.zone, s.parent_kind, s.origin_kind, s.sizes_told),
@@ -117,7 +118,7 @@
     }
 
     /// The dispatcher comes up.
-    pub fn start(&mut self, now: Nanos, out: &mut impl Outbox) {
+    pub fn start(&mut self, now: Nanos, out: &mut impl Actions) {
         self.nodes.begin(now);
         if self.s.list_is_asked {
             out.follow();
@@ -133,7 +134,7 @@
     }
 
     /// Asks a node at random what it is doing.
-    fn probe(&mut self, out: &mut impl Outbox) {
+    fn probe(&mut self, out: &mut impl Actions) {
         let asked = self.nodes.drawn([self.random.share(), self.random.share()]);
         asked.into_iter().for_each(|id| out.probe(id));
         out.arm(PROBE_EVERY, PROBE_DUE);
@@ -156,13 +157,13 @@
     }
 
     /// The whole list: what is not in it is gone.
-    pub fn nodes_listed(&mut self, now: Nanos, entries: &[NodeEntry], out: &mut impl Outbox) {
+    pub fn nodes_listed(&mut self, now: Nanos, entries: &[NodeEntry], out: &mut impl Actions) {
         self.nodes.unlist_all();
         self.nodes_changed(now, entries, out);
     }
 
     /// Changed entries. A node that drains or is gone leaves every choice at once (rule 3).
-    pub fn nodes_changed(&mut self, _now: Nanos, entries: &[NodeEntry], out: &mut impl Outbox) {
+    pub fn nodes_changed(&mut self, _now: Nanos, entries: &[NodeEntry], out: &mut impl Actions) {
         if self.s.probes && !self.s.sizes_told {
             self.nodes.unmet(entries).into_iter().for_each(|id| out.probe(id));
         }
@@ -191,17 +192,17 @@
     }
 
     /// A call to discovery failed: the old list stands, and the subscription is asked for again.
-    pub fn list_failed(&mut self, _now: Nanos, out: &mut impl Outbox) {
+    pub fn list_failed(&mut self, _now: Nanos, out: &mut impl Actions) {
         out.arm(ASK_AGAIN, u64::MAX);
     }
 
     /// An object was purged `age` ago.
-    pub fn object_purged(&mut self, now: Nanos, hash: u64, age: Nanos, _out: &mut impl Outbox) {
+    pub fn object_purged(&mut self, now: Nanos, hash: u64, age: Nanos, _out: &mut impl Actions) {
         self.purges.add(Purged::Object(hash), now.since(age));
     }
 
     /// A group of objects was purged `age` ago.
-    pub fn group_purged(&mut self, now: Nanos, group: u64, age: Nanos, _out: &mut impl Outbox) {
+    pub fn group_purged(&mut self, now: Nanos, group: u64, age: Nanos, _out: &mut impl Actions) {
         self.purges.add(Purged::Group(group), now.since(age));
     }
 
--- a/crates/routing/src/policy/ordinary.rs
+++ b/crates/routing/src/policy/ordinary.rs
@@ -4,7 +4,7 @@
 
 impl Dispatcher {
     /// A request has come: counted in the shadow table, judged by MC3, and sent on its way.
-    pub fn request_arrived(&mut self, now: Nanos, d: &RoutingRequest, out: &mut impl Outbox) {
+    pub fn request_arrived(&mut self, now: Nanos, d: &RoutingRequest, out: &mut impl Actions) {
         let (mut keep, mut seen) = (Keep::default(), None);
         if !self.row(d).told.uncacheable {
             let shadow = self.count(now, d, out);
@@ -24,7 +24,7 @@
     }
 
     /// A request that was answered from an own copy: counted in the shadow table as any other.
-    pub fn served_here(&mut self, now: Nanos, d: &RoutingRequest, out: &mut impl Outbox) {
+    pub fn served_here(&mut self, now: Nanos, d: &RoutingRequest, out: &mut impl Actions) {
         self.count(now, d, out);
     }
 
@@ -35,7 +35,7 @@
     }
 
     /// Sends a request on its way, unless the storm module holds it off: then it is answered at once.
-    pub(super) fn admit(&mut self, now: Nanos, d: &RoutingRequest, work_s: f64, out: &mut impl Outbox) {
+    pub(super) fn admit(&mut self, now: Nanos, d: &RoutingRequest, work_s: f64, out: &mut impl Actions) {
         let Some(mut storm) = self.storm.take() else { return self.attempt(now, d.request_id, out) };
         let changed = if storm.is_due(now) { storm.look(now, self.supply(now)) } else { None };
         if let Some((of, from, to)) = changed {
@@ -51,7 +51,7 @@
         match admission {
             Admission::Take(_) => self.attempt(now, d.request_id, out),
             Admission::Later(_) => self.give_up(now, d.request_id, out),
-            Admission::Never(_) => self.end(now, d.request_id, Stage::Abandoned, out),
+            Admission::Never(_) => self.end(now, d.request_id, Stage::Failed, out),
         }
     }
 
@@ -59,7 +59,7 @@
     pub(super) fn supply(&self, now: Nanos) -> Supply {
         let bears =
             |n: &Node, at: Nanos| if n.on_trial || n.aside_until > at { 0.0 } else { self.bearable(n, at) };
-        let later = now.after(self.s.max_come_back);
+        let later = now.after(self.s.max_retry_after);
         let z = f64::from(self.s.zone_dispatchers.max(1));
         let caches = [now, later].map(|at| self.nodes.caches().map(|n| bears(n, at)).sum::<f64>() / z);
         let parents = self.s.direct && self.nodes.parents().any(|n| !n.on_trial);
@@ -73,7 +73,7 @@
     /// Chooses node and source and sends; gives up at once where nothing can take it. A cache is looked at
     /// before a fill is asked of it, so that every fill is decided as one: link, cold parents and origin get
     /// only what they bear. One that drained meanwhile is not filled (rule 3): the look goes elsewhere.
-    pub(super) fn attempt(&mut self, now: Nanos, id: RequestId, out: &mut impl Outbox) {
+    pub(super) fn attempt(&mut self, now: Nanos, id: RequestId, out: &mut impl Actions) {
         let Some(request) = self.requests.get_mut(id.0) else { return };
         let (rides, request) = (request.rides.take(), request.clone());
         self.again = Nanos::ZERO;
@@ -125,7 +125,7 @@
     }
 
     /// Counts a request in the shadow table and returns the entry.
-    pub(super) fn count(&mut self, now: Nanos, d: &RoutingRequest, out: &mut impl Outbox) -> Shadow {
+    pub(super) fn count(&mut self, now: Nanos, d: &RoutingRequest, out: &mut impl Actions) -> Shadow {
         let mut entry = Shadow { copy_hash: d.copy_hash, last: now, hops: 2.0, ..Shadow::default() };
         if let Some(known) = self.shadows.get(d.object) {
             let gap = now.since(known.last).secs().max(1e-3);
--- a/crates/routing/src/policy/rules.rs
+++ b/crates/routing/src/policy/rules.rs
@@ -58,30 +58,30 @@
     }
 
     /// Gives up at once: throttled where trying again is harmless, else abandoned.
-    pub(super) fn give_up(&mut self, now: Nanos, id: RequestId, out: &mut impl Outbox) {
+    pub(super) fn give_up(&mut self, now: Nanos, id: RequestId, out: &mut impl Actions) {
         let Some(request) = self.requests.get(id.0) else { return };
         let harmless = match request.pinned.repeat() {
             Repeat::Retriable | Repeat::Deduped { scope: DedupScope::All, .. } => true,
             _ => request.may_have_run.is_none(),
         };
-        let to = if harmless && request.d.expires > now { Stage::Throttled } else { Stage::Abandoned };
+        let to = if harmless && request.d.expires > now { Stage::Rejected } else { Stage::Failed };
         self.end(now, id, to, out);
     }
 
-    pub(super) fn end(&mut self, now: Nanos, id: RequestId, to: Stage, out: &mut impl Outbox) {
+    pub(super) fn end(&mut self, now: Nanos, id: RequestId, to: Stage, out: &mut impl Actions) {
         self.move_to(now, id, to, out);
         self.settle(now, id, out);
     }
 
     /// The one place where a request changes its stage, and the only one that sends final answers.
-    pub(super) fn move_to(&mut self, now: Nanos, id: RequestId, to: Stage, out: &mut impl Outbox) -> bool {
+    pub(super) fn move_to(&mut self, now: Nanos, id: RequestId, to: Stage, out: &mut impl Actions) -> bool {
         use Stage::*;
         let Some(request) = self.requests.get_mut(id.0) else { return false };
         let allowed = match request.stage {
-            Taken => matches!(to, Attempting | Throttled | Abandoned | Left),
+            Taken => matches!(to, Attempting | Rejected | Failed | Left),
             Attempting => to != Taken,
-            Streaming => matches!(to, Fulfilled | Left),
-            Fulfilled | Throttled | Abandoned | Left => false,
+            Streaming => matches!(to, Served | Left),
+            Served | Rejected | Failed | Left => false,
         };
         if !allowed {
             return false;
@@ -91,8 +91,8 @@
         let advice = Nanos::from_secs(wait_s * (1.0 + self.random.share()));
         let advice = self.answered(now, id, to).unwrap_or(advice);
         match to {
-            Throttled => out.throttle(id, self.s.come_back.then_some(advice.min(self.s.max_come_back))),
-            Abandoned => out.abandon(id),
+            Rejected => out.reject(id, self.s.retry_after.then_some(advice.min(self.s.max_retry_after))),
+            Failed => out.fail(id),
             _ => {}
         }
         true
@@ -107,7 +107,7 @@
     }
 
     /// Lets go of an answered request once all its attempts are in.
-    pub(super) fn settle(&mut self, now: Nanos, id: RequestId, out: &mut impl Outbox) {
+    pub(super) fn settle(&mut self, now: Nanos, id: RequestId, out: &mut impl Actions) {
         let Some(request) = self.requests.get(id.0) else { return };
         let open = matches!(request.stage, Stage::Taken | Stage::Attempting | Stage::Streaming);
         if !open && request.attempts.iter().all(|p| !p.out) {
@@ -118,18 +118,18 @@
     }
 
     /// Nobody waits for this request any more.
-    pub fn client_gone(&mut self, now: Nanos, id: RequestId, out: &mut impl Outbox) {
+    pub fn client_gone(&mut self, now: Nanos, id: RequestId, out: &mut impl Actions) {
         if self.move_to(now, id, Stage::Left, out) {
-            self.call_off(id, None, out);
+            self.cancel(id, None, out);
             self.settle(now, id, out);
         }
     }
 
-    pub(super) fn call_off(&mut self, id: RequestId, at: Option<NodeId>, out: &mut impl Outbox) {
+    pub(super) fn cancel(&mut self, id: RequestId, at: Option<NodeId>, out: &mut impl Actions) {
         let Some(request) = self.requests.get(id.0).filter(|_| self.s.cancel) else { return };
         for (number, sent) in request.attempts.iter().enumerate() {
             if sent.out && at.is_none_or(|node| node == sent.node || node == sent.source) {
-                out.call_off(id, number as u32);
+                out.cancel(id, number as u32);
             }
         }
     }
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -63,11 +63,11 @@
     /// Bound to a stream that has begun.
     Streaming,
     /// Answered: served.
-    Fulfilled,
+    Served,
     /// Answered: may come again.
-    Throttled,
+    Rejected,
     /// Answered: nothing is promised.
-    Abandoned,
+    Failed,
     /// Nobody waits any more.
     Left,
 }
--- a/crates/routing/tests/module/changed.rs
+++ b/crates/routing/tests/module/changed.rs
@@ -68,7 +68,7 @@
             ms(1_100 + 500 * at),
             RequestId(0),
             0,
-            &end(Outcome::Fulfilled, Remark::Hit),
+            &end(Outcome::Served, Remark::Hit),
             &mut trace,
         );
     }
--- a/crates/routing/tests/module/cold.rs
+++ b/crates/routing/tests/module/cold.rs
@@ -97,7 +97,7 @@
             now,
             RequestId(at as u32),
             0,
-            &end(Outcome::Fulfilled, Remark::FilledFromCopy),
+            &end(Outcome::Served, Remark::FilledFromCopy),
             &mut trace,
         );
     }
@@ -146,7 +146,7 @@
         let now = 11_000 + u64::from(request_id) * 10;
         ask(&mut module, ms(now), request_id, 0, request_id + 1, &mut trace);
         miss(&mut module, ms(now + 1), request_id, &mut trace);
-        let filled = end(Outcome::Fulfilled, Remark::FilledFromCopy);
+        let filled = end(Outcome::Served, Remark::FilledFromCopy);
         module.attempt_ended(ms(now + 5), RequestId(request_id), 1, &filled, &mut trace);
     }
     let fills = trace.0.lines().filter(|line| line.contains("from 3") || line.contains("from 4"));
@@ -181,13 +181,13 @@
 #[derive(Default)]
 struct Told(Vec<Nanos>);
 
-impl Outbox for Told {
+impl Actions for Told {
     fn attempt(&mut self, _dl: RequestId, _attempt: &Attempt) {}
-    fn call_off(&mut self, _dl: RequestId, _number: u32) {}
-    fn throttle(&mut self, _dl: RequestId, come_back: Option<Nanos>) {
-        self.0.extend(come_back);
+    fn cancel(&mut self, _dl: RequestId, _number: u32) {}
+    fn reject(&mut self, _dl: RequestId, retry_after: Option<Nanos>) {
+        self.0.extend(retry_after);
     }
-    fn abandon(&mut self, _dl: RequestId) {}
+    fn fail(&mut self, _dl: RequestId) {}
     fn arm(&mut self, _span: Nanos, _token: u64) {}
     fn probe(&mut self, _node: NodeId) {}
     fn follow(&mut self) {}
--- a/crates/routing/tests/module/cold_fleet.rs
+++ b/crates/routing/tests/module/cold_fleet.rs
@@ -76,15 +76,15 @@
     counts: BTreeMap<u32, u32>,
 }
 
-impl Outbox for Calls {
+impl Actions for Calls {
     fn attempt(&mut self, request_id: RequestId, attempt: &Attempt) {
         let number = self.counts.entry(request_id.0).or_default();
         self.attempts.push((request_id, *number, attempt.node.0, attempt.source.0));
         *number += 1;
     }
-    fn call_off(&mut self, _dl: RequestId, _number: u32) {}
-    fn throttle(&mut self, _dl: RequestId, _come_back: Option<Nanos>) {}
-    fn abandon(&mut self, _dl: RequestId) {}
+    fn cancel(&mut self, _dl: RequestId, _number: u32) {}
+    fn reject(&mut self, _dl: RequestId, _come_back: Option<Nanos>) {}
+    fn fail(&mut self, _dl: RequestId) {}
     fn arm(&mut self, _span: Nanos, _token: u64) {}
     fn probe(&mut self, _node: NodeId) {}
     fn follow(&mut self) {}
@@ -159,11 +159,11 @@
                 // A third of the looks find something; fills bring it.
                 let held = node != source || chance.share() < 0.33;
                 let how = match held {
-                    true if node == source => end(Outcome::Fulfilled, Remark::Hit),
-                    true => end(Outcome::Fulfilled, Remark::FilledFromCopy),
+                    true if node == source => end(Outcome::Served, Remark::Hit),
+                    true => end(Outcome::Served, Remark::FilledFromCopy),
                     // Some are told that another's fill is under way, and look again.
-                    false if chance.share() < 0.5 => end(Outcome::NotHeld, Remark::Joined),
-                    false => end(Outcome::NotHeld, Remark::None),
+                    false if chance.share() < 0.5 => end(Outcome::Missed, Remark::Joined),
+                    false => end(Outcome::Missed, Remark::None),
                 };
                 fleet[at].attempt_ended(now, request_id, number, &how, &mut outs[at]);
                 self.sent(now, at, &mut outs[at], &mut came, &mut ends, &mut count);
--- a/crates/routing/tests/module/common.rs
+++ b/crates/routing/tests/module/common.rs
@@ -12,7 +12,7 @@
     ($trace:ident, $($parts:tt)*) => {{ let _ = writeln!($trace.0, $($parts)*); }};
 }
 
-impl Outbox for Trace {
+impl Actions for Trace {
     fn attempt(&mut self, request_id: RequestId, p: &Attempt) {
         let age = p.max_age.map_or(String::new(), |age| format!(" age<={:.3}", age.secs()));
         let join = if p.join { " join" } else { "" };
@@ -26,13 +26,18 @@
             request_id.0
         );
     }
-    fn call_off(&mut self, request_id: RequestId, number: u32) {
+    fn cancel(&mut self, request_id: RequestId, number: u32) {
         say!(self, "dl {}: call off {number}", request_id.0);
     }
-    fn throttle(&mut self, request_id: RequestId, come_back: Option<Nanos>) {
-        say!(self, "dl {}: throttled{}", request_id.0, if come_back.is_some() { ", come back" } else { "" });
+    fn reject(&mut self, request_id: RequestId, retry_after: Option<Nanos>) {
+        say!(
+            self,
+            "dl {}: throttled{}",
+            request_id.0,
+            if retry_after.is_some() { ", come back" } else { "" }
+        );
     }
-    fn abandon(&mut self, request_id: RequestId) {
+    fn fail(&mut self, request_id: RequestId) {
         say!(self, "dl {}: abandoned", request_id.0);
     }
     fn arm(&mut self, span: Nanos, token: u64) {
@@ -92,8 +97,8 @@
         origin_stop_multiple: 2.5,
         list_is_asked: false,
         cancel: true,
-        come_back: true,
-        max_come_back: ms(2_000),
+        retry_after: true,
+        max_retry_after: ms(2_000),
         max_attempts: 6,
         sizes_told: true,
         probes: false,
@@ -150,11 +155,11 @@
 
 /// The end of an attempt with this outcome and remark.
 pub fn end(outcome: Outcome, remark: Remark) -> AttemptEnd {
-    let closed = outcome == Outcome::Fulfilled;
+    let closed = outcome == Outcome::Served;
     AttemptEnd { outcome, took: ms(120), closed, waited: Some(ms(20)), remark, report: Report::default() }
 }
 
 /// The look of request `request_id` finds nothing.
 pub fn miss(module: &mut Dispatcher, now: Nanos, request_id: u32, trace: &mut Trace) {
-    module.attempt_ended(now, RequestId(request_id), 0, &end(Outcome::NotHeld, Remark::None), trace);
+    module.attempt_ended(now, RequestId(request_id), 0, &end(Outcome::Missed, Remark::None), trace);
 }
--- a/crates/routing/tests/module/failures.rs
+++ b/crates/routing/tests/module/failures.rs
@@ -30,9 +30,9 @@
     let (mut module, mut trace) = start(settings());
     (0..2).for_each(|request_id| ask(&mut module, ms(1_000), request_id, 0, 9, &mut trace));
     module.timer(ms(1_600), 1, &mut trace);
-    let called_off = end(Outcome::CalledOff, Remark::None);
+    let cancelled = end(Outcome::Cancelled, Remark::None);
     (0..2).for_each(|request_id| {
-        module.attempt_ended(ms(1_600), RequestId(request_id), 0, &called_off, &mut trace)
+        module.attempt_ended(ms(1_600), RequestId(request_id), 0, &cancelled, &mut trace)
     });
     ask(&mut module, ms(1_700), 7, 0, 9, &mut trace);
     expect![[r#"
@@ -64,14 +64,14 @@
             ms(1_020),
             RequestId(request_id),
             1,
-            &end(Outcome::Fulfilled, Remark::Hit),
+            &end(Outcome::Served, Remark::Hit),
             &mut trace,
         );
     }
     for (request_id, at) in [(10, 7_000), (11, 7_001)] {
         ask(&mut module, ms(at), request_id, 0, 9, &mut trace);
     }
-    module.attempt_ended(ms(7_100), RequestId(10), 0, &end(Outcome::Fulfilled, Remark::Hit), &mut trace);
+    module.attempt_ended(ms(7_100), RequestId(10), 0, &end(Outcome::Served, Remark::Hit), &mut trace);
     ask(&mut module, ms(7_200), 12, 0, 9, &mut trace);
     expect![[r#"
         dl 0: pull 1 from 1 rank 0 join
@@ -129,7 +129,7 @@
                 at.after(ms(10)),
                 RequestId(request_id),
                 0,
-                &end(Outcome::Fulfilled, Remark::Hit),
+                &end(Outcome::Served, Remark::Hit),
                 &mut trace,
             );
         }
@@ -157,7 +157,7 @@
         ask(&mut module, at, request_id, 0, request_id, &mut trace);
         miss(&mut module, at, request_id, &mut trace);
         if request_id >= 9 {
-            let held = end(Outcome::Fulfilled, Remark::FilledFromCopy);
+            let held = end(Outcome::Served, Remark::FilledFromCopy);
             module.attempt_ended(ms(1_450), RequestId(request_id), 1, &held, &mut trace);
         }
     }
@@ -184,7 +184,7 @@
         miss(&mut module, now, request_id, &mut trace);
         let slow = trace.0.lines().last().is_some_and(|line| line.contains("from 3"));
         let (took, waited) = if slow { (ms(900), Some(ms(10))) } else { (ms(130), Some(ms(30))) };
-        let ended = AttemptEnd { took, waited, ..end(Outcome::Fulfilled, Remark::FilledFromCopy) };
+        let ended = AttemptEnd { took, waited, ..end(Outcome::Served, Remark::FilledFromCopy) };
         module.attempt_ended(now.after(ms(90)), RequestId(request_id), 1, &ended, &mut trace);
     }
     counts(&trace, &["from 3", "from 4", "from 5"])
@@ -229,7 +229,7 @@
         ask(&mut module, now, request_id, 0, request_id, &mut trace);
         let ok = request_id % 5 < 2;
         let (outcome, remark) =
-            if ok { (Outcome::Fulfilled, Remark::Hit) } else { (Outcome::Broken, Remark::None) };
+            if ok { (Outcome::Served, Remark::Hit) } else { (Outcome::Broken, Remark::None) };
         module.attempt_ended(now, RequestId(request_id), 0, &end(outcome, remark), &mut trace);
     }
     expect![[r#"
@@ -245,7 +245,7 @@
     // than its hash says; without them an overloaded cache did not show.
     let (mut module, mut trace) = start(Settings { zone_dispatchers: 20, ..settings() });
     (0..4).for_each(|request_id| ask(&mut module, ms(1_000), request_id, 0, 9, &mut trace));
-    let slow = AttemptEnd { took: ms(1_500), ..end(Outcome::Fulfilled, Remark::Hit) };
+    let slow = AttemptEnd { took: ms(1_500), ..end(Outcome::Served, Remark::Hit) };
     (0..4)
         .for_each(|request_id| module.attempt_ended(ms(2_500), RequestId(request_id), 0, &slow, &mut trace));
     for request_id in 10..16 {
@@ -254,7 +254,7 @@
             ms(2_600),
             RequestId(request_id),
             0,
-            &end(Outcome::Fulfilled, Remark::Hit),
+            &end(Outcome::Served, Remark::Hit),
             &mut trace,
         );
     }
@@ -277,7 +277,7 @@
         let (mut module, mut trace) = start(s);
         let busy = AttemptEnd {
             report: Report { in_hand: Some(12.0 * f64::from(load)), busy: None },
-            ..end(Outcome::Fulfilled, Remark::Hit)
+            ..end(Outcome::Served, Remark::Hit)
         };
         for request_id in 0..60 {
             ask(&mut module, ms(1_000), request_id, 0, request_id, &mut trace);
@@ -332,7 +332,7 @@
         ask(&mut module, ms(1_000), request_id, 0, 10 * request_id, &mut trace);
         for number in 0..6 {
             let refused = end(Outcome::Refused, Remark::SourceRefused);
-            let ended = if number % 2 == 0 { end(Outcome::NotHeld, Remark::None) } else { refused };
+            let ended = if number % 2 == 0 { end(Outcome::Missed, Remark::None) } else { refused };
             module.attempt_ended(ms(1_010), RequestId(request_id), number, &ended, &mut trace);
         }
         trace.0.matches("pull").count()
@@ -350,7 +350,7 @@
         let (mut module, mut trace) = start(Settings { seed, ..settings() });
         ask(&mut module, ms(1_000), 0, 0, 9, &mut trace);
         module.timer(ms(1_600), 1, &mut trace);
-        module.attempt_ended(ms(1_600), RequestId(0), 0, &end(Outcome::CalledOff, Remark::None), &mut trace);
+        module.attempt_ended(ms(1_600), RequestId(0), 0, &end(Outcome::Cancelled, Remark::None), &mut trace);
         trace.0.clear();
         let tries = (0..100_u32).map(|step| (step, ms(3_000 + 50 * u64::from(step))));
         let mut asked = tries.map(|(step, now)| {
--- a/crates/routing/tests/module/largest.rs
+++ b/crates/routing/tests/module/largest.rs
@@ -55,23 +55,23 @@
     attempts: Vec<(RequestId, u32, u32, u32)>,
     counts: BTreeMap<u32, u32>,
     throttled: Vec<RequestId>,
-    called_off: Vec<(RequestId, u32)>,
+    cancelled: Vec<(RequestId, u32)>,
     timers: Vec<(Nanos, u64)>,
 }
 
-impl Outbox for Out {
+impl Actions for Out {
     fn attempt(&mut self, request_id: RequestId, attempt: &Attempt) {
         let number = self.counts.entry(request_id.0).or_default();
         self.attempts.push((request_id, *number, attempt.node.0, attempt.source.0));
         *number += 1;
     }
-    fn call_off(&mut self, request_id: RequestId, number: u32) {
-        self.called_off.push((request_id, number));
+    fn cancel(&mut self, request_id: RequestId, number: u32) {
+        self.cancelled.push((request_id, number));
     }
-    fn throttle(&mut self, request_id: RequestId, _come_back: Option<Nanos>) {
+    fn reject(&mut self, request_id: RequestId, _come_back: Option<Nanos>) {
         self.throttled.push(request_id);
     }
-    fn abandon(&mut self, _dl: RequestId) {}
+    fn fail(&mut self, _dl: RequestId) {}
     fn arm(&mut self, span: Nanos, token: u64) {
         self.timers.push((span, token));
     }
@@ -182,11 +182,11 @@
             for one in done {
                 let held = one.left_s > -1.0;
                 let how = match (held, one.node == one.source) {
-                    (true, true) => (Outcome::Fulfilled, Remark::Hit),
-                    (true, false) => (Outcome::Fulfilled, Remark::FilledFromCopy),
-                    (false, _) => (Outcome::NotHeld, Remark::None),
+                    (true, true) => (Outcome::Served, Remark::Hit),
+                    (true, false) => (Outcome::Served, Remark::FilledFromCopy),
+                    (false, _) => (Outcome::Missed, Remark::None),
                 };
-                let closed = how.0 == Outcome::Fulfilled;
+                let closed = how.0 == Outcome::Served;
                 let end = AttemptEnd {
                     outcome: how.0,
                     took: now.since(one.begun),
@@ -231,7 +231,7 @@
                     count += 1;
                     timers.insert((now.after(span), count), (at, token));
                 }
-                for (request_id, number) in std::mem::take(&mut out.called_off) {
+                for (request_id, number) in std::mem::take(&mut out.cancelled) {
                     let gone = sending.extract_if(.., |one| {
                         one.dispatcher == at && one.request_id == request_id && one.number == number
                     });
@@ -239,7 +239,7 @@
                     for one in gone {
                         let end = AttemptEnd {
                             took: now.since(one.begun),
-                            ..end(Outcome::CalledOff, Remark::None)
+                            ..end(Outcome::Cancelled, Remark::None)
                         };
                         fleet[at].attempt_ended(now, one.request_id, one.number, &end, out);
                     }
--- a/crates/routing/tests/module/ordinary.rs
+++ b/crates/routing/tests/module/ordinary.rs
@@ -23,7 +23,7 @@
             now.after(ms(120)),
             RequestId(request_id),
             1,
-            &end(Outcome::Fulfilled, remark),
+            &end(Outcome::Served, remark),
             &mut trace,
         );
     }
@@ -63,7 +63,7 @@
             ms(at + 50),
             RequestId(request_id),
             0,
-            &end(Outcome::Fulfilled, Remark::Hit),
+            &end(Outcome::Served, Remark::Hit),
             &mut trace,
         );
     }
@@ -86,7 +86,7 @@
         let request_id = request_id as u32;
         ask(&mut module, now, request_id, 0, object, &mut trace);
         miss(&mut module, now, request_id, &mut trace);
-        let filled = end(Outcome::Fulfilled, Remark::FilledFromCopy);
+        let filled = end(Outcome::Served, Remark::FilledFromCopy);
         module.attempt_ended(now.after(ms(20)), RequestId(request_id), 1, &filled, &mut trace);
     }
     let fills: Vec<_> = trace.0.lines().filter(|l| l.contains("from 3") || l.contains("from 4")).collect();
@@ -127,7 +127,7 @@
             let now = ms(1_000 + 1_000 * u64::from(request_id));
             ask(&mut module, now, request_id, 0, request_id, &mut trace);
             miss(&mut module, now, request_id, &mut trace);
-            let filled = end(Outcome::Fulfilled, Remark::FilledFromCopy);
+            let filled = end(Outcome::Served, Remark::FilledFromCopy);
             module.attempt_ended(now.after(ms(20)), RequestId(request_id), 1, &filled, &mut trace);
         }
         trace.0.matches("rank 1").count()
@@ -148,7 +148,7 @@
         armed.map(|armed| armed.1)
     };
     ask(&mut module, ms(1_000), 0, 0, 9, &mut trace);
-    module.attempt_ended(ms(1_002), RequestId(0), 0, &end(Outcome::NotHeld, Remark::Joined), &mut trace);
+    module.attempt_ended(ms(1_002), RequestId(0), 0, &end(Outcome::Missed, Remark::Joined), &mut trace);
     if let Some(token) = waits(&mut trace) {
         module.timer(ms(1_100), token, &mut trace);
         module.attempt_ended(ms(1_200), RequestId(0), 1, &end(again, remark), &mut trace);
@@ -164,7 +164,7 @@
         looks again after 0.07 s
         dl 0: pull 1 from 1 rank 0
     "#]]
-    .assert_eq(&fill_under_way(false, Outcome::Fulfilled, Remark::Hit));
+    .assert_eq(&fill_under_way(false, Outcome::Served, Remark::Hit));
     // It is under way still: once more, leaving room for a fill of its own.
     expect![[r#"
         dl 0: pull 1 from 1 rank 0
@@ -172,13 +172,13 @@
         dl 0: pull 1 from 1 rank 0
         looks again after 0.14 s
     "#]]
-    .assert_eq(&fill_under_way(false, Outcome::NotHeld, Remark::Joined));
+    .assert_eq(&fill_under_way(false, Outcome::Missed, Remark::Joined));
     // Where fills are shared, the fill rides on the one under way.
     expect![[r#"
         dl 0: pull 1 from 1 rank 0 join
         dl 0: pull 1 from 4 rank 0 join
     "#]]
-    .assert_eq(&fill_under_way(true, Outcome::Fulfilled, Remark::FilledFromCopy));
+    .assert_eq(&fill_under_way(true, Outcome::Served, Remark::FilledFromCopy));
 }
 
 /// A dispatcher that also knows caches 6 and 7 of another location; a look at object 9 misses, then the fill ends so.
@@ -215,29 +215,29 @@
         dl 0: pull 1 from 1 rank 0 join
         dl 0: pull 1 from 6 rank 0 join held-only
     "#]]
-    .assert_eq(&filled_elsewhere(true, Outcome::Fulfilled, Remark::FilledFromCopy));
+    .assert_eq(&filled_elsewhere(true, Outcome::Served, Remark::FilledFromCopy));
     // What it lacks goes to the parents, and that cache is not asked again.
     expect![[r#"
         dl 0: pull 1 from 1 rank 0 join
         dl 0: pull 1 from 6 rank 0 join held-only
         dl 0: pull 1 from 4 rank 0 held-only
     "#]]
-    .assert_eq(&filled_elsewhere(true, Outcome::NotHeld, Remark::SourceHasNone));
+    .assert_eq(&filled_elsewhere(true, Outcome::Missed, Remark::SourceHasNone));
     expect![[r#"
         dl 0: pull 1 from 1 rank 0 join
         dl 0: pull 1 from 4 rank 0 join held-only
     "#]]
-    .assert_eq(&filled_elsewhere(false, Outcome::Fulfilled, Remark::FilledFromCopy));
+    .assert_eq(&filled_elsewhere(false, Outcome::Served, Remark::FilledFromCopy));
     // Caches there that have just started are not asked (rule 4).
     expect![[r#"
         dl 0: pull 1 from 1 rank 0 join
         dl 0: pull 1 from 4 rank 0 join held-only
     "#]]
-    .assert_eq(&elsewhere(true, true, ms(900), Outcome::Fulfilled, Remark::FilledFromCopy));
+    .assert_eq(&elsewhere(true, true, ms(900), Outcome::Served, Remark::FilledFromCopy));
     // While the origin is not spared, parents fill as they would.
     expect![[r#"
         dl 0: pull 1 from 1 rank 0 join
         dl 0: pull 1 from 4 rank 0 join
     "#]]
-    .assert_eq(&elsewhere(true, false, Nanos::ZERO, Outcome::Fulfilled, Remark::FilledFromCopy));
+    .assert_eq(&elsewhere(true, false, Nanos::ZERO, Outcome::Served, Remark::FilledFromCopy));
 }
--- a/crates/routing/tests/module/rules.rs
+++ b/crates/routing/tests/module/rules.rs
@@ -10,7 +10,7 @@
     ask(&mut module, ms(1_000), 0, 0, 1, &mut trace);
     module.client_gone(ms(1_100), RequestId(0), &mut trace);
     module.client_gone(ms(1_100), RequestId(0), &mut trace);
-    module.attempt_ended(ms(1_200), RequestId(0), 0, &end(Outcome::CalledOff, Remark::None), &mut trace);
+    module.attempt_ended(ms(1_200), RequestId(0), 0, &end(Outcome::Cancelled, Remark::None), &mut trace);
     module.attempt_ended(ms(1_300), RequestId(0), 0, &end(Outcome::Failed, Remark::None), &mut trace);
     // Out of time: the answer comes with the outcome, and nothing follows.
     ask(&mut module, ms(2_000), 1, 0, 1, &mut trace);
--- a/crates/routing/tests/module/sizes.rs
+++ b/crates/routing/tests/module/sizes.rs
@@ -101,7 +101,7 @@
                 sent.push(now);
             }
             if last.contains("pull") {
-                let end = AttemptEnd { took: ms(100), ..end(Outcome::Fulfilled, Remark::Hit) };
+                let end = AttemptEnd { took: ms(100), ..end(Outcome::Served, Remark::Hit) };
                 module.attempt_ended(now, RequestId(request_id), 0, &end, trace);
             }
         }
--- a/crates/routing/tests/module/spared.rs
+++ b/crates/routing/tests/module/spared.rs
@@ -101,7 +101,7 @@
         ask(&mut module, now, request_id, 0, request_id, &mut trace);
         miss(&mut module, now, request_id, &mut trace);
         let waited = Some(ms(290));
-        let end = AttemptEnd { waited, took: ms(390), ..end(Outcome::Fulfilled, Remark::FilledFromOrigin) };
+        let end = AttemptEnd { waited, took: ms(390), ..end(Outcome::Served, Remark::FilledFromOrigin) };
         module.attempt_ended(now.after(ms(10)), RequestId(request_id), 1, &end, &mut trace);
     }
     trace.0.clear();
--- a/crates/routing/tests/module/storm_day.rs
+++ b/crates/routing/tests/module/storm_day.rs
@@ -41,15 +41,15 @@
     notes: Vec<String>,
 }
 
-impl Outbox for Sent {
+impl Actions for Sent {
     fn attempt(&mut self, request_id: RequestId, _attempt: &Attempt) {
         self.attempts.push(request_id);
     }
-    fn call_off(&mut self, _dl: RequestId, _number: u32) {}
-    fn throttle(&mut self, request_id: RequestId, come_back: Option<Nanos>) {
-        self.later.push((request_id, come_back.unwrap_or_default()));
+    fn cancel(&mut self, _dl: RequestId, _number: u32) {}
+    fn reject(&mut self, request_id: RequestId, retry_after: Option<Nanos>) {
+        self.later.push((request_id, retry_after.unwrap_or_default()));
     }
-    fn abandon(&mut self, request_id: RequestId) {
+    fn fail(&mut self, request_id: RequestId) {
         self.never.push(request_id);
     }
     fn arm(&mut self, _span: Nanos, _token: u64) {}
@@ -173,7 +173,7 @@
             let took = ms([300, 50, 20][kind as usize]);
             let (outcome, after) = match self.up {
                 _ if self.drawn % 100 < self.refused => (Outcome::Refused, ms(10)),
-                true => (Outcome::Fulfilled, took),
+                true => (Outcome::Served, took),
                 false => (Outcome::Unreachable, ms(10)),
             };
             *self.work.entry(self.now.0 / 3_000_000_000).or_default() += took.secs();
@@ -205,8 +205,8 @@
             let due: Vec<_> = self.ending.range(..=self.now.0).map(|(at, _)| *at).collect();
             let ends: Vec<_> = due.iter().flat_map(|at| self.ending.remove(at)).flatten().collect();
             for (request_id, number, outcome, took) in ends {
-                let remark = if outcome == Outcome::Fulfilled { Remark::Hit } else { Remark::None };
-                let closed = outcome == Outcome::Fulfilled;
+                let remark = if outcome == Outcome::Served { Remark::Hit } else { Remark::None };
+                let closed = outcome == Outcome::Served;
                 let end =
                     AttemptEnd { outcome, took, closed, waited: None, remark, report: Report::default() };
                 if let Some((tried, _)) = self.held.get(&request_id).filter(|_| closed) {
--- a/crates/routing/tests/module/storms.rs
+++ b/crates/routing/tests/module/storms.rs
@@ -216,7 +216,7 @@
     // Past the time in which what was in hand before the start may still be asked for again.
     day.pass(61, [0, 0, 0], |_| true);
     for (tried, outcome) in
-        [(lost, Outcome::Broken), (never_ran, Outcome::Unreachable), (answered, Outcome::Fulfilled)]
+        [(lost, Outcome::Broken), (never_ran, Outcome::Unreachable), (answered, Outcome::Served)]
     {
         day.come(tried);
         day.ending.values_mut().flatten().for_each(|end| end.2 = outcome);
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -223,8 +223,8 @@
             origin_stop_multiple: self.number_or("family_info.origin_stops_at", 0.0)?,
             list_is_asked: self.raw("discovery") == Some("subscribe"),
             cancel: self.flag("limits.cancel")?,
-            come_back: self.flag("limits.retry_after")?,
-            max_come_back: self.span_or_zero("limits.max_retry_after_s")?,
+            retry_after: self.flag("limits.retry_after")?,
+            max_retry_after: self.span_or_zero("limits.max_retry_after_s")?,
             max_attempts: self.number("limits.max_attempts")?,
             sizes_told: self.raw("weights") != Some("none"),
             probes: self.flag("limits.probing")?
--- a/crates/simulator-adapter/src/door.rs
+++ b/crates/simulator-adapter/src/door.rs
@@ -1,6 +1,6 @@
 //! The door of one instance: wire ids to small indices and back, and the lines that it sends.
 
-use copperroute_routing::interface::{Attempt, Nanos, NodeId, ObjectId, Outbox, RequestId};
+use copperroute_routing::interface::{Actions, Attempt, Nanos, NodeId, ObjectId, RequestId};
 use copperroute_routing::structures::ids::Ids;
 use std::fmt::Write as _;
 
@@ -63,7 +63,7 @@
     ($door:ident, $($parts:tt)*) => {{ let _ = writeln!($door.lines, $($parts)*); }};
 }
 
-impl Outbox for Door {
+impl Actions for Door {
     fn attempt(&mut self, request_id: RequestId, attempt: &Attempt) {
         let manner = u32::from(attempt.join)
             + 2 * u32::from(attempt.held_only)
@@ -82,15 +82,21 @@
         );
     }
 
-    fn call_off(&mut self, request_id: RequestId, number: u32) {
+    fn cancel(&mut self, request_id: RequestId, number: u32) {
         say!(self, "revoke\t{}\t{}\t{number}", self.instance, self.request_ids.key(request_id.0));
     }
 
-    fn throttle(&mut self, request_id: RequestId, come_back: Option<Nanos>) {
-        say!(self, "not_now\t{}\t{}\t{}", self.instance, self.request_ids.key(request_id.0), Secs(come_back));
+    fn reject(&mut self, request_id: RequestId, retry_after: Option<Nanos>) {
+        say!(
+            self,
+            "not_now\t{}\t{}\t{}",
+            self.instance,
+            self.request_ids.key(request_id.0),
+            Secs(retry_after)
+        );
     }
 
-    fn abandon(&mut self, request_id: RequestId) {
+    fn fail(&mut self, request_id: RequestId) {
         say!(self, "abort\t{}\t{}", self.instance, self.request_ids.key(request_id.0));
     }
 
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -95,15 +95,15 @@
 
 fn outcome(code: &str) -> Result<Outcome, String> {
     Ok(match code {
-        "OK" => Outcome::Fulfilled,
+        "OK" => Outcome::Served,
         "INTERNAL" => Outcome::Failed,
         "RESOURCE_EXHAUSTED" => Outcome::Refused,
         "DEADLINE_EXCEEDED" => Outcome::TimedOut,
         "UNAVAILABLE" => Outcome::Unreachable,
         "ABORTED" => Outcome::Broken,
-        "CANCELLED" => Outcome::CalledOff,
+        "CANCELLED" => Outcome::Cancelled,
         "TOO_LATE" => Outcome::NotSent,
-        "NOT_FOUND" => Outcome::NotHeld,
+        "NOT_FOUND" => Outcome::Missed,
         other => return Err(format!("state_code: unknown outcome '{other}'")),
     })
 }
@@ -251,7 +251,7 @@
             fields.expect(5)?;
             let _rtt = fields.secs("rtt_s")?;
             let host = fields.text("host")?;
-            let passed = outcome(fields.text("state_code")?)? == Outcome::Fulfilled;
+            let passed = outcome(fields.text("state_code")?)? == Outcome::Served;
             let report = report(fields.text("health_info")?);
             if let Some(node) = door.held_node(host).filter(|_| passed) {
                 module.probed(now, node, report);
--- a/crates/testbed/src/clients.rs
+++ b/crates/testbed/src/clients.rs
@@ -41,7 +41,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Word {
     Served,
-    Throttled(Option<u64>),
+    Rejected(Option<u64>),
     Failed,
     /// Nobody was reached.
     None,
@@ -98,14 +98,14 @@
                 }
                 let again = match word {
                     Word::Served => break self.results.served_in_the_end(wanted.since.elapsed()),
-                    Word::Throttled(_) => true,
+                    Word::Rejected(_) => true,
                     Word::Failed => wanted.of.objects > 0 || told.repeat_posts,
                     Word::None => true,
                     // It may have run.
                     Word::Lost => wanted.of.objects > 0 || told.repeat_posts,
                 };
                 let advice = match word {
-                    Word::Throttled(Some(ms)) if heeds => Some(Duration::from_millis(ms)),
+                    Word::Rejected(Some(ms)) if heeds => Some(Duration::from_millis(ms)),
                     _ => None,
                 };
                 let own = Duration::from_millis(chance.random_range(told.wait_ms[0]..=told.wait_ms[1]));
@@ -216,7 +216,7 @@
                 return Word::Lost;
             };
             wanted.ids.push(id.to_string());
-            if matches!(word, Word::Throttled(_)) {
+            if matches!(word, Word::Rejected(_)) {
                 wanted.throttled.push(id.to_string());
             }
             let work = wanted.of.work_ms / 1e3 * size(&wanted.object);
@@ -224,7 +224,7 @@
             let took = asked.elapsed();
             let in_time = word == Word::Served && took.as_secs_f64() <= target;
             let benefit = if in_time { wanted.of.benefit } else { 0.0 };
-            let throttled = matches!(word, Word::Throttled(_));
+            let throttled = matches!(word, Word::Rejected(_));
             self.results.ended(self.world.secs(), wanted.at, word == Word::Served, throttled, benefit, took);
             return word;
         }
@@ -260,7 +260,7 @@
         }
         let word = match word.as_str() {
             "OK" => Word::Served,
-            "BUSY" => Word::Throttled(list.strip_prefix("holdoff=").and_then(|ms| ms.parse().ok())),
+            "BUSY" => Word::Rejected(list.strip_prefix("holdoff=").and_then(|ms| ms.parse().ok())),
             _ => Word::Failed,
         };
         if word == Word::Served {
