--- a/crates/dispatcher/src/event_loop/mod.rs
+++ b/crates/dispatcher/src/event_loop/mod.rs
@@ -5,10 +5,10 @@
 use crate::deadlines::Deadlines;
 use crate::effects::{Behind, Due, Effect, Event, Peer};
 use crate::freshness::{Freshness, PutOff};
-use crate::keeper::{self, Keeper};
 use crate::logs::{self, Sparse};
 use crate::purge_cover::purges_are_told_after;
 use crate::reducer::Reducer;
+use crate::snapshot_writer::{self, SnapshotWriter};
 use calloop::channel::{Sender, channel};
 use calloop::generic::Generic;
 use calloop::signals::{Signal, Signals};
@@ -126,7 +126,7 @@
     /// The disk's thread, where there is one.
     disk: Option<Worker>,
     /// The thread that keeps the last good list, where there is one.
-    keeper: Option<Keeper>,
+    snapshot_writer: Option<SnapshotWriter>,
 }
 
 /// Serves with the configuration in these files, as it was read from them, until told to end.
@@ -162,7 +162,7 @@
         limits.sockets
     );
     let clock = Clock::start();
-    let keeper = open_list(&mut config, &clock)?;
+    let snapshot_writer = open_list(&mut config, &clock)?;
     // What is known may have come from the last good list: the disk is judged by that.
     let disk = open_disk(&config)?;
     let watched = config.agreeing.is_some();
@@ -190,7 +190,7 @@
         complaints: Sparse::default(),
         stopped: false,
         disk: None,
-        keeper,
+        snapshot_writer,
     };
     let mut inbox = Inbox::default();
     let (mut due, mut put_off) = (Vec::new(), PutOff::default());
@@ -274,8 +274,8 @@
     if let Some(disk) = carrier.disk.take() {
         disk.stop();
     }
-    if let Some(keeper) = carrier.keeper.take() {
-        keeper.stop();
+    if let Some(snapshot_writer) = carrier.snapshot_writer.take() {
+        snapshot_writer.stop();
     }
     log.finish();
     Ok(())
@@ -358,8 +358,8 @@
                 self.disk.iter().for_each(|disk| disk.purge_group(group, at_ms, seq));
             }
             Effect::KeepList(bytes) => {
-                if let Some(keeper) = &self.keeper {
-                    keeper.keep(bytes);
+                if let Some(snapshot_writer) = &self.snapshot_writer {
+                    snapshot_writer.keep(bytes);
                 }
             }
             Effect::Exit => self.stopped = true,
--- a/crates/dispatcher/src/reducer/changes.rs
+++ b/crates/dispatcher/src/reducer/changes.rs
@@ -11,7 +11,7 @@
     pub(super) fn change_log_connected(&mut self, now: Nanos, connection: u32) {
         self.agreed.iter_mut().for_each(|agreed| agreed.asked(now));
         self.heartbeats.asked(now);
-        self.log.connected(connection, now, &mut self.desk.effects);
+        self.log.connected(connection, now, &mut self.request_table.effects);
     }
 
     pub(super) fn change_log_received(&mut self, now: Nanos, connection: u32, bytes: &[u8]) {
@@ -25,7 +25,7 @@
 
     /// Takes all that the change log has to tell by now; also what was held back and may wait no longer.
     pub(super) fn change_log_told(&mut self, now: Nanos) {
-        while let Some(told) = self.log.next_told(now, &mut self.desk.effects) {
+        while let Some(told) = self.log.next_told(now, &mut self.request_table.effects) {
             match told {
                 Told::Change { change, lost } => {
                     if lost {
@@ -89,18 +89,18 @@
         let age = self.purge_age(now, *time);
         match (object, bucket) {
             (Some(object), _) => {
-                self.module.object_purged(now, stable_hash(object.as_bytes()), age, &mut self.desk)
+                self.module.object_purged(now, stable_hash(object.as_bytes()), age, &mut self.request_table)
             }
-            (None, Some(group)) => self.module.group_purged(now, *group, age, &mut self.desk),
+            (None, Some(group)) => self.module.group_purged(now, *group, age, &mut self.request_table),
             (None, None) => return log::warn!("change log: a purge of nothing"),
         }
         if let Some(copies) = &mut self.copies {
             copies.purge(object.as_deref(), *bucket, *time, now);
             if copies.has_disk() && seq > self.marked {
-                self.desk.effects.extend(marks(object.as_deref(), *bucket, *time, seq));
+                self.request_table.effects.extend(marks(object.as_deref(), *bucket, *time, seq));
             }
         }
-        self.desk.purged(object.as_deref(), *bucket);
+        self.request_table.purged(object.as_deref(), *bucket);
         self.hand_on_ends(now);
     }
 
@@ -116,7 +116,7 @@
         self.copies.iter_mut().for_each(Copies::purges_lost);
         // What the disk reads just now may be older than a purge that was not told.
         self.go_on_without_disk(now);
-        self.desk.purges_lost();
+        self.request_table.purges_lost();
         self.hand_on_ends(now);
     }
 
@@ -130,14 +130,15 @@
             .map(|entry| (entry.node, entry.readiness))
             .collect();
         if fleet.full {
-            withdrawn.extend(self.desk.unlisted(&named).into_iter().map(|node| (node, Readiness::Gone)));
-            self.module.nodes_listed(now, &entries, &mut self.desk);
+            withdrawn
+                .extend(self.request_table.unlisted(&named).into_iter().map(|node| (node, Readiness::Gone)));
+            self.module.nodes_listed(now, &entries, &mut self.request_table);
         } else {
-            self.module.nodes_changed(now, &entries, &mut self.desk);
+            self.module.nodes_changed(now, &entries, &mut self.request_table);
         }
         // The module knows first, so that what is dropped here goes elsewhere.
         for (node, readiness) in withdrawn {
-            self.desk.withdraw(node, readiness);
+            self.request_table.withdraw(node, readiness);
         }
         self.hand_on_ends(now);
         self.life.move_to(Phase::Serving);
@@ -152,11 +153,11 @@
             start,
             readiness,
             connections: Vec::new(),
-            listed: self.desk.now,
+            listed: self.request_table.now,
             opening: NodeBackOff::default(),
         };
         NodeEntry {
-            node: self.desk.list(&listed.id, pool),
+            node: self.request_table.list(&listed.id, pool),
             hash: stable_hash(listed.id.as_bytes()),
             zone: ZoneId(place(&self.config.names.zones, &listed.zone)),
             kind: place(&self.config.names.kinds, &listed.kind),
--- a/crates/dispatcher/src/reducer/clients.rs
+++ b/crates/dispatcher/src/reducer/clients.rs
@@ -4,9 +4,9 @@
 
 impl Reducer {
     pub(super) fn client_received(&mut self, now: Nanos, number: u32, bytes: &[u8]) {
-        let Some(client) = self.desk.clients.get_mut(number) else {
-            if self.desk.clients.lingering.came(number, bytes.len()) {
-                self.desk.effects.push(Effect::Close(Peer::Client(number)));
+        let Some(client) = self.request_table.clients.get_mut(number) else {
+            if self.request_table.clients.lingering.came(number, bytes.len()) {
+                self.request_table.effects.push(Effect::Close(Peer::Client(number)));
             }
             return;
         };
@@ -14,7 +14,9 @@
             return;
         }
         client.decodes(bytes);
-        while let Some(client) = self.desk.clients.get_mut(number).filter(|client| !client.is_unreadable()) {
+        while let Some(client) =
+            self.request_table.clients.get_mut(number).filter(|client| !client.is_unreadable())
+        {
             let message = match client.decoder.next_message() {
                 Ok(Some(message)) => message,
                 Ok(None) => {
@@ -22,12 +24,12 @@
                     if client.has_run_out() {
                         self.client_dismissed(now, number);
                     }
-                    return self.desk.shut_if_answered(number);
+                    return self.request_table.shut_if_answered(number);
                 }
                 Err(fault) => {
                     self.complaints.warn(now, format_args!("client {number}: {fault}"));
                     log::debug!(target: "copperroute::trace", "client {number} unreadable");
-                    return self.desk.cannot_be_read(number);
+                    return self.request_table.cannot_be_read(number);
                 }
             };
             client.spoke(now);
@@ -40,42 +42,42 @@
             match message {
                 Message::Abort(_) => {
                     open.into_iter().for_each(|request| self.forsake(now, request));
-                    self.desk.shut_if_answered(number);
+                    self.request_table.shut_if_answered(number);
                 }
                 // It asks for nothing new any more, but what was read is answered.
                 Message::Request(..) | Message::Unusable(..) if client_is_closing && open.is_none() => {
-                    if self.desk.has_run_out_for(number) {
-                        self.desk.clients.run_out(number);
+                    if self.request_table.has_run_out_for(number) {
+                        self.request_table.clients.run_out(number);
                     }
-                    self.desk.write(number, tag, Answer::Rejected(None));
+                    self.request_table.write(number, tag, Answer::Rejected(None));
                 }
                 _ if client_is_closing => {}
                 // Two answers under one tag could not be told apart.
                 _ if open.is_some() => {
                     self.complaints.warn(now, format_args!("client {number}: tag {tag} is open already"));
-                    self.desk.close_when_answered(number);
+                    self.request_table.close_when_answered(number);
                 }
-                Message::Request(..) if self.desk.has_run_out_for(number) => {
+                Message::Request(..) if self.request_table.has_run_out_for(number) => {
                     self.complaints.warn(now, format_args!("client {number}: takes too little, closed"));
-                    self.desk.clients.run_out(number);
-                    self.desk.write(number, tag, Answer::Rejected(None));
+                    self.request_table.clients.run_out(number);
+                    self.request_table.write(number, tag, Answer::Rejected(None));
                 }
                 // At the end of the program, where memory is short, and past the protocol's limit: trying again is harmless.
                 Message::Request(..)
                     if self.life.phase() >= Phase::Closing
-                        || self.desk.is_short_for(number)
+                        || self.request_table.is_short_for(number)
                         || taken >= MOST_OPEN =>
                 {
-                    self.desk.write(number, tag, Answer::Rejected(None));
+                    self.request_table.write(number, tag, Answer::Rejected(None));
                 }
                 Message::Request(_, request) => self.request_arrived(now, number, tag, *request),
                 Message::Unusable(_, why) => {
                     self.complaints.warn(now, format_args!("client {number}: {why}"));
-                    self.desk.write(number, tag, Answer::Failed);
+                    self.request_table.write(number, tag, Answer::Failed);
                 }
                 Message::Health(_) => {
-                    let up = self.life.phase() == Phase::Serving && self.desk.has_nodes();
-                    self.desk.write(number, tag, if up { Answer::Up } else { Answer::Down });
+                    let up = self.life.phase() == Phase::Serving && self.request_table.has_nodes();
+                    self.request_table.write(number, tag, if up { Answer::Up } else { Answer::Down });
                 }
             }
             // What the module has ended at once must be heard before the next request is decided.
@@ -95,7 +97,7 @@
             }
             _ if !request.body.is_empty() && !offer.writes => Err(format!("'{name}' takes no bytes")),
             // Answers of two requests with one id could not be told apart.
-            _ if self.desk.has(request.id) => Err(format!("req: {} is open already", request.id)),
+            _ if self.request_table.has(request.id) => Err(format!("req: {} is open already", request.id)),
             _ => Ok(content_type),
         }
     }
@@ -106,11 +108,11 @@
             (Verdict::Take, Ok(content_type)) => content_type,
             (Verdict::Take, Err(why)) => {
                 self.complaints.warn(now, format_args!("client {client}: {why}"));
-                return self.desk.write(client, tag, Answer::Failed);
+                return self.request_table.write(client, tag, Answer::Failed);
             }
             (Verdict::Again, _) => {
                 self.complaints.warn(now, format_args!("client {client}: req: {} came before", request.id));
-                return self.desk.write(client, tag, Answer::Failed);
+                return self.request_table.write(client, tag, Answer::Failed);
             }
         };
         // Under a rule that came later a client waits no longer, whatever it asked for.
@@ -122,8 +124,8 @@
         let (part, group) = (request.part, request.group);
         let (repeat, size_kb) = (request.repeat, request.size_kb);
         let body_hash = if request.body.is_empty() { 0 } else { stable_hash(&request.body) };
-        let from = self.desk.clients.from(client);
-        let (request_id, object, expires) = self.desk.open(client, tag, request, of_copies, once);
+        let from = self.request_table.clients.from(client);
+        let (request_id, object, expires) = self.request_table.open(client, tag, request, of_copies, once);
         let routing_request = RoutingRequest {
             request_id,
             content_type: TypeId(content_type),
@@ -141,26 +143,26 @@
             return self.serve(now, &routing_request, own);
         }
         if let Some(key) = self.asks_disk(&routing_request) {
-            let serial = self.desk.serial_of(request_id);
-            self.reading.insert(request_id.0, Reading { serial, routing_request, key });
-            self.desk.effects.push(Effect::ReadCopy(key, ticket(request_id, serial)));
+            let generation = self.request_table.generation_of(request_id);
+            self.reading.insert(request_id.0, Reading { generation, routing_request, key });
+            self.request_table.effects.push(Effect::ReadCopy(key, ticket(request_id, generation)));
             return self
-                .desk
+                .request_table
                 .effects
-                .push(Effect::Arm(now.after(DISK_PATIENCE), Due::Disk(request_id, serial)));
+                .push(Effect::Arm(now.after(DISK_PATIENCE), Due::Disk(request_id, generation)));
         }
-        self.desk.tell(&routing_request);
-        self.module.request_arrived(now, &routing_request, &mut self.desk);
+        self.request_table.tell(&routing_request);
+        self.module.request_arrived(now, &routing_request, &mut self.request_table);
     }
 
     /// Answers a request from an own copy.
     pub(super) fn serve(&mut self, now: Nanos, routing_request: &RoutingRequest, own: Own) {
-        self.module.served_here(now, routing_request, &mut self.desk);
+        self.module.served_here(now, routing_request, &mut self.request_table);
         match own {
-            Own::Bytes(body) => self.desk.answer(routing_request.request_id, Answer::Served(&body)),
-            Own::Current => self.desk.answer(routing_request.request_id, Answer::Current),
+            Own::Bytes(body) => self.request_table.answer(routing_request.request_id, Answer::Served(&body)),
+            Own::Current => self.request_table.answer(routing_request.request_id, Answer::Current),
         }
-        self.desk.release(routing_request.request_id);
+        self.request_table.release(routing_request.request_id);
     }
 
     /// The key of a copy that the disk is to be asked for.
@@ -171,7 +173,7 @@
         if content_type.fresh_for.is_some() && !self.outside.is_answered() {
             return None;
         }
-        let (object, part, _) = self.desk.asked_for(routing_request.request_id)?;
+        let (object, part, _) = self.request_table.asked_for(routing_request.request_id)?;
         copies::key(routing_request.content_type.0, object, part).filter(|key| copies.asks_disk(key))
     }
 
@@ -179,12 +181,12 @@
     pub(super) fn copy_read(&mut self, now: Nanos, at: u64, copy: Option<(Facts, &[u8])>) {
         let request_id = RequestId((at >> 32) as u32);
         let asked =
-            self.reading.get(&request_id.0).filter(|reading| ticket(request_id, reading.serial) == at);
+            self.reading.get(&request_id.0).filter(|reading| ticket(request_id, reading.generation) == at);
         let (Some(Reading { routing_request, key, .. }), Some(copies)) = (asked, &mut self.copies) else {
             return;
         };
         let target = self.settings.content_types[routing_request.content_type.0 as usize].target_time;
-        let held = self.desk.asked_for(request_id).and_then(|asked| asked.2);
+        let held = self.request_table.asked_for(request_id).and_then(|asked| asked.2);
         if let Some((facts, _)) = copy {
             self.outside.kept_copy_heard(now, facts.made_ms);
         }
@@ -204,8 +206,8 @@
     /// A request goes on without the disk.
     pub(super) fn go_on(&mut self, now: Nanos, request_id: RequestId) {
         let Some(Reading { routing_request, .. }) = self.reading.remove(&request_id.0) else { return };
-        self.desk.tell(&routing_request);
-        self.module.request_arrived(now, &routing_request, &mut self.desk);
+        self.request_table.tell(&routing_request);
+        self.module.request_arrived(now, &routing_request, &mut self.request_table);
     }
 
     /// All requests for which the disk was asked go on without it.
@@ -223,59 +225,65 @@
         request_id: RequestId,
     ) -> Option<Own> {
         let copies = self.copies.as_mut()?;
-        let (object, part, held) = self.desk.asked_for(request_id)?;
+        let (object, part, held) = self.request_table.asked_for(request_id)?;
         let key = copies::key(routing_request.content_type.0, object, part)?;
         let target = self.settings.content_types[routing_request.content_type.0 as usize].target_time;
         copies.serve(now, self.outside.latest_ms(now), &key, held, target)
     }
 
     pub(super) fn forsake(&mut self, now: Nanos, request_id: RequestId) {
-        if self.desk.forsake(request_id) {
+        if self.request_table.forsake(request_id) {
             if self.reading.remove(&request_id.0).is_some() {
-                return self.desk.release(request_id);
+                return self.request_table.release(request_id);
             }
-            self.module.client_gone(now, request_id, &mut self.desk);
+            self.module.client_gone(now, request_id, &mut self.request_table);
             // Where attempts are not called off, what waits to be sent must not be sent for who has left.
-            self.desk.drop_unsent(request_id);
+            self.request_table.drop_unsent(request_id);
             self.hand_on_ends(now);
         }
     }
 
     /// The client's time is up: the module hears that its attempts ended unanswered, and answers.
-    pub(super) fn expire(&mut self, now: Nanos, request: RequestId, serial: u64) {
-        if !self.desk.is_owed(request, serial) {
-            return self.expire_forsaken(now, request, serial);
+    pub(super) fn expire(&mut self, now: Nanos, request: RequestId, generation: u64) {
+        if !self.request_table.is_owed(request, generation) {
+            return self.expire_forsaken(now, request, generation);
         }
         if self.reading.remove(&request.0).is_some() {
-            self.desk.answer(request, Answer::Failed);
-            return self.desk.release(request);
+            self.request_table.answer(request, Answer::Failed);
+            return self.request_table.release(request);
         }
-        self.desk.expire(request);
+        self.request_table.expire(request);
         self.hand_on_ends(now);
-        if self.desk.is_owed(request, serial) {
-            self.desk.answer(request, Answer::Failed);
-            self.module.client_gone(now, request, &mut self.desk);
+        if self.request_table.is_owed(request, generation) {
+            self.request_table.answer(request, Answer::Failed);
+            self.module.client_gone(now, request, &mut self.request_table);
             // Before its deadline another attempt may have been ordered, and attempts are not always cancelled.
-            self.desk.drop_unsent(request);
+            self.request_table.drop_unsent(request);
         }
     }
 
     /// Where attempts are not cancelled, those for a client that has gone end by its deadline at the latest.
-    fn expire_forsaken(&mut self, now: Nanos, request: RequestId, serial: u64) {
-        if self.desk.serial_of(request) == serial {
-            self.desk.expire(request);
+    fn expire_forsaken(&mut self, now: Nanos, request: RequestId, generation: u64) {
+        if self.request_table.generation_of(request) == generation {
+            self.request_table.expire(request);
             self.hand_on_ends(now);
         }
     }
 
     /// A client's connection has ended, or ends at once.
     pub(super) fn client_closed(&mut self, now: Nanos, number: u32) {
-        self.desk.remove_client(number).into_iter().for_each(|request_id| self.forsake(now, request_id));
+        self.request_table
+            .remove_client(number)
+            .into_iter()
+            .for_each(|request_id| self.forsake(now, request_id));
     }
 
     /// A client's connection is to end in order.
     pub(super) fn client_shut(&mut self, now: Nanos, number: u32) {
-        self.desk.shut_client(number).into_iter().for_each(|request_id| self.forsake(now, request_id));
+        self.request_table
+            .shut_client(number)
+            .into_iter()
+            .for_each(|request_id| self.forsake(now, request_id));
     }
 
     /// A client sends no more. Most have left, so nothing more is sent for them; one that still reads is told at once.
@@ -292,17 +300,18 @@
 
     /// All that a client waits for is given up, and it is told so.
     fn tell_failed(&mut self, now: Nanos, number: u32) {
-        let open = self.desk.clients.get_mut(number).map(|client| client.open.clone()).unwrap_or_default();
+        let open =
+            self.request_table.clients.get_mut(number).map(|client| client.open.clone()).unwrap_or_default();
         let mut open: Vec<_> = open.into_iter().collect();
         open.sort_by_key(|(tag, _)| *tag);
         for (tag, request_id) in open {
             self.forsake(now, request_id);
-            self.desk.write(number, tag, Answer::Failed);
+            self.request_table.write(number, tag, Answer::Failed);
         }
     }
 }
 
 /// What the disk is asked under: the request's slot, and enough of its serial to tell it from the next one there.
-fn ticket(request_id: RequestId, serial: u64) -> u64 {
-    u64::from(request_id.0) << 32 | serial & 0xffff_ffff
+fn ticket(request_id: RequestId, generation: u64) -> u64 {
+    u64::from(request_id.0) << 32 | generation & 0xffff_ffff
 }
--- a/crates/dispatcher/src/reducer/deadlines.rs
+++ b/crates/dispatcher/src/reducer/deadlines.rs
@@ -8,9 +8,9 @@
     pub fn waits_for(&self, due: &Due) -> bool {
         match *due {
             // Also for a client that has gone: where attempts are not cancelled, they end by this deadline.
-            Due::Expiry(request, serial) => self.desk.serial_of(request) == serial,
-            Due::SendBy(attempt, serial) => self.desk.is_out(attempt, serial),
-            Due::Disk(request_id, serial) => self.is_reading(request_id, serial),
+            Due::Expiry(request, generation) => self.request_table.generation_of(request) == generation,
+            Due::SendBy(attempt, generation) => self.request_table.is_out(attempt, generation),
+            Due::Disk(request_id, generation) => self.is_reading(request_id, generation),
             Due::Module(_)
             | Due::Connect(_)
             | Due::ChangeLog
@@ -22,7 +22,7 @@
     }
 
     /// Whether the disk still has to answer for this request.
-    pub(super) fn is_reading(&self, request_id: RequestId, serial: u64) -> bool {
-        self.reading.get(&request_id.0).is_some_and(|reading| reading.serial == serial)
+    pub(super) fn is_reading(&self, request_id: RequestId, generation: u64) -> bool {
+        self.reading.get(&request_id.0).is_some_and(|reading| reading.generation == generation)
     }
 }
--- a/crates/dispatcher/src/reducer/mod.rs
+++ b/crates/dispatcher/src/reducer/mod.rs
@@ -7,7 +7,6 @@
 use crate::clock::Epoch;
 use crate::config::{Agreeing, Config};
 use crate::copies::{self, Copies, Offered, Own};
-use crate::desk::Desk;
 use crate::effects::{Due, Effect, Event, Peer};
 use crate::last_list::LastList;
 use crate::lingering::LINGERS_AT_END;
@@ -15,6 +14,7 @@
 use crate::nodes::{Pool, Start};
 use crate::outside_time::OutsideTime;
 use crate::phases::{Life, Phase};
+use crate::request_table::RequestTable;
 use copperroute_cache_store::record::{Facts, Key};
 use copperroute_config_rollout::rules::RuleSet;
 use copperroute_protocol::changes::{Change, Fleet, Listed, Purge};
@@ -61,7 +61,7 @@
 /// A request for which the disk was asked.
 #[derive(Debug)]
 struct Reading {
-    serial: u64,
+    generation: u64,
     routing_request: RoutingRequest,
     key: Key,
 }
@@ -70,7 +70,7 @@
 pub struct Reducer {
     life: Life,
     module: Dispatcher,
-    desk: Desk,
+    request_table: RequestTable,
     log: ChangeLog,
     outside: OutsideTime,
     /// Whether what the change log tells has waited on its way.
@@ -109,8 +109,9 @@
         let (bytes, s) = (config.copies_bytes, &config.settings);
         let copies = || Copies::new(bytes, config.own_link, &s.content_types, s.purge_done);
         let copies = (bytes > 0).then(copies);
-        let mut desk = Desk::new(config.connections, config.limits, config.settings.seed.rotate_left(16));
-        desk.keeps_copies = copies.is_some();
+        let mut request_table =
+            RequestTable::new(config.connections, config.limits, config.settings.seed.rotate_left(16));
+        request_table.keeps_copies = copies.is_some();
         let purges = s.purge_done.after(s.purge_notice);
         let last_list = config.last_list.as_ref().map(|_| LastList::new(config.print(), purges));
         let agreed = config.agreeing.as_ref().map(|agreeing| Agreed::new(agreeing, &config));
@@ -133,7 +134,7 @@
             marked: 0,
             life: Life::default(),
             module: Dispatcher::new(config.settings.clone()),
-            desk,
+            request_table,
             log,
             outside: OutsideTime::new(epoch),
             heartbeats: Heartbeats::default(),
@@ -153,70 +154,77 @@
 
     /// How many nodes there is a place for: those listed, and those that left not long ago.
     pub fn nodes_kept(&self) -> u32 {
-        self.desk.nodes_kept()
+        self.request_table.nodes_kept()
     }
 
     /// How many objects there is a place for.
     pub fn objects_kept(&self) -> u32 {
-        self.desk.objects_kept()
+        self.request_table.objects_kept()
     }
 
     /// The clients that would be closed for want of descriptors, and as many more as may take their places.
     pub fn resting(&self, now: Nanos) -> Vec<u32> {
-        self.desk.clients.resting(2 * IDLE_AT_ONCE, now)
+        self.request_table.clients.resting(2 * IDLE_AT_ONCE, now)
     }
 
     /// What is out at each node: as the decisions believe, and as it is.
     pub fn out(&self) -> Vec<(u32, u32)> {
         let nodes = (0..self.nodes_kept()).map(NodeId);
-        nodes.map(|node| (self.module.out_at(node), self.desk.out_at(node))).collect()
+        nodes.map(|node| (self.module.out_at(node), self.request_table.out_at(node))).collect()
     }
 
     /// Changes the state as the event asks, and returns what is to be done.
     pub fn reduce(&mut self, now: Nanos, event: Event<'_>) -> Vec<Effect> {
-        self.desk.now = now;
+        self.request_table.now = now;
         self.obey(now);
         match event {
             Event::Started => self.start(now),
             Event::Accepted(number, from) => {
                 log::debug!(target: "copperroute::trace", "client {number} from {from}");
-                self.desk.clients.accept(number, from, now);
-                if self.desk.clients.count() > self.usual_clients() {
-                    self.desk.clients.close_idle(IDLE_AT_ONCE, Some(number), now, &mut self.desk.effects);
+                self.request_table.clients.accept(number, from, now);
+                if self.request_table.clients.count() > self.usual_clients() {
+                    self.request_table.clients.close_idle(
+                        IDLE_AT_ONCE,
+                        Some(number),
+                        now,
+                        &mut self.request_table.effects,
+                    );
                 }
                 // Nodes and the change log must stay within reach, whatever clients do.
-                self.desk.clients.cut_lingering(self.most_clients(), &mut self.desk.effects);
-                if self.desk.clients.count() > self.most_clients() {
+                self.request_table
+                    .clients
+                    .cut_lingering(self.most_clients(), &mut self.request_table.effects);
+                if self.request_table.clients.count() > self.most_clients() {
                     self.complaints.warn(now, format_args!("client: one too many, closed"));
                     self.client_shut(now, number);
                 }
             }
-            Event::Connected(Peer::Node(number)) => self.desk.node_connected(number),
+            Event::Connected(Peer::Node(number)) => self.request_table.node_connected(number),
             Event::Connected(Peer::ChangeLog(number)) => self.change_log_connected(now, number),
             Event::Received(Peer::Client(number), bytes) => self.client_received(now, number, bytes),
-            Event::Received(Peer::Node(number), bytes) => self.desk.node_received(number, bytes),
+            Event::Received(Peer::Node(number), bytes) => self.request_table.node_received(number, bytes),
             Event::Received(Peer::ChangeLog(number), bytes) => self.change_log_received(now, number, bytes),
-            Event::Written(Peer::Client(number), total) => self.desk.client_written(number, total),
-            Event::Written(Peer::Node(number), total) => self.desk.node_written(number, total),
-            Event::Stale(Peer::Node(number)) => self.desk.renew(number),
-            Event::Unread(span) => self.desk.unread = span,
+            Event::Written(Peer::Client(number), total) => self.request_table.client_written(number, total),
+            Event::Written(Peer::Node(number), total) => self.request_table.node_written(number, total),
+            Event::Stale(Peer::Node(number)) => self.request_table.renew(number),
+            Event::Unread(span) => self.request_table.unread = span,
             Event::Closed(Peer::Client(number)) => self.client_closed(now, number),
             Event::Ended(Peer::Client(number)) => self.client_ended(now, number),
             Event::Closed(Peer::Node(number)) | Event::Ended(Peer::Node(number)) => {
-                self.desk.node_closed(number)
+                self.request_table.node_closed(number)
             }
-            Event::Unopened(Peer::Node(number)) => self.desk.node_unopened(number),
+            Event::Unopened(Peer::Node(number)) => self.request_table.node_unopened(number),
             Event::Unopened(Peer::ChangeLog(number)) => {
-                self.log.unopened(number, now, &mut self.desk.effects);
+                self.log.unopened(number, now, &mut self.request_table.effects);
             }
             Event::Closed(Peer::ChangeLog(number)) | Event::Ended(Peer::ChangeLog(number)) => {
-                self.log.closed(number, now, &mut self.desk.effects);
+                self.log.closed(number, now, &mut self.request_table.effects);
                 self.change_log_told(now);
             }
             Event::ReadLast => {
-                self.desk.clients.shut_all(now, &mut self.desk.effects);
+                self.request_table.clients.shut_all(now, &mut self.request_table.effects);
                 self.shut = true;
-                self.desk.effects.push(Effect::Arm(now.after(LINGERS_AT_END), Due::Lingered));
+                self.request_table.effects.push(Effect::Arm(now.after(LINGERS_AT_END), Due::Lingered));
             }
             Event::Due(due) => self.due(now, due),
             Event::Terminate => {
@@ -224,7 +232,9 @@
                     let drained = self.longest_expiry().min(LONGEST_DRAIN).after(DRAINED_AFTER);
                     let drained = drained.max(SHORTEST_DRAIN);
                     let armed = [(LAST_REQUESTS, Due::LastRequests), (drained, Due::Drained)];
-                    self.desk.effects.extend(armed.map(|(span, due)| Effect::Arm(now.after(span), due)));
+                    self.request_table
+                        .effects
+                        .extend(armed.map(|(span, due)| Effect::Arm(now.after(span), due)));
                 }
             }
             Event::Reload(config) => self.reload(now, config),
@@ -238,7 +248,7 @@
                 self.go_on_without_disk(now);
             }
             Event::NoDescriptors => {
-                self.desk.clients.make_room(IDLE_AT_ONCE, now, &mut self.desk.effects);
+                self.request_table.clients.make_room(IDLE_AT_ONCE, now, &mut self.request_table.effects);
             }
             Event::Connected(Peer::Client(_))
             | Event::Unopened(Peer::Client(_))
@@ -246,35 +256,35 @@
             | Event::Written(Peer::ChangeLog(_), _) => {}
         }
         self.hand_on_ends(now);
-        let over = self.drained || (self.last_requests && self.desk.is_clear());
+        let over = self.drained || (self.last_requests && self.request_table.is_clear());
         if self.life.phase() == Phase::Draining && over {
             self.life.move_to(Phase::Closing);
-            self.desk.effects.push(Effect::ReadLast);
+            self.request_table.effects.push(Effect::ReadLast);
         }
-        if self.life.phase() == Phase::Closing && self.shut && self.desk.clients.count() == 0 {
+        if self.life.phase() == Phase::Closing && self.shut && self.request_table.clients.count() == 0 {
             self.life.move_to(Phase::Stopped);
-            self.desk.effects.push(Effect::Exit);
+            self.request_table.effects.push(Effect::Exit);
         }
-        std::mem::take(&mut self.desk.effects)
+        std::mem::take(&mut self.request_table.effects)
     }
 
     /// Attempts that have ended reach the module one by one, with what it does of it.
     fn hand_on_ends(&mut self, now: Nanos) {
-        if let Some(made_ms) = self.desk.latest_made_ms.take() {
+        if let Some(made_ms) = self.request_table.latest_made_ms.take() {
             self.outside.copy_heard(now, made_ms);
         }
-        for (node, until) in self.desk.turned_away() {
+        for (node, until) in self.request_table.turned_away() {
             self.module.node_turns_away(node, until);
         }
-        while let Some((attempt, end)) = self.desk.ended.pop_front() {
-            self.module.attempt_ended(now, attempt.request_id, attempt.number, &end, &mut self.desk);
+        while let Some((attempt, end)) = self.request_table.ended.pop_front() {
+            self.module.attempt_ended(now, attempt.request_id, attempt.number, &end, &mut self.request_table);
         }
-        for (routing_request, offered) in std::mem::take(&mut self.desk.offered) {
+        for (routing_request, offered) in std::mem::take(&mut self.request_table.offered) {
             let known = self.module.known(&routing_request);
             if let (Some(copies), Some((rate, hops))) = (&mut self.copies, known) {
                 if let Some(rank) = copies.to_disk(&offered, rate, hops) {
                     let (key, facts, body) = (offered.key, offered.facts, offered.body.clone());
-                    self.desk.effects.push(Effect::KeepCopy(key, facts, rank, body));
+                    self.request_table.effects.push(Effect::KeepCopy(key, facts, rank, body));
                 }
                 copies.offer(offered, rate, hops);
             }
@@ -291,7 +301,7 @@
     }
 
     fn start(&mut self, now: Nanos) {
-        self.module.start(now, &mut self.desk);
+        self.module.start(now, &mut self.request_table);
         self.config.known.results.iter().for_each(|change| self.outside.event_heard(now, change));
         for change in std::mem::take(&mut self.config.known.results) {
             self.apply(now, &change, false);
@@ -302,51 +312,51 @@
         }
         self.obey(now);
         let has_list = self.life.phase() == Phase::Serving;
-        self.log.start(has_list, now, &mut self.desk.effects);
-        self.desk.effects.push(Effect::Arm(now.after(SWEEP), Due::Sweep));
+        self.log.start(has_list, now, &mut self.request_table.effects);
+        self.request_table.effects.push(Effect::Arm(now.after(SWEEP), Due::Sweep));
     }
 
     fn due(&mut self, now: Nanos, due: Due) {
         match due {
-            Due::Module(token) => self.module.timer(now, token, &mut self.desk),
-            Due::Expiry(request_id, serial) => self.expire(now, request_id, serial),
-            Due::Disk(request_id, serial) => {
-                if self.is_reading(request_id, serial) {
+            Due::Module(token) => self.module.timer(now, token, &mut self.request_table),
+            Due::Expiry(request_id, generation) => self.expire(now, request_id, generation),
+            Due::Disk(request_id, generation) => {
+                if self.is_reading(request_id, generation) {
                     self.go_on(now, request_id);
                 }
             }
-            Due::Connect(number) => self.desk.connect_overdue(number),
-            Due::ChangeLog => self.log.connect(now, &mut self.desk.effects),
+            Due::Connect(number) => self.request_table.connect_overdue(number),
+            Due::ChangeLog => self.log.connect(now, &mut self.request_table.effects),
             Due::Sweep => {
-                self.desk.sweep();
+                self.request_table.sweep();
                 // No request in hand is older than the longest expiry.
-                for node in self.desk.forget_nodes(self.longest_expiry().after(SWEEP)) {
+                for node in self.request_table.forget_nodes(self.longest_expiry().after(SWEEP)) {
                     self.module.node_forgotten(node);
                 }
                 // Nobody waits that long for an answer: such a client has vanished.
-                for number in self.desk.clients.stuck(now, self.client_patience()) {
+                for number in self.request_table.clients.stuck(now, self.client_patience()) {
                     self.complaints.warn(now, format_args!("client: takes nothing, closed"));
                     self.client_dismissed(now, number);
                 }
                 // What one of them has asked before is answered.
-                for number in self.desk.clients.overdue(now) {
-                    self.desk.close_when_answered(number);
+                for number in self.request_table.clients.overdue(now) {
+                    self.request_table.close_when_answered(number);
                 }
-                self.desk.clients.sweep(now, &mut self.desk.effects);
-                self.log.watch(now, &mut self.desk.effects);
+                self.request_table.clients.sweep(now, &mut self.request_table.effects);
+                self.log.watch(now, &mut self.request_table.effects);
                 self.change_log_told(now);
                 self.place_starts(now);
                 let unix_ms = self.outside.latest_ms(now);
                 let list = self.last_list.as_mut().and_then(|list| list.due(now, unix_ms));
-                self.desk.effects.extend(list.map(Effect::KeepList));
-                self.desk.effects.push(Effect::Arm(now.after(SWEEP), Due::Sweep));
+                self.request_table.effects.extend(list.map(Effect::KeepList));
+                self.request_table.effects.push(Effect::Arm(now.after(SWEEP), Due::Sweep));
             }
-            Due::SendBy(attempt, serial) => self.desk.too_late(attempt, serial),
+            Due::SendBy(attempt, generation) => self.request_table.too_late(attempt, generation),
             Due::LastRequests => self.last_requests = true,
-            Due::Lingered => self.desk.clients.sweep(now, &mut self.desk.effects),
+            Due::Lingered => self.request_table.clients.sweep(now, &mut self.request_table.effects),
             Due::Drained => {
-                for (request_id, serial) in self.desk.all_owed() {
-                    self.expire(now, request_id, serial);
+                for (request_id, generation) in self.request_table.all_owed() {
+                    self.expire(now, request_id, generation);
                 }
                 self.drained = true;
             }
--- a/crates/dispatcher/src/reducer/moments.rs
+++ b/crates/dispatcher/src/reducer/moments.rs
@@ -33,7 +33,7 @@
     /// When a node started, at the earliest, as its line tells it: no later than that was first heard.
     pub(super) fn start_of(&self, now: Nanos, listed: &Listed, is_live: bool) -> Option<Start> {
         let unix_ms = listed.started_ms.filter(|ms| *ms > 0)?;
-        let before = self.desk.start(&listed.id);
+        let before = self.request_table.start(&listed.id);
         if let Some(same) = before.filter(|before| before.unix_ms == unix_ms) {
             return Some(same);
         }
@@ -55,7 +55,7 @@
             let at = now.since(outside.age(now, start.unix_ms)).max(Nanos(1));
             (!start.is_doubted && at.after(MOVED_BY) < start.at).then_some(at)
         };
-        for (node, at) in self.desk.starts_moved(moved) {
+        for (node, at) in self.request_table.starts_moved(moved) {
             self.module.node_started_earlier(node, at);
         }
     }
--- a/crates/dispatcher/src/reducer/reload.rs
+++ b/crates/dispatcher/src/reducer/reload.rs
@@ -43,10 +43,10 @@
         }
         (old.limits, old.connections, old.changelog) = (new.limits, new.connections, new.changelog);
         old.replicas.clone_from(&new.replicas);
-        self.desk.limit(new.connections, new.limits);
+        self.request_table.limit(new.connections, new.limits);
         old.calls = new.calls;
         self.log.told(new.calls);
-        self.log.follow(&old.followed(), now, &mut self.desk.effects);
+        self.log.follow(&old.followed(), now, &mut self.request_table.effects);
         log::info!("configuration: read again");
     }
 }
--- a/crates/dispatcher/src/desk/actions.rs
+++ b/crates/dispatcher/src/request_table/actions.rs
@@ -2,21 +2,27 @@
 
 use super::*;
 
-impl Actions for Desk {
+impl Actions for RequestTable {
     fn attempt(&mut self, request_id: RequestId, attempt: &Attempt) {
-        let Some(held) = self.held.get_mut(request_id.0) else { return };
-        let place = AttemptId { request_id, number: held.attempts.len() as u32 };
+        let Some(pending) = self.pending.get_mut(request_id.0) else { return };
+        let place = AttemptId { request_id, number: pending.attempts.len() as u32 };
         let source = (attempt.source != attempt.node).then(|| self.nodes.id(attempt.source).to_string());
-        let id = held.request.id;
+        let id = pending.request.id;
         let (node, rank) = (self.nodes.id(attempt.node), attempt.rank);
         let from = source.as_deref().unwrap_or("-");
         log::debug!(target: TRACE, "{id} pull {} to {node} from {from} rank {rank}", place.number);
-        let connection = self.nodes.take(attempt.node, place, id, held.once, self.now, &mut self.effects);
+        let connection = self.nodes.take(attempt.node, place, id, pending.once, self.now, &mut self.effects);
         let (at, number) = (self.now, connection.unwrap_or_default());
         if let Some(by) = attempt.send_by {
-            self.effects.push(Effect::Arm(by, Due::SendBy(place, held.serial)));
+            self.effects.push(Effect::Arm(by, Due::SendBy(place, pending.generation)));
         }
-        held.attempts.push(InFlightAttempt { attempt: *attempt, source, at, out: true, connection: number });
+        pending.attempts.push(InFlightAttempt {
+            attempt: *attempt,
+            source,
+            at,
+            out: true,
+            connection: number,
+        });
         match connection {
             Some(connection) => self.hand_over(connection),
             // All its connections carry what they may, which says nothing of the node.
@@ -51,10 +57,10 @@
     }
 
     fn release(&mut self, request_id: RequestId) {
-        if let Some(held) = self.held.get(request_id.0) {
-            self.asked.remove(&held.request.id);
+        if let Some(pending) = self.pending.get(request_id.0) {
+            self.asked.remove(&pending.request.id);
         }
-        self.held.clear(request_id.0);
+        self.pending.clear(request_id.0);
         self.request_ids.release(request_id.0);
     }
 
--- a/crates/dispatcher/src/desk/attempts.rs
+++ b/crates/dispatcher/src/request_table/attempts.rs
@@ -2,27 +2,27 @@
 
 use super::*;
 
-impl Desk {
+impl RequestTable {
     /// Ends an attempt that is out, for the module to hear.
     pub(super) fn end(&mut self, attempt: AttemptId, outcome: Outcome, told: Option<&nodes::Answer>) {
-        let Some(held) = self.held.get_mut(attempt.request_id.0) else { return };
-        let Some(ended) = held.attempts.get_mut(attempt.number as usize).filter(|ended| ended.out) else {
+        let Some(pending) = self.pending.get_mut(attempt.request_id.0) else { return };
+        let Some(ended) = pending.attempts.get_mut(attempt.number as usize).filter(|ended| ended.out) else {
             return;
         };
         ended.out = false;
         let took = self.now.since(ended.at);
         let closed = outcome == Outcome::Served;
         let why = told.map_or(Remark::None, |told| told.remark);
-        let (id, node) = (held.request.id, self.nodes.id(ended.attempt.node));
+        let (id, node) = (pending.request.id, self.nodes.id(ended.attempt.node));
         let bytes = told.map_or(0, |told| told.body.len());
-        let size = held.request.size_kb.unwrap_or_default();
+        let size = pending.request.size_kb.unwrap_or_default();
         let (number, us) = (attempt.number, took.0 / 1_000);
         log::debug!(target: TRACE, "{id} pull {number} at {node} {outcome:?} {why:?} in {us} us, {bytes} bytes for {size} KB");
-        let client = held.client;
+        let client = pending.client;
         let made_ms = told.and_then(|told| told.copy).map(|(_, made_ms)| made_ms);
         self.latest_made_ms = self.latest_made_ms.max(made_ms);
         if self.keeps_copies && closed {
-            self.offered.extend(told.and_then(|told| held.offer(told)));
+            self.offered.extend(told.and_then(|told| pending.offer(told)));
         }
         if let Some(told) = told.filter(|_| closed) {
             let short = self.is_short_for(client);
@@ -44,11 +44,11 @@
 
     /// Gives up an attempt that is out. One that was not sent when its time was up never ran.
     pub(super) fn give_up(&mut self, attempt: AttemptId, outcome: Outcome) {
-        let Some(held) = self.held.get(attempt.request_id.0) else { return };
-        let Some(out) = held.attempts.get(attempt.number as usize).filter(|out| out.out) else { return };
-        let id = held.request.id;
+        let Some(pending) = self.pending.get(attempt.request_id.0) else { return };
+        let Some(out) = pending.attempts.get(attempt.number as usize).filter(|out| out.out) else { return };
+        let id = pending.request.id;
         let connection = out.connection;
-        let unsent = self.nodes.give_up(connection, attempt, id, held.owed, &mut self.effects);
+        let unsent = self.nodes.give_up(connection, attempt, id, pending.owed, &mut self.effects);
         let outcome = if unsent && outcome == Outcome::TimedOut { Outcome::NotSent } else { outcome };
         self.end(attempt, outcome, None);
         if unsent {
@@ -59,27 +59,28 @@
 
     /// Hands over what waits for a connection: an attempt is put into words as it is written.
     pub(super) fn hand_over(&mut self, connection: u32) {
-        let (held, now) = (&self.held, self.now);
+        let (pending, now) = (&self.pending, self.now);
         let late = |attempt: &AttemptId| {
-            let of = held.get(attempt.request_id.0);
-            let out = of.and_then(|held| held.attempts.get(attempt.number as usize).map(|out| (held, out)));
-            out.is_some_and(|(held, out)| {
-                out.attempt.send_by.is_some_and(|by| by < now) || out.until(held).since(now) < LEAST_LEFT
+            let of = pending.get(attempt.request_id.0);
+            let out = of
+                .and_then(|pending| pending.attempts.get(attempt.number as usize).map(|out| (pending, out)));
+            out.is_some_and(|(pending, out)| {
+                out.attempt.send_by.is_some_and(|by| by < now) || out.until(pending).since(now) < LEAST_LEFT
             })
         };
         let late = self.nodes.take_back_on(connection, late);
         late.into_iter().for_each(|attempt| self.end(attempt, Outcome::NotSent, None));
-        let held = &self.held;
+        let pending = &self.pending;
         let fetch = |attempt: AttemptId| {
-            let held = held.get(attempt.request_id.0)?;
-            let out = held.attempts.get(attempt.number as usize)?;
-            let (request, order) = (&held.request, &out.attempt);
+            let pending = pending.get(attempt.request_id.0)?;
+            let out = pending.attempts.get(attempt.number as usize)?;
+            let (request, order) = (&pending.request, &out.attempt);
             let fetch = Fetch {
                 id: request.id,
                 content_type: &request.content_type,
                 object: request.object,
                 part: request.part,
-                wait: out.until(held).since(now),
+                wait: out.until(pending).since(now),
                 source: out.source.as_deref(),
                 // The age means the same moment as when it was ordered.
                 order: Attempt { max_age: order.max_age.map(|age| age.after(now.since(out.at))), ..*order },
@@ -87,7 +88,7 @@
                 mark: request.mark.as_deref(),
                 body: &request.body,
             };
-            Some((fetch, held.expires, held.once))
+            Some((fetch, pending.expires, pending.once))
         };
         self.nodes.hand_over(connection, now, fetch, &mut self.effects);
     }
@@ -135,9 +136,9 @@
     /// Whether an answer can be one to this pull: a copy comes with its tag and time, and only who holds one
     /// hears that it still is the one. Where not, nothing on that connection can be trusted.
     pub(super) fn is_sound(&self, attempt: AttemptId, answer: &nodes::Answer) -> bool {
-        let Some(held) = self.held.get(attempt.request_id.0) else { return true };
-        let copy = answer.copy.is_some() || !held.of_copies;
-        let current = held.request.held.is_some() && answer.body.is_empty();
+        let Some(pending) = self.pending.get(attempt.request_id.0) else { return true };
+        let copy = answer.copy.is_some() || !pending.of_copies;
+        let current = pending.request.held.is_some() && answer.body.is_empty();
         answer.outcome != Outcome::Served || (copy && (current || !answer.current))
     }
 
--- a/crates/dispatcher/src/desk/list.rs
+++ b/crates/dispatcher/src/request_table/list.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl Desk {
+impl RequestTable {
     /// The index of a listed node, new or known.
     pub fn list(&mut self, id: &str, pool: Pool) -> NodeId {
         let (node, moved) = self.nodes.list(id, pool, self.now, &mut self.effects);
@@ -28,7 +28,7 @@
         self.nodes.any_ready()
     }
 
-    /// How many objects there is a place for: those in the shadow table, and one that is in hand beside them.
+    /// How many objects there is a place for: those in the ghost cache, and one that is in hand beside them.
     pub fn objects_kept(&self) -> u32 {
         self.objects.count()
     }
@@ -56,9 +56,9 @@
 
     /// An object or group was purged: what waits to be sent was ordered with an older copy in mind.
     pub fn purged(&mut self, object: Option<&str>, group: Option<u64>) {
-        self.take_back(|held, _| match object {
-            Some(object) => held.request.object.as_str() == object,
-            None => held.request.group == group,
+        self.take_back(|pending, _| match object {
+            Some(object) => pending.request.object.as_str() == object,
+            None => pending.request.group == group,
         });
     }
 
@@ -68,15 +68,18 @@
     }
 
     /// Ends the attempts that are meant and were not sent, so that the module orders anew.
-    pub(super) fn take_back(&mut self, meant: impl Fn(&Held, &InFlightAttempt) -> bool) {
-        self.take_back_of(|_, held, out| meant(held, out));
+    pub(super) fn take_back(&mut self, meant: impl Fn(&PendingRequest, &InFlightAttempt) -> bool) {
+        self.take_back_of(|_, pending, out| meant(pending, out));
     }
 
     /// The same by what the attempts are.
-    pub(super) fn take_back_of(&mut self, meant: impl Fn(&AttemptId, &Held, &InFlightAttempt) -> bool) {
-        let held = &self.held;
+    pub(super) fn take_back_of(
+        &mut self,
+        meant: impl Fn(&AttemptId, &PendingRequest, &InFlightAttempt) -> bool,
+    ) {
+        let pending = &self.pending;
         let meant = |attempt: &AttemptId| {
-            let of = held.get(attempt.request_id.0);
+            let of = pending.get(attempt.request_id.0);
             let out = of.and_then(|of| of.attempts.get(attempt.number as usize).map(|out| (of, out)));
             out.is_some_and(|(of, out)| meant(attempt, of, out))
         };
--- a/crates/dispatcher/src/desk/mod.rs
+++ b/crates/dispatcher/src/request_table/mod.rs
@@ -49,15 +49,15 @@
 
 impl InFlightAttempt {
     /// Until when its answer is of use.
-    fn until(&self, held: &Held) -> Nanos {
-        self.attempt.try_for.map_or(held.expires, |span| self.at.after(span).min(held.expires))
+    fn until(&self, pending: &PendingRequest) -> Nanos {
+        self.attempt.try_for.map_or(pending.expires, |span| self.at.after(span).min(pending.expires))
     }
 }
 
 /// A request in hand.
 #[derive(Debug)]
-struct Held {
-    serial: u64,
+struct PendingRequest {
+    generation: u64,
     client: u32,
     tag: u64,
     request: Request,
@@ -73,7 +73,7 @@
     attempts: Vec<InFlightAttempt>,
 }
 
-impl Held {
+impl PendingRequest {
     /// The copy that an answer brings, for those who keep them.
     fn offer(&self, answer: &nodes::Answer) -> Option<(RoutingRequest, Offered)> {
         let (routing_request, (etag, made_ms)) = (self.told?, answer.copy.filter(|_| !answer.current)?);
@@ -85,7 +85,7 @@
 }
 
 /// Everything that the module sends through.
-pub struct Desk {
+pub struct RequestTable {
     /// The time of the event at hand.
     pub now: Nanos,
     /// For how long what clients have sent may have lain unread.
@@ -94,8 +94,8 @@
     pub clients: Clients,
     nodes: Nodes,
     request_ids: Ids<u64>,
-    held: Slots<Held>,
-    serial: u64,
+    pending: Slots<PendingRequest>,
+    generation: u64,
     owed: usize,
     objects: Ids<(Hex, u64)>,
     /// The ids of the requests in hand.
@@ -113,19 +113,19 @@
     pub effects: Vec<Effect>,
 }
 
-impl Desk {
-    /// An empty desk.
+impl RequestTable {
+    /// An empty request table.
     pub fn new(connections: Connections, limits: Limits, seed: u64) -> Self {
         let mut clients = Clients::default();
         clients.lingering.limit(limits.sockets as usize);
-        Desk {
+        RequestTable {
             now: Nanos::ZERO,
             unread: Nanos::ZERO,
             clients,
             nodes: Nodes::new(connections, limits.sockets as usize / NODES_PART, seed),
             request_ids: Ids::default(),
-            held: Slots::default(),
-            serial: 0,
+            pending: Slots::default(),
+            generation: 0,
             owed: 0,
             objects: Ids::default(),
             asked: HashSet::new(),
@@ -167,13 +167,13 @@
         of_copies: bool,
         once: bool,
     ) -> (RequestId, ObjectId, Nanos) {
-        self.serial += 1;
-        let request_id = RequestId(self.request_ids.open(self.serial));
+        self.generation += 1;
+        let request_id = RequestId(self.request_ids.open(self.generation));
         let object = ObjectId(self.objects.open((request.object, request.part)));
         // Its client waits since it asked.
         let waits = Nanos(request.timeout_ms.saturating_mul(1_000_000)).since(self.unread);
         let expires = self.now.after(waits);
-        self.effects.push(Effect::Arm(expires, Due::Expiry(request_id, self.serial)));
+        self.effects.push(Effect::Arm(expires, Due::Expiry(request_id, self.generation)));
         self.asked.insert(request.id);
         let (id, of, part) = (request.id, &request.content_type, request.part);
         let (named, ms) = (request.object, request.timeout_ms);
@@ -181,29 +181,42 @@
         if let Some(client) = self.clients.get_mut(client) {
             client.open.insert(tag, request_id);
         }
-        let (serial, owed, attempts) = (self.serial, true, Vec::new());
-        self.held.put(
+        let (generation, owed, attempts) = (self.generation, true, Vec::new());
+        self.pending.put(
             request_id.0,
-            Held { serial, client, tag, request, expires, told: None, of_copies, once, owed, attempts },
+            PendingRequest {
+                generation,
+                client,
+                tag,
+                request,
+                expires,
+                told: None,
+                of_copies,
+                once,
+                owed,
+                attempts,
+            },
         );
         self.owed += 1;
         (request_id, object, expires)
     }
 
     /// The serial of a request in hand.
-    pub fn serial_of(&self, request_id: RequestId) -> u64 {
-        self.held.get(request_id.0).map_or(0, |held| held.serial)
+    pub fn generation_of(&self, request_id: RequestId) -> u64 {
+        self.pending.get(request_id.0).map_or(0, |pending| pending.generation)
     }
 
     /// Object, part and the client's own copy that a request in hand names.
     pub fn asked_for(&self, request_id: RequestId) -> Option<(Hex, u64, Option<Hex>)> {
-        self.held.get(request_id.0).map(|held| (held.request.object, held.request.part, held.request.held))
+        self.pending
+            .get(request_id.0)
+            .map(|pending| (pending.request.object, pending.request.part, pending.request.held))
     }
 
     /// The module is told of a request in these words.
     pub fn tell(&mut self, routing_request: &RoutingRequest) {
-        if let Some(held) = self.held.get_mut(routing_request.request_id.0) {
-            held.told = Some(*routing_request);
+        if let Some(pending) = self.pending.get_mut(routing_request.request_id.0) {
+            pending.told = Some(*routing_request);
         }
     }
 
@@ -279,19 +292,19 @@
 
     /// Notes that the answer of a request is owed no more; tells who asked for it, if it was owed.
     fn settle(&mut self, request_id: RequestId) -> Option<(u32, u64)> {
-        let held = self.held.get_mut(request_id.0).filter(|held| held.owed)?;
-        held.owed = false;
+        let pending = self.pending.get_mut(request_id.0).filter(|pending| pending.owed)?;
+        pending.owed = false;
         self.owed -= 1;
-        if let Some(client) = self.clients.get_mut(held.client) {
-            client.open.remove(&held.tag);
+        if let Some(client) = self.clients.get_mut(pending.client) {
+            client.open.remove(&pending.tag);
         }
-        Some((held.client, held.tag))
+        Some((pending.client, pending.tag))
     }
 
     /// The final answer of a request, once.
     pub fn answer(&mut self, request_id: RequestId, answer: Answer<'_>) {
-        if let Some(held) = self.held.get(request_id.0).filter(|held| held.owed) {
-            log::debug!(target: TRACE, "{} answered {}", held.request.id, answer.word());
+        if let Some(pending) = self.pending.get(request_id.0).filter(|pending| pending.owed) {
+            log::debug!(target: TRACE, "{} answered {}", pending.request.id, answer.word());
         }
         if let Some((client, tag)) = self.settle(request_id) {
             self.write(client, tag, answer);
@@ -305,20 +318,22 @@
     }
 
     /// Whether this still is the request with that serial, and its answer is owed.
-    pub fn is_owed(&self, request_id: RequestId, serial: u64) -> bool {
-        self.held.get(request_id.0).is_some_and(|held| held.owed && held.serial == serial)
+    pub fn is_owed(&self, request_id: RequestId, generation: u64) -> bool {
+        self.pending.get(request_id.0).is_some_and(|pending| pending.owed && pending.generation == generation)
     }
 
     /// Requests whose answer is owed.
     pub fn all_owed(&self) -> Vec<(RequestId, u64)> {
-        let owed = self.held.iter().filter(|held| held.owed);
-        owed.filter_map(|held| self.request_ids.held(&held.serial).map(|slot| (RequestId(slot), held.serial)))
-            .collect()
+        let owed = self.pending.iter().filter(|pending| pending.owed);
+        owed.filter_map(|pending| {
+            self.request_ids.held(&pending.generation).map(|slot| (RequestId(slot), pending.generation))
+        })
+        .collect()
     }
 
     /// Attempts and fills that are out at a node.
     pub fn out_at(&self, node: NodeId) -> u32 {
-        let out = self.held.iter().flat_map(|held| &held.attempts).filter(|attempt| attempt.out);
+        let out = self.pending.iter().flat_map(|pending| &pending.attempts).filter(|attempt| attempt.out);
         out.filter(|out| out.attempt.node == node || out.attempt.source == node).count() as u32
     }
 
@@ -329,7 +344,7 @@
 
     /// The time of a request is over: what is out for it ends unanswered.
     pub fn expire(&mut self, request_id: RequestId) {
-        let attempts = self.held.get(request_id.0).map_or(0, |held| held.attempts.len());
+        let attempts = self.pending.get(request_id.0).map_or(0, |pending| pending.attempts.len());
         for number in 0..attempts as u32 {
             self.give_up(AttemptId { request_id, number }, Outcome::TimedOut);
         }
@@ -341,19 +356,20 @@
     }
 
     /// Whether an attempt of the request with that serial is still out.
-    pub fn is_out(&self, attempt: AttemptId, serial: u64) -> bool {
-        self.out(attempt, serial).is_some()
+    pub fn is_out(&self, attempt: AttemptId, generation: u64) -> bool {
+        self.out(attempt, generation).is_some()
     }
 
     /// An attempt that is still out, of the request with that serial.
-    fn out(&self, attempt: AttemptId, serial: u64) -> Option<&InFlightAttempt> {
-        let held = self.held.get(attempt.request_id.0).filter(|held| held.serial == serial)?;
-        held.attempts.get(attempt.number as usize).filter(|out| out.out)
+    fn out(&self, attempt: AttemptId, generation: u64) -> Option<&InFlightAttempt> {
+        let pending =
+            self.pending.get(attempt.request_id.0).filter(|pending| pending.generation == generation)?;
+        pending.attempts.get(attempt.number as usize).filter(|out| out.out)
     }
 
     /// An attempt that may be sent until now only is taken back, if it has not left whole.
-    pub fn too_late(&mut self, attempt: AttemptId, serial: u64) {
-        let Some(connection) = self.out(attempt, serial).map(|out| out.connection) else { return };
+    pub fn too_late(&mut self, attempt: AttemptId, generation: u64) {
+        let Some(connection) = self.out(attempt, generation).map(|out| out.connection) else { return };
         self.take_back_of(|other, _, _| *other == attempt);
         // A part of it has left: the node must not get the rest.
         if self.nodes.is_partly_written(connection, attempt) {
--- a/crates/dispatcher/src/keeper.rs
+++ b/crates/dispatcher/src/snapshot_writer.rs
@@ -48,7 +48,7 @@
 }
 
 /// The thread that writes. Of lists that come faster than the disk takes them one waits; the next is tried anew.
-pub struct Keeper {
+pub struct SnapshotWriter {
     out: Option<SyncSender<Vec<u8>>>,
     thread: Option<JoinHandle<()>>,
 }
@@ -103,20 +103,20 @@
     }
 }
 
-impl Keeper {
+impl SnapshotWriter {
     /// Starts it for a folder, which is made if it is not there.
-    pub fn start(folder: PathBuf) -> io::Result<Keeper> {
-        Keeper::start_among(FileSystem, folder)
+    pub fn start(folder: PathBuf) -> io::Result<SnapshotWriter> {
+        SnapshotWriter::start_among(FileSystem, folder)
     }
 
     /// The same for one reached by these operations.
-    pub fn start_among(files: impl Files + 'static, folder: PathBuf) -> io::Result<Keeper> {
+    pub fn start_among(files: impl Files + 'static, folder: PathBuf) -> io::Result<SnapshotWriter> {
         files.make_folder(&folder)?;
         let (out, lists) = sync_channel(1);
         let (retries, started) = (Reopening::default(), Instant::now());
         let writer = Writer { files, folder, waits: None, retries, started };
         let thread = std::thread::Builder::new().name("list".into()).spawn(move || writer.run(&lists))?;
-        Ok(Keeper { out: Some(out), thread: Some(thread) })
+        Ok(SnapshotWriter { out: Some(out), thread: Some(thread) })
     }
 
     /// Keeps a list, unless the disk is busy with two before it.
--- a/crates/dispatcher/tests/dispatcher/folders.rs
+++ b/crates/dispatcher/tests/dispatcher/folders.rs
@@ -1,9 +1,9 @@
 //! What lies on disk over a restart: which of it is trusted, and the last good list on a disk that fails.
 
 use crate::faulty::{Fault, Kind, Loss, Memory};
-use copperroute_dispatcher::keeper::{Keeper, find_among};
 use copperroute_dispatcher::last_list::{decode, encode};
 use copperroute_dispatcher::purge_cover::purges_are_told_after;
+use copperroute_dispatcher::snapshot_writer::{SnapshotWriter, find_among};
 use copperroute_protocol::changes::{Change, Known};
 use expect_test::expect;
 use std::path::{Path, PathBuf};
@@ -68,22 +68,22 @@
     find_among(files, Path::new(FOLDER), NOW, 7, HOUR, 0).map(|found| found.map(|(known, _)| known.seq))
 }
 
-fn keeper(files: &Memory) -> Keeper {
-    Keeper::start_among(files.clone(), PathBuf::from(FOLDER)).expect("a folder")
+fn snapshot_writer(files: &Memory) -> SnapshotWriter {
+    SnapshotWriter::start_among(files.clone(), PathBuf::from(FOLDER)).expect("a folder")
 }
 
 /// The operations that writing a list over an older one takes, with the length of what is written.
 fn operations() -> Vec<(Kind, usize)> {
     let (files, seen) = (Memory::default(), Arc::new(std::sync::Mutex::new(Vec::new())));
-    keeper(&files).stop();
+    snapshot_writer(&files).stop();
     let its = seen.clone();
     files.plan(Some(Box::new(move |_, kind, length| {
         its.lock().expect("the kinds").push((kind, length));
         None
     })));
-    let keeper = keeper(&files);
-    keeper.keep(kept(2));
-    keeper.stop();
+    let snapshot_writer = snapshot_writer(&files);
+    snapshot_writer.keep(kept(2));
+    snapshot_writer.stop();
     seen.lock().expect("the kinds").clone()
 }
 
@@ -94,7 +94,7 @@
     for (at, (kind, length)) in operations().into_iter().enumerate().skip(1) {
         for torn in (0..=length).filter(|torn| *torn == 0 || kind == Kind::Write) {
             let files = Memory::default();
-            let first = keeper(&files);
+            let first = snapshot_writer(&files);
             first.keep(kept(1));
             first.stop();
             assert_eq!(found(&files), Ok(Some(1)));
@@ -102,7 +102,7 @@
             files.plan(Some(Box::new(move |number, _, _| {
                 (number >= at as u64).then_some(Fault { errno: 28, torn })
             })));
-            let second = keeper(&files);
+            let second = snapshot_writer(&files);
             second.keep(kept(2));
             second.stop();
             let ends = [files.after_kill()].into_iter().chain(Loss::ALL.map(|loss| files.after_stop(loss)));
@@ -124,8 +124,8 @@
         files.plan(Some(Box::new(move |_, kind, _| {
             (kind == failing && its.load(Ordering::Relaxed)).then_some(Fault { errno: 5, torn: 9 })
         })));
-        let keeper = keeper(&files);
-        keeper.keep(kept(3));
+        let snapshot_writer = snapshot_writer(&files);
+        snapshot_writer.keep(kept(3));
         std::thread::sleep(Duration::from_millis(200));
         fails.store(false, Ordering::Relaxed);
         let began = Instant::now();
@@ -134,7 +134,7 @@
             assert!(began.elapsed() < Duration::from_secs(5), "{failing:?}: not tried again");
             std::thread::sleep(Duration::from_millis(20));
         }
-        keeper.stop();
+        snapshot_writer.stop();
     }
 }
 
--- a/crates/dispatcher/tests/dispatcher/growth.rs
+++ b/crates/dispatcher/tests/dispatcher/growth.rs
@@ -19,7 +19,7 @@
     }
 }
 
-/// What grows in a long day is the shadow table (MC3), and the names of its objects: up to its bound, and no further.
+/// What grows in a long day is the ghost cache (MC3), and the names of its objects: up to its bound, and no further.
 #[test]
 fn of_ever_new_objects_no_more_are_kept_than_the_shadow_table_holds() {
     let mut play = Play::new();
--- a/crates/dispatcher/tests/dispatcher/last_list.rs
+++ b/crates/dispatcher/tests/dispatcher/last_list.rs
@@ -2,8 +2,8 @@
 
 use crate::common::{CONFIG, Play};
 use copperroute_dispatcher::config::Config;
-use copperroute_dispatcher::keeper::{Keeper, find};
 use copperroute_dispatcher::last_list::{LastList, decode, encode};
+use copperroute_dispatcher::snapshot_writer::{SnapshotWriter, find};
 use copperroute_protocol::changes::{Change, Known};
 use copperroute_routing::interface::Nanos;
 use copperroute_settings::operator::LastList as Told;
@@ -136,18 +136,18 @@
 #[test]
 fn the_file_is_whole_at_any_time_and_a_torn_one_is_as_if_absent() {
     let folder = std::env::temp_dir().join(format!("copperroute-list-{}", std::process::id()));
-    let keeper = Keeper::start(folder.clone()).expect("a folder");
+    let snapshot_writer = SnapshotWriter::start(folder.clone()).expect("a folder");
     assert_eq!(find(&folder, NOW, 7, HOUR, 0), Ok(None));
     let last =
         |seq| encode(&Known { seq, results: vec![fleet(seq, true, &[node("s-a", "active")])] }, NOW, 7);
     for seq in 1..200 {
-        keeper.keep(last(seq));
+        snapshot_writer.keep(last(seq));
         // Whenever it is looked at, there is a whole list or none.
         assert!(find(&folder, NOW, 7, HOUR, 0).is_ok());
     }
     std::thread::sleep(std::time::Duration::from_millis(200));
-    keeper.keep(last(200));
-    keeper.stop();
+    snapshot_writer.keep(last(200));
+    snapshot_writer.stop();
     let found = find(&folder, NOW, 7, HOUR, 0).expect("a good list").expect("one is kept");
     assert_eq!(found.0.seq, 200);
     std::fs::write(folder.join("list"), &last(201)[..40]).expect("written");
--- a/crates/routing/src/policy/ends.rs
+++ b/crates/routing/src/policy/ends.rs
@@ -109,7 +109,7 @@
         // Where fills by way of the origin are not told, the source that was named stands in.
         let from_origin = Some(sent.source) == self.nodes.origin() && !self.s.fills_told;
         // The slot may have been given to another object meanwhile.
-        let Some(entry) = self.shadows.get_mut(request.d.object, request.d.copy_hash) else { return };
+        let Some(entry) = self.ghost_cache.get_mut(request.d.object, request.d.copy_hash) else { return };
         match end.remark {
             Remark::FilledFromCopy if !from_origin => entry.hops = 1.0,
             Remark::FilledFromCopy | Remark::FilledFromOrigin => entry.hops = 2.0,
--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -70,7 +70,7 @@
     types: Vec<TypeRow>,
     nodes: Nodes,
     requests: Slots<RequestState>,
-    shadows: Shadows,
+    ghost_cache: GhostCache,
     fills: Fills, // kept fills by their ratio
     link: BandwidthShare,
     fill_usual_s: f64,      // of fills that worked, from send to end
@@ -93,7 +93,7 @@
             types: s.content_types.iter().map(row).collect(),
             nodes: Nodes::new(s.zone, s.parent_kind, s.origin_kind, s.sizes_told),
             requests: Slots::default(),
-            shadows: Shadows::default(),
+            ghost_cache: GhostCache::default(),
             fills: Fills::new(FILLS_SEEN, BUCKETS),
             link: BandwidthShare::default(),
             fill_usual_s: FILL_USUAL_S,
--- a/crates/routing/src/policy/ordinary.rs
+++ b/crates/routing/src/policy/ordinary.rs
@@ -1,15 +1,15 @@
-//! The ordinary path: a request is counted in the shadow table, judged by MC3 and sent on its way.
+//! The ordinary path: a request is counted in the ghost cache, judged by MC3 and sent on its way.
 
 use super::*;
 
 impl Dispatcher {
-    /// A request has come: counted in the shadow table, judged by MC3, and sent on its way.
+    /// A request has come: counted in the ghost cache, judged by MC3, and sent on its way.
     pub fn request_arrived(&mut self, now: Nanos, d: &RoutingRequest, out: &mut impl Actions) {
         let (mut keep, mut seen) = (Keep::default(), None);
         if !self.row(d).told.uncacheable {
-            let shadow = self.count(now, d, out);
-            (keep, seen) = (self.keep(now, &shadow), shadow.work_s);
-        } else if !self.shadows.holds(d.object) {
+            let ghost_entry = self.count(now, d, out);
+            (keep, seen) = (self.keep(now, &ghost_entry), ghost_entry.work_s);
+        } else if !self.ghost_cache.holds(d.object) {
             out.release_object(d.object);
         }
         let told = d.size_kb.filter(|_| self.s.client_kb_per_s > 0.0).map(|kb| kb / self.s.client_kb_per_s);
@@ -23,15 +23,16 @@
         self.admit(now, d, work_s, out);
     }
 
-    /// A request that was answered from an own copy: counted in the shadow table as any other.
+    /// A request that was answered from an own copy: counted in the ghost cache as any other.
     pub fn served_here(&mut self, now: Nanos, d: &RoutingRequest, out: &mut impl Actions) {
         self.count(now, d, out);
     }
 
-    /// What the shadow table knows of a copy: own requests a second, and hops to the closest copy.
+    /// What the ghost cache knows of a copy: own requests a second, and hops to the closest copy.
     pub fn known(&self, d: &RoutingRequest) -> Option<(Option<f64>, f64)> {
-        let shadow = self.shadows.get(d.object).filter(|shadow| shadow.copy_hash == d.copy_hash)?;
-        Some((shadow.gap_s.map(|gap| 1.0 / gap), shadow.hops))
+        let ghost_entry =
+            self.ghost_cache.get(d.object).filter(|ghost_entry| ghost_entry.copy_hash == d.copy_hash)?;
+        Some((ghost_entry.gap_s.map(|gap| 1.0 / gap), ghost_entry.hops))
     }
 
     /// Sends a request on its way, unless the storm module holds it off: then it is answered at once.
@@ -124,34 +125,34 @@
         out.arm(look, u64::from(id.0) << 32 | u64::from(sent.serial));
     }
 
-    /// Counts a request in the shadow table and returns the entry.
-    pub(super) fn count(&mut self, now: Nanos, d: &RoutingRequest, out: &mut impl Actions) -> Shadow {
-        let mut entry = Shadow { copy_hash: d.copy_hash, last: now, hops: 2.0, ..Shadow::default() };
-        if let Some(known) = self.shadows.get(d.object) {
+    /// Counts a request in the ghost cache and returns the entry.
+    pub(super) fn count(&mut self, now: Nanos, d: &RoutingRequest, out: &mut impl Actions) -> GhostEntry {
+        let mut entry = GhostEntry { copy_hash: d.copy_hash, last: now, hops: 2.0, ..GhostEntry::default() };
+        if let Some(known) = self.ghost_cache.get(d.object) {
             let gap = now.since(known.last).secs().max(1e-3);
             // After twice the estimate without requests, the estimate is the gap so far.
             let old = known.gap_s.map_or(gap, |old| if gap > 2.0 * old { gap } else { old });
             // A client's repeat is no request more: else a jam would have all that it refuses kept, scans
             // too, and feed itself.
-            let counted = Shadow { gap_s: Some(0.5 * gap + 0.5 * old), last: now, ..*known };
+            let counted = GhostEntry { gap_s: Some(0.5 * gap + 0.5 * old), last: now, ..*known };
             entry = if d.repeat { *known } else { counted };
         }
-        let dropped = self.shadows.put(d.object, entry, TABLE);
+        let dropped = self.ghost_cache.put(d.object, entry, TABLE);
         dropped.into_iter().for_each(|old| out.release_object(old));
         entry
     }
 
     /// Benefit and rank: keep where hops x rate exceeds storage cost.
-    pub(super) fn keep(&mut self, now: Nanos, shadow: &Shadow) -> Keep {
+    pub(super) fn keep(&mut self, now: Nanos, ghost_entry: &GhostEntry) -> Keep {
         // A first request has negative benefit: its fill passes unkept, and a hit stays as it was.
         // Of Z dispatchers all but one in Z of what is new to one is taken as the location's second request.
         let z = f64::from(self.s.zone_dispatchers.max(1));
-        let Some(gap_s) = shadow.gap_s else {
+        let Some(gap_s) = ghost_entry.gap_s else {
             return Keep { fill_rank: u8::from(self.random.share() * z >= 1.0), ratio: 1.0, hit_rank: 0 };
         };
         let (storage_cost, rate) = (1.0 / HORIZON_S, z / gap_s);
-        let keep_benefit = shadow.hops * rate - storage_cost;
-        let ratio = shadow.hops * rate / storage_cost;
+        let keep_benefit = ghost_entry.hops * rate - storage_cost;
+        let ratio = ghost_entry.hops * rate / storage_cost;
         let (above, all) = self.fills.from(now, ratio);
         let rarer = |share: f64| above < share * all;
         let rank = match keep_benefit {
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -216,7 +216,7 @@
 
 /// A shadow entry.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Shadow {
+pub struct GhostEntry {
     /// Which object it is of.
     pub copy_hash: u64,
     /// When it was last asked for.
@@ -231,29 +231,29 @@
 
 /// Shadow entries in a bounded table that drops the least recently asked.
 #[derive(Debug, Default)]
-pub struct Shadows {
-    slots: Slots<Shadow>,
+pub struct GhostCache {
+    slots: Slots<GhostEntry>,
     order: RecencyWindow,
 }
 
-impl Shadows {
+impl GhostCache {
     /// Whether there is an entry for this object.
     pub fn holds(&self, id: ObjectId) -> bool {
         self.order.contains(id.0)
     }
 
     /// The entry of an object.
-    pub fn get(&self, id: ObjectId) -> Option<&Shadow> {
+    pub fn get(&self, id: ObjectId) -> Option<&GhostEntry> {
         self.slots.get(id.0).filter(|_| self.holds(id))
     }
 
     /// The entry at an object's slot, if it still is of the copy with this hash.
-    pub fn get_mut(&mut self, id: ObjectId, copy_hash: u64) -> Option<&mut Shadow> {
+    pub fn get_mut(&mut self, id: ObjectId, copy_hash: u64) -> Option<&mut GhostEntry> {
         self.slots.get_mut(id.0).filter(|entry| entry.copy_hash == copy_hash)
     }
 
     /// Puts an entry and returns what had to leave so that there are no more than `most`.
-    pub fn put(&mut self, id: ObjectId, entry: Shadow, most: usize) -> Option<ObjectId> {
+    pub fn put(&mut self, id: ObjectId, entry: GhostEntry, most: usize) -> Option<ObjectId> {
         let full = !self.holds(id) && self.order.len() >= most;
         let dropped = full.then(|| self.order.pop_oldest()).flatten();
         self.slots.put(id.0, entry);
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,6 +1,6 @@
 //! `copperroute-simulator-adapter`: the bench's wire on standard input and output, the decisions behind it.
 
-mod door;
+mod stdio_transport;
 mod wire;
 
 use std::io::{self, BufWriter};
--- a/crates/simulator-adapter/src/door.rs
+++ b/crates/simulator-adapter/src/stdio_transport.rs
@@ -5,7 +5,7 @@
 use std::fmt::Write as _;
 
 /// What one instance knows of the wire's ids.
-pub struct Door {
+pub struct StdioTransport {
     instance: u32,
     request_ids: Ids<u64>,
     objects: Ids<(String, u64)>,
@@ -14,10 +14,10 @@
     pub lines: String,
 }
 
-impl Door {
+impl StdioTransport {
     pub fn new(instance: u32) -> Self {
         let (request_ids, objects, nodes) = (Ids::default(), Ids::default(), Ids::default());
-        Door { instance, request_ids, objects, nodes, lines: String::new() }
+        StdioTransport { instance, request_ids, objects, nodes, lines: String::new() }
     }
 
     /// A slot for a request that has just come.
@@ -60,10 +60,10 @@
 
 /// Adds a line to the reply; writing to a string cannot fail.
 macro_rules! say {
-    ($door:ident, $($parts:tt)*) => {{ let _ = writeln!($door.lines, $($parts)*); }};
+    ($transport:ident, $($parts:tt)*) => {{ let _ = writeln!($transport.lines, $($parts)*); }};
 }
 
-impl Actions for Door {
+impl Actions for StdioTransport {
     fn attempt(&mut self, request_id: RequestId, attempt: &Attempt) {
         let manner = u32::from(attempt.join)
             + 2 * u32::from(attempt.held_only)
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -1,6 +1,6 @@
 //! The wire: batches of tab-set lines in, one reply to each out.
 
-use crate::door::Door;
+use crate::stdio_transport::StdioTransport;
 use copperroute_routing::interface::{
     AttemptEnd, Nanos, NodeEntry, Outcome, Readiness, Remark, Report, RoutingRequest, TypeId, UNTOLD, ZoneId,
     mix, stable_hash,
@@ -39,7 +39,7 @@
 /// One simulated dispatcher: its decisions and its door.
 struct Instance {
     module: Dispatcher,
-    door: Door,
+    transport: StdioTransport,
     types: u32,
 }
 
@@ -133,14 +133,14 @@
     Report { in_hand: value("busy_reqs"), busy: value("cpu_share") }
 }
 
-fn entry(fields: &mut Fields<'_>, door: &mut Door) -> Result<NodeEntry, String> {
+fn entry(fields: &mut Fields<'_>, transport: &mut StdioTransport) -> Result<NodeEntry, String> {
     if fields.name != "m" {
         return Err(format!("expected an entry 'm', found '{}'", fields.name));
     }
     fields.expect(7)?;
     let address = fields.text("host")?;
     Ok(NodeEntry {
-        node: door.list_node(address),
+        node: transport.list_node(address),
         hash: stable_hash(address.as_bytes()),
         zone: ZoneId(fields.number("campus")?),
         kind: fields.number("family_type")?,
@@ -160,14 +160,14 @@
     let seed = fields.number("init_seed")?;
     let settings = Options::from_pairs(&fields.parts[fields.at..])?.settings(seed)?;
     let types = settings.content_types.len() as u32;
-    Ok(Instance { module: Dispatcher::new(settings), door: Door::new(number), types })
+    Ok(Instance { module: Dispatcher::new(settings), transport: StdioTransport::new(number), types })
 }
 
 /// Hands one event to the module. The lines of the list that belong to it come in `entries`.
 fn event(
     fields: &mut Fields<'_>,
     now: Nanos,
-    Instance { module, door, types }: &mut Instance,
+    Instance { module, transport, types }: &mut Instance,
     entries: &[String],
 ) -> Result<(), String> {
     match fields.name {
@@ -175,12 +175,12 @@
             let how: u32 = fields.number("how")?;
             let mut nodes = Vec::with_capacity(entries.len());
             for line in entries {
-                nodes.push(entry(&mut Fields::new(line), door)?);
+                nodes.push(entry(&mut Fields::new(line), transport)?);
             }
             match how {
-                0 => module.nodes_changed(now, &nodes, door),
-                1 | 2 => module.nodes_listed(now, &nodes, door),
-                3 => module.list_failed(now, door),
+                0 => module.nodes_changed(now, &nodes, transport),
+                1 | 2 => module.nodes_listed(now, &nodes, transport),
+                3 => module.list_failed(now, transport),
                 other => return Err(format!("backends_changed: how: expected 0 to 3, found '{other}'")),
             }
         }
@@ -198,8 +198,8 @@
             if content_type.0 >= *types {
                 return Err(format!("request: priority: no content type {}", content_type.0));
             }
-            let object = door.object(name, part);
-            let request_id = door.open(id);
+            let object = transport.object(name, part);
+            let request_id = transport.open(id);
             let routing_request = RoutingRequest {
                 request_id,
                 content_type,
@@ -213,17 +213,17 @@
                 client: 0,
                 body_hash: 0,
             };
-            module.request_arrived(now, &routing_request, door);
+            module.request_arrived(now, &routing_request, transport);
         }
         "ack_first" => {
             fields.expect(5)?;
-            if let Some(request_id) = door.held(fields.number("id")?) {
-                module.first_byte(now, request_id, fields.number("n")?, door);
+            if let Some(request_id) = transport.held(fields.number("id")?) {
+                module.first_byte(now, request_id, fields.number("n")?, transport);
             }
         }
         "report_back" => {
             fields.expect(10)?;
-            let request_id = door.held(fields.number("id")?);
+            let request_id = transport.held(fields.number("id")?);
             let outcome = outcome(fields.text("state_code")?)?;
             let took = fields.secs("rtt_s")?;
             let closed = fields.number::<u32>("no_more")? == 1;
@@ -234,18 +234,18 @@
             let report = report(fields.text("health_info")?);
             if let Some(request_id) = request_id {
                 let end = AttemptEnd { outcome, took, closed, waited, remark, report };
-                module.attempt_ended(now, request_id, number, &end, door);
+                module.attempt_ended(now, request_id, number, &end, transport);
             }
         }
         "client_gone" => {
             fields.expect(2)?;
-            if let Some(request_id) = door.held(fields.number("id")?) {
-                module.client_gone(now, request_id, door);
+            if let Some(request_id) = transport.held(fields.number("id")?) {
+                module.client_gone(now, request_id, transport);
             }
         }
         "elapsed" => {
             fields.expect(2)?;
-            module.timer(now, fields.number("key_back")?, door);
+            module.timer(now, fields.number("key_back")?, transport);
         }
         "ping_result" => {
             fields.expect(5)?;
@@ -253,7 +253,7 @@
             let host = fields.text("host")?;
             let passed = outcome(fields.text("state_code")?)? == Outcome::Served;
             let report = report(fields.text("health_info")?);
-            if let Some(node) = door.held_node(host).filter(|_| passed) {
+            if let Some(node) = transport.held_node(host).filter(|_| passed) {
                 module.probed(now, node, report);
             }
         }
@@ -263,8 +263,8 @@
             let group: Option<u64> = fields.maybe("set_no")?;
             let age = fields.secs("age_span_s")?;
             match name {
-                "-" | "0" | "" => module.group_purged(now, group.unwrap_or(0), age, door),
-                name => module.object_purged(now, stable_hash(name.as_bytes()), age, door),
+                "-" | "0" | "" => module.group_purged(now, group.unwrap_or(0), age, transport),
+                name => module.object_purged(now, stable_hash(name.as_bytes()), age, transport),
             }
         }
         // Peers are not listened to.
@@ -309,8 +309,8 @@
                 let at: u32 = fields.number("dispatcher").map_err(fault)?;
                 if name == "begin" {
                     let mut instance = begin(&mut fields, at).map_err(fault)?;
-                    instance.module.start(clock, &mut instance.door);
-                    reply.push_str(&std::mem::take(&mut instance.door.lines));
+                    instance.module.start(clock, &mut instance.transport);
+                    reply.push_str(&std::mem::take(&mut instance.transport.lines));
                     instances.insert(at, instance);
                     continue;
                 }
@@ -339,8 +339,8 @@
                     return Err(fault(format!("{name}: no dispatcher {at}")));
                 };
                 event(&mut fields, clock, instance, &entries).map_err(fault)?;
-                reply.push_str(&instance.door.lines);
-                instance.door.lines.clear();
+                reply.push_str(&instance.transport.lines);
+                instance.transport.lines.clear();
             }
         }
     }
--- a/crates/testbed/src/pace.rs
+++ b/crates/testbed/src/pace.rs
@@ -66,7 +66,7 @@
 }
 
 /// A stand-in that answers clients' requests at once, for the relay.
-fn desk(line: &str) -> Option<Vec<u8>> {
+fn request_table(line: &str) -> Option<Vec<u8>> {
     // The list of fields is the one line that has the request's number in it.
     let tag = line.strip_prefix("req=")?.split(',').next()?;
     let tag = u64::from_str_radix(tag, 16).ok()?.to_string();
@@ -149,7 +149,7 @@
     let address = |part: u8, port| SocketAddr::from(([127, net, part, 1], port));
     let bind = |at| async move { TcpListener::bind(at).await.map_err(|fault| format!("{at}: {fault}")) };
     serve(bind(address(2, 6000)).await?, node);
-    serve(bind(address(5, 6001)).await?, desk);
+    serve(bind(address(5, 6001)).await?, request_table);
     let log = bind(address(3, 2379)).await?;
     tokio::spawn(async move {
         while let Ok((mut stream, _)) = log.accept().await {
