--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -39,7 +39,7 @@
 #[derive(Args)]
 struct Place {
     /// Results, report and logs go here.
-    #[arg(long, default_value = "target/lab")]
+    #[arg(long, default_value = "target/testbed")]
     out: PathBuf,
     /// The dispatchers' program; the one beside this one if absent.
     #[arg(long)]
