--- a/crates/cache-store/src/record.rs
+++ b/crates/cache-store/src/record.rs
@@ -49,9 +49,23 @@
     /// A copy, with the length and checksum of its body.
     Copy(Key, Facts, Body),
     /// An object was purged at a Unix millisecond, by the event of the change log with that number.
-    PurgedObject { object: [u8; 16], at_ms: u64, seq: u64 },
+    PurgedObject {
+        /// The object.
+        object: [u8; 16],
+        /// When it was purged, as a Unix millisecond.
+        at_ms: u64,
+        /// The number of the change log's event.
+        seq: u64,
+    },
     /// A group was.
-    PurgedGroup { group: u8, at_ms: u64, seq: u64 },
+    PurgedGroup {
+        /// The group.
+        group: u8,
+        /// When it was purged, as a Unix millisecond.
+        at_ms: u64,
+        /// The number of the change log's event.
+        seq: u64,
+    },
     /// A copy is no longer kept.
     Dropped(Key),
 }
--- a/crates/cache-store/tests/faulty/mod.rs
+++ b/crates/cache-store/tests/faulty/mod.rs
@@ -9,7 +9,7 @@
 
 /// An operation that can fail.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Kind {
+pub(crate) enum Kind {
     MakeFolder,
     Names,
     Open,
@@ -24,14 +24,14 @@
 
 /// How an operation goes wrong: so many bytes of a write are done, then this error.
 #[derive(Debug, Clone, Copy)]
-pub struct Fault {
+pub(crate) struct Fault {
     pub errno: i32,
     pub torn: usize,
 }
 
 /// What a stop of the machine leaves of what was never synced.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Loss {
+pub(crate) enum Loss {
     /// Neither bytes nor names.
     All,
     /// All names, no bytes.
@@ -42,7 +42,7 @@
 
 impl Loss {
     /// Each of them.
-    pub const ALL: [Loss; 3] = [Loss::All, Loss::Bytes, Loss::Removals];
+    pub(crate) const ALL: [Loss; 3] = [Loss::All, Loss::Bytes, Loss::Removals];
 }
 
 type Plan = Box<dyn FnMut(u64, Kind, usize) -> Option<Fault> + Send>;
@@ -68,7 +68,7 @@
 
 /// The file system; clones share it. It has one folder, whatever its name.
 #[derive(Clone, Default)]
-pub struct Memory(Arc<Mutex<State>>);
+pub(crate) struct Memory(Arc<Mutex<State>>);
 
 impl std::fmt::Debug for Memory {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
@@ -99,13 +99,13 @@
     }
 
     /// Which operations fail from now on; none without a plan. They are counted from 0 again.
-    pub fn plan(&self, plan: Option<Plan>) {
+    pub(crate) fn plan(&self, plan: Option<Plan>) {
         let mut state = self.state();
         (state.plan, state.operations) = (plan, 0);
     }
 
     /// The same files apart from these, without a plan: what the next life finds after a kill.
-    pub fn after_kill(&self) -> Memory {
+    pub(crate) fn after_kill(&self) -> Memory {
         let state = self.state();
         let (names, durable_names) = (state.names.clone(), state.durable_names.clone());
         let inodes = state.inodes.clone();
@@ -113,7 +113,7 @@
     }
 
     /// What the next life finds after the machine has stopped.
-    pub fn after_stop(&self, loss: Loss) -> Memory {
+    pub(crate) fn after_stop(&self, loss: Loss) -> Memory {
         let after = self.after_kill();
         let mut state = after.state();
         state.names = match loss {
--- a/crates/change-log-replica/tests/relay/common.rs
+++ b/crates/change-log-replica/tests/relay/common.rs
@@ -12,22 +12,22 @@
 use std::net::SocketAddr;
 
 /// Where the clock of a core's test begins.
-pub const START: Nanos = Nanos(1_000_000_000_000);
+pub(crate) const START: Nanos = Nanos(1_000_000_000_000);
 
-pub fn secs(secs: f64) -> Nanos {
+pub(crate) fn secs(secs: f64) -> Nanos {
     Nanos::from_secs(secs)
 }
 
-pub fn at(secs: f64) -> Nanos {
+pub(crate) fn at(secs: f64) -> Nanos {
     START.after(Nanos::from_secs(secs))
 }
 
-pub fn address(last: u8) -> SocketAddr {
+pub(crate) fn address(last: u8) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, last], 2379))
 }
 
 /// Follows the change log at `address(1)`, and then replicas at these addresses.
-pub fn config(replicas: &[u8]) -> Config {
+pub(crate) fn config(replicas: &[u8]) -> Config {
     let log = Source { address: address(1), kind: SourceKind::ChangeLog };
     let replicas = replicas.iter().map(|of| Source { address: address(*of), kind: SourceKind::Replica });
     Config {
@@ -46,30 +46,30 @@
 }
 
 /// A whole list with one node.
-pub fn list(seq: u64) -> String {
+pub(crate) fn list(seq: u64) -> String {
     format!(
         "{{\"seq\":{seq},\"fleet\":{{\"version\":{seq},\"full\":true,\"servers\":[{}]}}}}",
         node("s-0", "active")
     )
 }
 
-pub fn node(id: &str, state: &str) -> String {
+pub(crate) fn node(id: &str, state: &str) -> String {
     format!(
         "{{\"id\":\"{id}\",\"addr\":\"10.1.0.1:50\",\"zone\":\"east\",\"state\":\"{state}\",\"new_field\":[1]}}"
     )
 }
 
-pub fn delta(seq: u64, id: &str, state: &str) -> String {
+pub(crate) fn delta(seq: u64, id: &str, state: &str) -> String {
     let node = node(id, state);
     format!("{{\"seq\":{seq},\"fleet\":{{\"version\":{seq},\"full\":false,\"servers\":[{node}]}}}}")
 }
 
-pub fn purge(seq: u64) -> String {
+pub(crate) fn purge(seq: u64) -> String {
     format!("{{\"seq\":{seq},\"invalidate\":{{\"bucket\":{},\"time\":{seq}}}}}", seq % 256)
 }
 
 /// An event as the decoder makes it of a line.
-pub fn event(line: &str) -> EventLine {
+pub(crate) fn event(line: &str) -> EventLine {
     let mut decoder = Decoder::default();
     decoder.feed(format!("{line}\n").as_bytes());
     match decoder.next_line() {
@@ -79,23 +79,23 @@
 }
 
 /// A core that is handed events, with a printed trace of what it asks for.
-pub struct Player {
+pub(crate) struct Player {
     pub core: Core,
     pub trace: String,
     stream: u32,
 }
 
 impl Player {
-    pub fn new(config: &Config) -> Self {
+    pub(crate) fn new(config: &Config) -> Self {
         Self::with_faults(config, Faults::default())
     }
 
-    pub fn with_faults(config: &Config, faults: Faults) -> Self {
+    pub(crate) fn with_faults(config: &Config, faults: Faults) -> Self {
         let core = Core::new(config, 1, 0).with_faults(faults);
         Player { core, trace: String::new(), stream: 0 }
     }
 
-    pub fn hand(&mut self, secs: f64, event: Event<'_>) {
+    pub(crate) fn hand(&mut self, secs: f64, event: Event<'_>) {
         let now = at(secs);
         let mut effects: VecDeque<_> = self.core.handle(now, event).into();
         while let Some(effect) = effects.pop_front() {
@@ -119,22 +119,22 @@
     }
 
     /// The present call comes up.
-    pub fn connected(&mut self, secs: f64) {
+    pub(crate) fn connected(&mut self, secs: f64) {
         self.hand(secs, Event::Tick);
         self.hand(secs, Event::SourceConnected(StreamId(self.stream)));
     }
 
-    pub fn told(&mut self, secs: f64, lines: &[&str]) {
+    pub(crate) fn told(&mut self, secs: f64, lines: &[&str]) {
         let text: String = lines.iter().map(|line| format!("{line}\n")).collect();
         self.hand(secs, Event::SourceTold(StreamId(self.stream), text.as_bytes()));
     }
 
-    pub fn ended(&mut self, secs: f64) {
+    pub(crate) fn ended(&mut self, secs: f64) {
         self.hand(secs, Event::SourceEnded(StreamId(self.stream)));
     }
 
     /// Time goes by, looked at ten times a second.
-    pub fn idle(&mut self, from: f64, to: f64) {
+    pub(crate) fn idle(&mut self, from: f64, to: f64) {
         let mut at = from;
         while at < to {
             self.hand(at, Event::Tick);
@@ -143,19 +143,19 @@
         self.hand(to, Event::Tick);
     }
 
-    pub fn follower(&mut self, secs: f64, id: u32, since: u64) {
+    pub(crate) fn follower(&mut self, secs: f64, id: u32, since: u64) {
         self.hand(secs, Event::FollowerCame(FollowerId(id)));
         self.hand(secs, Event::FollowerSent(FollowerId(id), format!("since {since}\n").as_bytes()));
     }
 
     /// What was asked for since this was last called.
-    pub fn said(&mut self) -> String {
+    pub(crate) fn said(&mut self) -> String {
         std::mem::take(&mut self.trace)
     }
 }
 
 /// Bytes in one short line: events by number and kind, heartbeats as they are.
-pub fn shown(bytes: &[u8]) -> String {
+pub(crate) fn shown(bytes: &[u8]) -> String {
     let text = String::from_utf8_lossy(bytes);
     let line = |line: &str| match serde_json::from_str::<serde_json::Value>(line) {
         Ok(told) if told["fleet"]["full"] == true => {
--- a/crates/change-log-replica/tests/relay/network.rs
+++ b/crates/change-log-replica/tests/relay/network.rs
@@ -15,7 +15,7 @@
 
 /// Who takes part.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Party {
+pub(crate) enum Party {
     Log,
     Replica(usize),
     Follower(usize),
@@ -57,7 +57,7 @@
     what: What,
 }
 
-pub struct Network {
+pub(crate) struct Network {
     pub now: Nanos,
     pub chance: Chance,
     pub log: Log,
@@ -82,7 +82,7 @@
 }
 
 impl Network {
-    pub fn new(seed: u64, configs: Vec<Config>, followers: Vec<Follower>, faults: Faults) -> Self {
+    pub(crate) fn new(seed: u64, configs: Vec<Config>, followers: Vec<Follower>, faults: Faults) -> Self {
         let replicas = configs.iter().map(|_| None).collect();
         let mut network = Network {
             now: START,
@@ -106,24 +106,24 @@
     }
 
     /// A replica starts, with nothing.
-    pub fn start(&mut self, of: usize) {
+    pub(crate) fn start(&mut self, of: usize) {
         self.seeds += 1;
         self.replicas[of] = Some(Core::new(&self.configs[of], self.seeds, 0).with_faults(self.faults));
     }
 
     /// A replica dies: its connections end.
-    pub fn kill(&mut self, of: usize) {
+    pub(crate) fn kill(&mut self, of: usize) {
         self.replicas[of] = None;
         self.end_connections(Party::Replica(of));
     }
 
     /// A replica is stopped; what comes waits.
-    pub fn stop(&mut self, of: usize, span: Nanos) {
+    pub(crate) fn stop(&mut self, of: usize, span: Nanos) {
         self.stopped[of] = self.stopped[of].max(self.now.after(span));
     }
 
     /// All connections between two end, and no new ones come up until `mend`.
-    pub fn cut(&mut self, a: Party, b: Party) {
+    pub(crate) fn cut(&mut self, a: Party, b: Party) {
         self.cut.extend([(a, b), (b, a)]);
         for at in 0..self.connections.len() {
             let Connection { caller, callee, .. } = self.connections[at];
@@ -133,12 +133,12 @@
         }
     }
 
-    pub fn mend(&mut self, a: Party, b: Party) {
+    pub(crate) fn mend(&mut self, a: Party, b: Party) {
         self.cut.retain(|pair| *pair != (a, b) && *pair != (b, a));
     }
 
     /// What the connections of one party carry waits for so long, then comes at once.
-    pub fn hold(&mut self, party: Party, span: Nanos) {
+    pub(crate) fn hold(&mut self, party: Party, span: Nanos) {
         for connection in &mut self.connections {
             if connection.caller == party || connection.callee == party {
                 connection.held = [self.now.after(span); 2];
@@ -147,7 +147,7 @@
     }
 
     /// The same only between two.
-    pub fn hold_between(&mut self, a: Party, b: Party, span: Nanos) {
+    pub(crate) fn hold_between(&mut self, a: Party, b: Party, span: Nanos) {
         for connection in &mut self.connections {
             let ends = (connection.caller, connection.callee);
             if ends == (a, b) || ends == (b, a) {
@@ -157,7 +157,7 @@
     }
 
     /// All connections of one party end.
-    pub fn end_connections(&mut self, party: Party) {
+    pub(crate) fn end_connections(&mut self, party: Party) {
         for at in 0..self.connections.len() {
             if self.connections[at].caller == party || self.connections[at].callee == party {
                 self.break_off(at);
@@ -217,7 +217,7 @@
     }
 
     /// Runs for so long, a hundredth of a second at a time.
-    pub fn run(&mut self, span: Nanos, judge: &mut impl FnMut(&mut Network)) {
+    pub(crate) fn run(&mut self, span: Nanos, judge: &mut impl FnMut(&mut Network)) {
         let until = self.now.after(span);
         while self.now < until {
             self.now = self.now.after(secs(0.01));
--- a/crates/change-log-replica/tests/relay/random.rs
+++ b/crates/change-log-replica/tests/relay/random.rs
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 
 /// The change log: its events with when each was issued, in its present life and in those before.
-pub struct Log {
+pub(crate) struct Log {
     pub is_up: bool,
     pub events: Vec<(Nanos, String)>,
     /// When the present life began, and the events of all lives that have ended.
@@ -21,16 +21,16 @@
 }
 
 impl Log {
-    pub fn new(now: Nanos) -> Self {
+    pub(crate) fn new(now: Nanos) -> Self {
         let events = vec![(now, list(1))];
         Log { is_up: true, events, begun: now, past: Vec::new(), streams: Vec::new() }
     }
 
-    pub fn last(&self) -> u64 {
+    pub(crate) fn last(&self) -> u64 {
         self.events.len() as u64
     }
 
-    pub fn issue(&mut self, now: Nanos, chance: &mut Chance) {
+    pub(crate) fn issue(&mut self, now: Nanos, chance: &mut Chance) {
         let seq = self.last() + 1;
         // The time tells lives apart.
         let event = match chance.digit() % 5 {
@@ -45,7 +45,7 @@
     }
 
     /// Forgets its past: the nodes as they stand are its first event.
-    pub fn begin_anew(&mut self, now: Nanos) {
+    pub(crate) fn begin_anew(&mut self, now: Nanos) {
         self.past.extend(self.events.iter().map(|(_, event)| event.clone()));
         let first = list(1).replace("east", &format!("east-{}", now.0));
         (self.events, self.begun) = (vec![(now, first)], now);
@@ -60,7 +60,7 @@
         self.events.iter().any(|(_, event)| event == line) || self.past.iter().any(|event| event == line)
     }
 
-    pub fn asked(&mut self, now: Nanos, connection: usize, bytes: &[u8]) {
+    pub(crate) fn asked(&mut self, now: Nanos, connection: usize, bytes: &[u8]) {
         let text = std::str::from_utf8(bytes).expect("text");
         let since: usize =
             text.trim().strip_prefix("since ").and_then(|of| of.parse().ok()).expect("a number");
@@ -68,7 +68,7 @@
     }
 
     /// What goes out now: events at once, the last number each second.
-    pub fn tells(&mut self, now: Nanos) -> Vec<(usize, Vec<u8>)> {
+    pub(crate) fn tells(&mut self, now: Nanos) -> Vec<(usize, Vec<u8>)> {
         if !self.is_up {
             self.streams.clear();
             return Vec::new();
@@ -99,7 +99,7 @@
 }
 
 /// A dispatcher's control, in the simplest form: it follows one address, and judges what it is told.
-pub struct Follower {
+pub(crate) struct Follower {
     address: SocketAddr,
     steps: usize,
     pub cursor: u64,
@@ -118,7 +118,7 @@
 
 impl Follower {
     /// Of the replica with this address, so many steps from the change log at most.
-    pub fn of(last: u8, steps: usize) -> Self {
+    pub(crate) fn of(last: u8, steps: usize) -> Self {
         Follower {
             address: address(last),
             steps,
@@ -136,7 +136,7 @@
         }
     }
 
-    pub fn calls(&mut self, now: Nanos) -> Option<(u32, SocketAddr)> {
+    pub(crate) fn calls(&mut self, now: Nanos) -> Option<(u32, SocketAddr)> {
         if self.open || now < self.call_at {
             return None;
         }
@@ -145,17 +145,17 @@
         Some((self.stream, self.address))
     }
 
-    pub fn asks(&mut self, now: Nanos) -> Vec<u8> {
+    pub(crate) fn asks(&mut self, now: Nanos) -> Vec<u8> {
         self.asked = now;
         format!("since {}\n", self.cursor).into_bytes()
     }
 
-    pub fn ended(&mut self) {
+    pub(crate) fn ended(&mut self) {
         self.open = false;
         self.call_at = self.heard.after(secs(0.3)).max(self.call_at.after(secs(0.3)));
     }
 
-    pub fn gives_up(&mut self, now: Nanos) -> Option<u32> {
+    pub(crate) fn gives_up(&mut self, now: Nanos) -> Option<u32> {
         let silent = self.open && now.since(self.heard) > secs(2.0);
         if silent {
             (self.open, self.call_at) = (false, now.after(secs(0.2)));
@@ -164,7 +164,7 @@
     }
 
     /// Judges what it is told; tells whether it goes on listening.
-    pub fn told(&mut self, now: Nanos, bytes: &[u8], log: &Log) -> bool {
+    pub(crate) fn told(&mut self, now: Nanos, bytes: &[u8], log: &Log) -> bool {
         self.buffer.extend_from_slice(bytes);
         while let Some(end) = self.buffer.iter().position(|byte| *byte == b'\n') {
             let line: Vec<u8> = self.buffer.drain(..=end).collect();
@@ -222,7 +222,7 @@
 }
 
 /// Replicas with these sources: `0` is the change log.
-pub fn replicas(sources: &[&[u8]]) -> Vec<Config> {
+pub(crate) fn replicas(sources: &[&[u8]]) -> Vec<Config> {
     let log = Source { address: address(1), kind: SourceKind::ChangeLog };
     let one = |of: &&[u8]| Config {
         sources: of.iter().map(|source| if *source == 0 { log } else { replica(*source) }).collect(),
--- a/crates/config-rollout/src/issue.rs
+++ b/crates/config-rollout/src/issue.rs
@@ -86,15 +86,44 @@
     /// It was heard before, and says the same.
     Known,
     /// A later one was heard.
-    Older { is: u64, holds: u64 },
+    Older {
+        /// The number that came.
+        is: u64,
+        /// What is held.
+        holds: u64,
+    },
     /// Another content was heard under this number.
-    TwoContents { version: u64, holds: u64, is: u64 },
+    TwoContents {
+        /// The number of the version.
+        version: u64,
+        /// What is held.
+        holds: u64,
+        /// The number that came.
+        is: u64,
+    },
     /// It follows another content than the one that is held: of two issuers, or services, one was not heard here.
-    Forked { version: u64, after: String, holds: String },
+    Forked {
+        /// The number of the version.
+        version: u64,
+        /// The content that it follows.
+        after: String,
+        /// What is held.
+        holds: String,
+    },
     /// It acts from a moment that not everybody can have heard of by then.
-    TooNear { notice_ms: u64, least_ms: u64 },
+    TooNear {
+        /// How far ahead it comes, in milliseconds.
+        notice_ms: u64,
+        /// How far ahead it has to come, in milliseconds.
+        least_ms: u64,
+    },
     /// It acts no later than the version before it.
-    NotAfter { from_ms: u64, before_ms: u64 },
+    NotAfter {
+        /// When it acts, as a Unix millisecond.
+        from_ms: u64,
+        /// When the version before it acts, as a Unix millisecond.
+        before_ms: u64,
+    },
     /// A field can't be read.
     Unreadable(String),
     /// A field is looser than the platform's settings.
--- a/crates/config-rollout/src/lists.rs
+++ b/crates/config-rollout/src/lists.rs
@@ -7,9 +7,17 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListRefusal {
     /// A later one was taken.
-    Older { is: u64, holds: u64 },
+    Older {
+        /// The version that came.
+        is: u64,
+        /// The version that is held.
+        holds: u64,
+    },
     /// Another content was taken under this version.
-    TwoContents { version: u64 },
+    TwoContents {
+        /// The version.
+        version: u64,
+    },
 }
 
 impl fmt::Display for ListRefusal {
--- a/crates/config-rollout/tests/agreement/common.rs
+++ b/crates/config-rollout/tests/agreement/common.rs
@@ -9,17 +9,17 @@
 use serde_json::{Map, Value, json};
 
 /// So many milliseconds.
-pub fn ms(ms: u64) -> Nanos {
+pub(crate) fn ms(ms: u64) -> Nanos {
     Nanos(ms * 1_000_000)
 }
 
 /// The content types.
-pub fn types() -> Vec<String> {
+pub(crate) fn types() -> Vec<String> {
     ["image", "post"].map(str::to_string).to_vec()
 }
 
 /// What the platform says.
-pub fn settings() -> Settings {
+pub(crate) fn settings() -> Settings {
     let content_type = |repeat| ContentType {
         target_time: ms(400),
         target_stretch: 1.0,
@@ -61,32 +61,32 @@
 }
 
 /// The same as rules.
-pub fn base() -> RuleSet {
+pub(crate) fn base() -> RuleSet {
     RuleSet::of(&settings(), &[ms(5_000), ms(3_000)])
 }
 
 /// An object of JSON.
-pub fn object(value: Value) -> Map<String, Value> {
+pub(crate) fn object(value: Value) -> Map<String, Value> {
     value.as_object().cloned().unwrap_or_default()
 }
 
 /// Rules that say otherwise than the platform.
-pub fn saying(told: Value) -> RuleSet {
+pub(crate) fn saying(told: Value) -> RuleSet {
     RuleSet::read(&base(), &types(), "rules", &object(told)).expect("good rules")
 }
 
 /// Lease 3 s, clock error 0.25 s, slack 0.5 s.
-pub const TERMS: Terms =
+pub(crate) const TERMS: Terms =
     Terms { lease: Nanos(3_000_000_000), clock_error: Nanos(250_000_000), slack: Nanos(500_000_000) };
 
 /// A dispatcher of the small fleet; no version may say less than two attempts.
-pub fn dispatcher(terms: Terms, faults: Faults) -> Agreement {
+pub(crate) fn dispatcher(terms: Terms, faults: Faults) -> Agreement {
     let ground = Ground { base: base(), types: types(), terms, faults };
     Agreement::new(ground, &saying(json!({"max_pulls": 2, "cold_share": 0.1})))
 }
 
 /// A version.
-pub fn issue(version: u64, after: &str, issued_ms: u64, from_ms: u64, rules: Value) -> Issue {
+pub(crate) fn issue(version: u64, after: &str, issued_ms: u64, from_ms: u64, rules: Value) -> Issue {
     let (after, rules) = (after.to_string(), object(rules));
     Issue { version, after, issuer: "ops".into(), issued_ms, from_ms, rules, floor: None }
 }
--- a/crates/config-rollout/tests/agreement/ordering_model.rs
+++ b/crates/config-rollout/tests/agreement/ordering_model.rs
@@ -22,7 +22,7 @@
 
 /// What an issuer writes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Kind {
+pub(crate) enum Kind {
     /// The next version, good.
     Good(u64),
     /// The next, with a moment that is too near.
@@ -37,7 +37,7 @@
 
 /// What happens to a dispatcher.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Trouble {
+pub(crate) enum Trouble {
     /// Its link ends, and can't be made.
     Cut,
     /// Its link carries nothing, then all at once.
@@ -72,7 +72,7 @@
 
 /// The state of all.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct World {
+pub(crate) struct World {
     at: u64,
     log: Vec<Arc<Written>>,
     all: Vec<One>,
@@ -108,7 +108,7 @@
 }
 
 /// What is looked at: a deliberate fault or none, and how much may happen.
-pub struct Small {
+pub(crate) struct Small {
     pub fault: Option<Fault>,
     pub issues: usize,
     pub troubles: usize,
@@ -118,7 +118,7 @@
 
 /// A step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Act {
+pub(crate) enum Act {
     Second,
     Write(Kind),
     Begin(usize, Trouble),
@@ -253,7 +253,7 @@
 
 impl Small {
     /// Whether three versions are to be agreed on.
-    pub fn agree(&self) -> bool {
+    pub(crate) fn agree(&self) -> bool {
         self.issues >= 3 && self.fault.is_none()
     }
 
--- a/crates/dispatcher/src/changes/mod.rs
+++ b/crates/dispatcher/src/changes/mod.rs
@@ -17,11 +17,22 @@
 #[derive(Debug)]
 pub enum Told {
     /// An event. Where `lost`, what lies between it and the one before was not told; what it brings stands for that.
-    Change { change: Box<Change>, lost: bool },
+    Change {
+        /// What it says.
+        change: Box<Change>,
+        /// Events before it were not told.
+        lost: bool,
+    },
     /// The part of another content of an event before that is stricter than what was told.
-    Restriction { change: Box<Change> },
+    Restriction {
+        /// What it says.
+        change: Box<Change>,
+    },
     /// A second's line; `caught_up` if all that it knows of has been handed on, and it knows of all that was.
-    Line { caught_up: bool },
+    Line {
+        /// All that was told has been handed on.
+        caught_up: bool,
+    },
 }
 
 /// What a dispatcher is started with.
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -1,6 +1,9 @@
 //! The dispatcher on sockets: one reducer makes every state change and calls the decisions; the event loop
 //! carries sockets, timers and signals to it and carries out the effects that it asks for.
 
+// Not yet: `event_loop::serve` is still one function.
+#![allow(clippy::too_many_lines)]
+
 pub mod agreed;
 pub mod attempt;
 pub mod changes;
--- a/crates/dispatcher/tests/dispatcher/common.rs
+++ b/crates/dispatcher/tests/dispatcher/common.rs
@@ -10,16 +10,16 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
 /// A small fleet: two caches, two parents, an origin.
-pub const CONFIG: &str = include_str!("../../../../deploy/example.json");
+pub(crate) const CONFIG: &str = include_str!("../../../../deploy/example.json");
 
 /// Where clients come from.
-pub const LOOPBACK: IpAddr = IpAddr::V4(Ipv4Addr::LOCALHOST);
+pub(crate) const LOOPBACK: IpAddr = IpAddr::V4(Ipv4Addr::LOCALHOST);
 
 /// The clock shows this when it starts.
 const EPOCH_NS: u64 = 86_400_000_000_000;
 
 /// A request as a client writes it.
-pub fn request(tag: u64, content_type: &str, id: &str, more: &str) -> Vec<u8> {
+pub(crate) fn request(tag: u64, content_type: &str, id: &str, more: &str) -> Vec<u8> {
     let usual = |name: &str, field| if more.contains(name) { "" } else { field };
     let (timeout, block) = (usual("timeout=", "timeout=1500,"), usual("block=", ",block=0"));
     let fields = format!("req={id:0<16},{timeout}subject=7f3a000000000000{block}{more}");
@@ -35,7 +35,7 @@
 
 /// A node's answer as it is written here, without what every one has: zeros to the length of ids and tags, the
 /// tag and time of a copy.
-pub fn answered(answer: &str) -> String {
+pub(crate) fn answered(answer: &str) -> String {
     let (id, rest) = answer.split_once(' ').unwrap_or((answer, ""));
     let rest = rest.replace("ok why", "ok etag=4b00000000000000,made=1764,why");
     let rest = rest.replace("ok - ", "ok etag=4b00000000000000,made=1764 ");
@@ -43,27 +43,27 @@
 }
 
 /// A trace without the zeros that make ids long enough.
-pub fn short(trace: &str) -> String {
+pub(crate) fn short(trace: &str) -> String {
     trace.replace("000000000000", "")
 }
 
 /// A message of a verb and a tag.
-pub fn message(verb: &str, tag: u64) -> Vec<u8> {
+pub(crate) fn message(verb: &str, tag: u64) -> Vec<u8> {
     let tag = tag.to_string();
     format!("*2\r\n${}\r\n{verb}\r\n${}\r\n{tag}\r\n", verb.len(), tag.len()).into_bytes()
 }
 
 /// The connection that the last attempt went out on.
-pub fn last_connection(trace: &str) -> u32 {
+pub(crate) fn last_connection(trace: &str) -> u32 {
     let line = trace.lines().rev().find(|line| line.contains("<- fetch")).unwrap_or_default();
     line.split(['(', ')']).nth(1).and_then(|number| number.parse().ok()).unwrap_or_default()
 }
 
 /// The Unix millisecond that it is outside as a play begins.
-pub const START_MS: u64 = 1_764_576_000_000;
+pub(crate) const START_MS: u64 = 1_764_576_000_000;
 
 /// A reducer, the timers it asked for, and the trace.
-pub struct Play {
+pub(crate) struct Play {
     reducer: Reducer,
     now: Nanos,
     armed: Vec<(Nanos, Due)>,
@@ -84,17 +84,17 @@
 
 impl Play {
     /// A dispatcher with this configuration that has started, with one client connected.
-    pub fn of(config: &str) -> Play {
+    pub(crate) fn of(config: &str) -> Play {
         Play::with(Config::parse(config).expect("a good configuration"))
     }
 
     /// The same with one that was parsed.
-    pub fn with(config: Config) -> Play {
+    pub(crate) fn with(config: Config) -> Play {
         Play::with_clock_off(config, 0)
     }
 
     /// The same on a machine whose wall clock is off by so many milliseconds, ahead of the outside's where over 0.
-    pub fn with_clock_off(config: Config, off_ms: i64) -> Play {
+    pub(crate) fn with_clock_off(config: Config, off_ms: i64) -> Play {
         let wall_ms = START_MS.saturating_add_signed(off_ms);
         let reducer = Reducer::new(config, Epoch::at(wall_ms * 1_000_000));
         let (armed, given, carried, places) = Default::default();
@@ -108,12 +108,12 @@
     }
 
     /// The same with the example configuration.
-    pub fn new() -> Play {
+    pub(crate) fn new() -> Play {
         Play::of(CONFIG)
     }
 
     /// Hands in an event and prints what it brings.
-    pub fn event(&mut self, event: Event<'_>) {
+    pub(crate) fn event(&mut self, event: Event<'_>) {
         let effects = self.reducer.reduce(self.now, event);
         for effect in effects {
             match effect {
@@ -180,45 +180,45 @@
     }
 
     /// A client's bytes.
-    pub fn client(&mut self, bytes: &[u8]) {
+    pub(crate) fn client(&mut self, bytes: &[u8]) {
         self.event(Event::Received(Peer::Client(1), bytes));
     }
 
     /// A node's answer line, and its bytes if it has any, where its request was last asked for.
-    pub fn node(&mut self, answer: &str) {
+    pub(crate) fn node(&mut self, answer: &str) {
         let body = if answer.ends_with(" 0") { "" } else { "body" };
         self.node_bytes(answer, &format!("{body}\r\n"));
     }
 
     /// A node's answer line with what follows it.
-    pub fn node_bytes(&mut self, answer: &str, rest: &str) {
+    pub(crate) fn node_bytes(&mut self, answer: &str, rest: &str) {
         let id = answer.split(' ').next().unwrap_or_default();
         let peer = Peer::Node(self.carried.get(id).copied().unwrap_or(1));
         self.event(Event::Received(peer, format!("{}\r\n{rest}", answered(answer)).as_bytes()));
     }
 
     /// A line of the change log.
-    pub fn log(&mut self, connection: u32, line: &str) {
+    pub(crate) fn log(&mut self, connection: u32, line: &str) {
         self.event(Event::Received(Peer::ChangeLog(connection), format!("{line}\n").as_bytes()));
     }
 
     /// The configuration is read again.
-    pub fn reload(&mut self, config: &str) {
+    pub(crate) fn reload(&mut self, config: &str) {
         self.event(Event::Reload(&Config::parse(config).expect("a good configuration")));
     }
 
     /// The number of the last event of the change log that was applied.
-    pub fn applied(&self) -> u64 {
+    pub(crate) fn applied(&self) -> u64 {
         self.reducer.applied()
     }
 
     /// How many nodes there is a place for.
-    pub fn nodes_kept(&self) -> u32 {
+    pub(crate) fn nodes_kept(&self) -> u32 {
         self.reducer.nodes_kept()
     }
 
     /// Lets time pass, with all that falls due.
-    pub fn pass(&mut self, millis: u64) {
+    pub(crate) fn pass(&mut self, millis: u64) {
         let end = self.now.after(Nanos(millis * 1_000_000));
         loop {
             let next = self.armed.iter().enumerate().filter(|(_, timer)| timer.0 <= end);
@@ -231,33 +231,33 @@
     }
 
     /// The process is stopped for so long: nothing falls due meanwhile.
-    pub fn stop(&mut self, millis: u64) {
+    pub(crate) fn stop(&mut self, millis: u64) {
         self.now = self.now.after(Nanos(millis * 1_000_000));
     }
 
     /// How many milliseconds have passed since the play began.
-    pub fn passed_ms(&self) -> u64 {
+    pub(crate) fn passed_ms(&self) -> u64 {
         (self.now.0 - EPOCH_NS) / 1_000_000
     }
 
     /// The port of the node that the last attempt of a trace went to.
-    pub fn pulled_at(&self, trace: &str) -> Option<u16> {
+    pub(crate) fn pulled_at(&self, trace: &str) -> Option<u16> {
         self.places.get(&Peer::Node(last_connection(trace))).map(SocketAddr::port)
     }
 
     /// How many objects there is a place for.
-    pub fn objects_kept(&self) -> u32 {
+    pub(crate) fn objects_kept(&self) -> u32 {
         self.reducer.objects_kept()
     }
 
     /// Forgets what this helper keeps of connections and ids, so that what is left is the dispatcher's.
-    pub fn forget(&mut self) {
+    pub(crate) fn forget(&mut self) {
         self.carried.clear();
         self.trace.clear();
     }
 
     /// What was printed since the last call.
-    pub fn take(&mut self) -> String {
+    pub(crate) fn take(&mut self) -> String {
         std::mem::take(&mut self.trace)
     }
 }
--- a/crates/dispatcher/tests/dispatcher/driver/bytes.rs
+++ b/crates/dispatcher/tests/dispatcher/driver/bytes.rs
@@ -6,7 +6,7 @@
 
 impl World {
     /// Bytes leave: what begins to leave must still be wanted, and where it goes must still take it.
-    pub fn leaves(&mut self, number: u32, bytes: u64) {
+    pub(super) fn leaves(&mut self, number: u32, bytes: u64) {
         let way = self.way(number);
         let count = (way.unsent.len() as u64).min(bytes) as usize;
         if !way.up || count == 0 {
@@ -40,7 +40,7 @@
     }
 
     /// The first byte of an attempt is about to leave on a connection, as its whole line, looked at before, says.
-    pub fn begins(&self, line: &str, address: &str) {
+    pub(super) fn begins(&self, line: &str, address: &str) {
         let id = u64::from_str_radix(line.split(' ').next().expect("an id"), 16).expect("hex");
         let field =
             |name: &str| line.split([' ', ',']).find_map(|part| part.strip_prefix(name)?.strip_prefix('='));
@@ -71,7 +71,7 @@
         }
     }
 
-    pub fn came(&mut self, number: u32, address: &str, line: &str) {
+    pub(super) fn came(&mut self, number: u32, address: &str, line: &str) {
         let id = u64::from_str_radix(line.split(' ').next().expect("an id"), 16).expect("hex");
         let way = self.ways.get_mut(&number).expect("open");
         assert!(!way.out.contains(&id), "{id}: twice on one connection");
@@ -83,7 +83,7 @@
     }
 
     /// Whole attempts among the bytes that are about to begin to leave.
-    pub fn look(&mut self, number: u32, bytes: u64) {
+    pub(super) fn look(&mut self, number: u32, bytes: u64) {
         let way = self.way(number);
         let text = String::from_utf8_lossy(&way.unsent).into_owned();
         let (mut from, address) = (0, way.address.clone());
--- a/crates/dispatcher/tests/dispatcher/driver/leaving.rs
+++ b/crates/dispatcher/tests/dispatcher/driver/leaving.rs
@@ -7,7 +7,7 @@
 
 impl World {
     /// A client cancels a request that is open, where what it sends is read.
-    pub fn abort(&mut self, which: usize) {
+    pub(super) fn abort(&mut self, which: usize) {
         let read = |client: &u32| !self.unreadable.contains(client);
         let open: Vec<_> = self
             .asked
@@ -23,7 +23,7 @@
     }
 
     /// A client sends what can't be read; it goes on with another connection, and waits on this one.
-    pub fn cannot_be_read(&mut self, client: usize) {
+    pub(super) fn cannot_be_read(&mut self, client: usize) {
         let number = self.clients[client];
         self.event(Event::Received(Peer::Client(number), b"GET / HTTP/1.1\r\n"));
         self.unreadable.insert(number);
@@ -32,7 +32,7 @@
     }
 
     /// A client asks under a tag that is open on its connection; it goes on as above, but can cancel.
-    pub fn tag_twice(&mut self, client: usize) {
+    pub(super) fn tag_twice(&mut self, client: usize) {
         let number = self.clients[client];
         let mut open = self.asked.values().filter(|a| a.client == number && a.waits && a.answers == 0);
         let Some(tag) = open.next().map(|asked| asked.tag) else { return };
@@ -42,7 +42,7 @@
     }
 
     /// A client ends its sending side, and is to be told what becomes of its requests, or its connection.
-    pub fn leave(&mut self, number: u32, half: bool) {
+    pub(super) fn leave(&mut self, number: u32, half: bool) {
         let peer = Peer::Client(number);
         if half {
             return self.event(Event::Ended(peer));
@@ -52,7 +52,7 @@
     }
 
     /// The same on a connection that it used before.
-    pub fn leave_former(&mut self, which: usize, half: bool) {
+    pub(super) fn leave_former(&mut self, which: usize, half: bool) {
         if !self.former.is_empty() {
             let number = self.former.swap_remove(which % self.former.len());
             self.leave(number, half);
@@ -60,7 +60,7 @@
     }
 
     /// Nothing that has not begun to leave for a node is asked for a client that has gone, or was answered.
-    pub fn nothing_is_to_begin_for_who_has_gone(&self) {
+    pub(super) fn nothing_is_to_begin_for_who_has_gone(&self) {
         for way in self.ways.values() {
             let text = String::from_utf8_lossy(&way.unsent);
             // The rest of what has begun is no whole line of a fetch.
--- a/crates/dispatcher/tests/dispatcher/driver/story.rs
+++ b/crates/dispatcher/tests/dispatcher/driver/story.rs
@@ -3,9 +3,9 @@
 use proptest::prelude::*;
 
 /// Clients that ask by turns.
-pub const CLIENTS: usize = 4;
+pub(super) const CLIENTS: usize = 4;
 /// What the list tells of.
-pub const NODES: [(&str, u32, &str, &str); 4] = [
+pub(super) const NODES: [(&str, u32, &str, &str); 4] = [
     ("s-a", 6001, "east", "box"),
     ("s-b", 6002, "east", "box"),
     ("p-1", 6003, "hub", "parent"),
@@ -14,7 +14,7 @@
 
 /// One thing that happens. What it names is taken modulo what there is.
 #[derive(Debug, Clone)]
-pub enum Step {
+pub(super) enum Step {
     Ask {
         client: usize,
         of: usize,
@@ -82,7 +82,7 @@
 
 impl Step {
     /// Whether a client does it.
-    pub fn is_of_a_client(&self) -> bool {
+    pub(super) fn is_of_a_client(&self) -> bool {
         use Step::*;
         matches!(
             self,
@@ -91,7 +91,7 @@
     }
 }
 
-pub fn step() -> impl Strategy<Value = Step> {
+pub(super) fn step() -> impl Strategy<Value = Step> {
     let nth = || 0_usize..1_000;
     prop_oneof![
         6 => (0..CLIENTS, 0..3_usize, 0..4_u8, 150..2_500_u64)
--- a/crates/dispatcher/tests/dispatcher/driver/world.rs
+++ b/crates/dispatcher/tests/dispatcher/driver/world.rs
@@ -11,11 +11,11 @@
 
 /// Content types: image may run again, post once only, vote again within `WINDOW`.
 const TYPES: [&str; 3] = ["image", "post", "vote"];
-pub const WINDOW: Nanos = Nanos(300_000_000);
+pub(super) const WINDOW: Nanos = Nanos(300_000_000);
 
 /// A request, as its client and the nodes know it.
 #[derive(Debug)]
-pub struct Asked {
+pub(super) struct Asked {
     pub client: u32,
     pub tag: u64,
     pub of: usize,
@@ -30,7 +30,7 @@
 
 /// A connection to a node.
 #[derive(Debug, Default)]
-pub struct Way {
+pub(super) struct Way {
     pub up: bool,
     pub address: String,
     pub unsent: Vec<u8>,
@@ -40,7 +40,7 @@
     pub out: Vec<u64>,
 }
 
-pub struct World {
+pub(super) struct World {
     pub reducer: Reducer,
     pub now: Nanos,
     pub timers: BTreeMap<(Nanos, u64), Due>,
@@ -71,7 +71,7 @@
 }
 
 impl World {
-    pub fn new(direct: bool, cancel: bool) -> World {
+    pub(super) fn new(direct: bool, cancel: bool) -> World {
         let vote = r#"{"name": "vote", "effect": "keyed", "window_s": 0.3, "dedup_scope": "all", "aim_s": 0.7, "aim_stretch": 0.0, "deadline_s": 3.0, "value": 3.0}"#;
         let post = r#""deadline_s": 3.0, "value": 3.0}"#;
         let config = CONFIG.replacen(post, &format!("{post}, {vote}"), 1);
@@ -110,13 +110,13 @@
         world
     }
 
-    pub fn connect(&mut self, client: usize) {
+    pub(super) fn connect(&mut self, client: usize) {
         self.last_client += 1;
         self.clients[client] = self.last_client;
         self.event(Event::Accepted(self.last_client, LOOPBACK));
     }
 
-    pub fn event(&mut self, event: Event<'_>) {
+    pub(super) fn event(&mut self, event: Event<'_>) {
         for effect in self.reducer.reduce(self.now, event) {
             match effect {
                 Effect::Arm(at, due) => {
@@ -167,7 +167,7 @@
         }
     }
 
-    pub fn way(&mut self, number: u32) -> &mut Way {
+    pub(super) fn way(&mut self, number: u32) -> &mut Way {
         self.ways.get_mut(&number).expect("a connection that is open")
     }
 
@@ -188,7 +188,7 @@
         );
     }
 
-    pub fn play(&mut self, step: &Step) {
+    pub(super) fn play(&mut self, step: &Step) {
         if self.closing && step.is_of_a_client() {
             return;
         }
@@ -325,7 +325,7 @@
         self.event(Event::Received(Peer::ChangeLog(self.log), line.as_bytes()));
     }
 
-    pub fn pass(&mut self, ms: u64) {
+    pub(super) fn pass(&mut self, ms: u64) {
         let end = self.now.after(Nanos(ms * 1_000_000));
         while let Some(((at, _), _)) = self.timers.first_key_value().filter(|((at, _), _)| *at <= end) {
             self.now = self.now.max(*at);
--- a/crates/dispatcher/tests/dispatcher/folders_place.rs
+++ b/crates/dispatcher/tests/dispatcher/folders_place.rs
@@ -18,12 +18,12 @@
 /// The object of all requests.
 const OBJECT: &str = "7f3a000000000000";
 
-pub fn unix_ms() -> u64 {
+pub(crate) fn unix_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).expect("a time after 1970").as_millis() as u64
 }
 
 /// Waits until something is so; none of it takes nearly as long as it may.
-pub fn wait_until(what: &str, mut so: impl FnMut() -> bool) {
+pub(crate) fn wait_until(what: &str, mut so: impl FnMut() -> bool) {
     let began = Instant::now();
     while !so() {
         assert!(began.elapsed() < LONG, "{what}: not within {LONG:?}");
@@ -32,7 +32,7 @@
 }
 
 /// A stand-in of the change log, which outlives the program: tells who calls all that came after what it names.
-pub struct ChangeLog {
+pub(crate) struct ChangeLog {
     address: String,
     events: Arc<Mutex<Vec<String>>>,
 }
@@ -72,7 +72,7 @@
     }
 
     /// Something was purged just now; the time of that.
-    pub fn purge(&self, what: &str) -> u64 {
+    pub(crate) fn purge(&self, what: &str) -> u64 {
         let (mut events, time) = (self.events.lock().expect("events"), unix_ms());
         let seq = events.len() + 1;
         events.push(format!("{{\"seq\":{seq},\"invalidate\":{{{what},\"time\":{time}}}}}\n"));
@@ -100,7 +100,7 @@
 }
 
 /// A dispatcher's place: its folder and files, the nodes and the change log around it, which outlive each program.
-pub struct Place {
+pub(crate) struct Place {
     folder: PathBuf,
     address: String,
     pub log: ChangeLog,
@@ -114,7 +114,7 @@
 }
 
 impl Place {
-    pub fn new() -> Place {
+    pub(crate) fn new() -> Place {
         static PLACES: AtomicU32 = AtomicU32::new(0);
         let place = PLACES.fetch_add(1, Ordering::Relaxed);
         let name = format!("copperroute-folders-{}-{place}", std::process::id());
@@ -147,12 +147,12 @@
         }
     }
 
-    pub fn store(&self) -> PathBuf {
+    pub(crate) fn store(&self) -> PathBuf {
         self.folder.join("store")
     }
 
     /// Which calls on the store's files fail from now on.
-    pub fn faults(&self, plan: &FaultPlan) {
+    pub(crate) fn faults(&self, plan: &FaultPlan) {
         let (new, place) = (self.folder.join("plan.new"), self.folder.join("plan"));
         std::fs::write(&new, plan.to_string()).expect("a temporary file");
         std::fs::rename(new, place).expect("a temporary file");
@@ -175,7 +175,7 @@
     }
 
     /// The program, started with what is known by now.
-    pub fn program(&self) -> Program {
+    pub(crate) fn program(&self) -> Program {
         let path = self.folder.join("config.json");
         std::fs::write(&path, self.configured()).expect("a file");
         let errors = std::fs::File::options().create(true).append(true).open(self.errors()).expect("a file");
@@ -201,13 +201,13 @@
         self.folder.join("errors")
     }
 
-    pub fn lines_with(&self, what: &str) -> usize {
+    pub(crate) fn lines_with(&self, what: &str) -> usize {
         let errors = std::fs::read_to_string(self.errors()).unwrap_or_default();
         errors.lines().filter(|line| line.contains(what)).count()
     }
 
     /// When what a client is given was made.
-    pub fn given(&mut self) -> u64 {
+    pub(crate) fn given(&mut self) -> u64 {
         self.tag += 1;
         let mut client = TcpStream::connect(&self.address).expect("the program listens");
         client.set_read_timeout(Some(LONG)).expect("a timeout");
@@ -237,7 +237,7 @@
     }
 
     /// Asks for the next part until a copy has gone to disk; memory has none that would be given in its place.
-    pub fn keep_on_disk(&mut self) {
+    pub(crate) fn keep_on_disk(&mut self) {
         self.part += 1;
         let part = self.part;
         wait_until("a copy is kept on disk", || {
@@ -247,7 +247,7 @@
     }
 
     /// Purges something that is not asked for, and waits until the disk has marked it.
-    pub fn purge_other(&self) {
+    pub(crate) fn purge_other(&self) {
         self.log.purge("\"bucket\":5");
         let last = self.log.events.lock().expect("events").len() as u64;
         wait_until("the purge is marked", || {
@@ -256,7 +256,7 @@
     }
 
     /// Purges the object; who asks once that was heard is given a newer copy.
-    pub fn purge_object(&mut self) -> u64 {
+    pub(crate) fn purge_object(&mut self) -> u64 {
         let purged = self.log.purge(&format!("\"object\":\"{OBJECT}\""));
         wait_until("the purge is heard", || self.given() > purged);
         purged
@@ -270,7 +270,7 @@
 }
 
 /// A program, which is killed when it goes.
-pub struct Program(Child);
+pub(crate) struct Program(Child);
 
 impl Drop for Program {
     fn drop(&mut self) {
--- a/crates/dispatcher/tests/dispatcher/rig.rs
+++ b/crates/dispatcher/tests/dispatcher/rig.rs
@@ -13,20 +13,20 @@
 use std::time::{Duration, Instant};
 
 /// Nothing here takes nearly as long; it only ends a test that hangs.
-pub const LONG: Duration = Duration::from_secs(20);
+pub(crate) const LONG: Duration = Duration::from_secs(20);
 
 /// A request so large that no stand-in counts as slow, however busy the machine is.
-pub const UNHURRIED: &str = ",need=25000,timeout=15000";
+pub(crate) const UNHURRIED: &str = ",need=25000,timeout=15000";
 
 /// What a stand-in of a node was sent, and its way to answer.
-pub struct Asked {
+pub(crate) struct Asked {
     pub node: &'static str,
     pub line: String,
     pub back: TcpStream,
 }
 
 /// A node: tells each line that it is sent, and answers nothing by itself.
-pub fn stand_in(node: &'static str, asked: Sender<Asked>) -> String {
+pub(crate) fn stand_in(node: &'static str, asked: Sender<Asked>) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("an address").to_string();
     thread::spawn(move || {
@@ -53,7 +53,7 @@
 const RIGS_PER_HOST: u32 = 240;
 
 /// A program that serves, with stand-ins all around.
-pub struct Rig {
+pub(crate) struct Rig {
     pub program: Child,
     pub address: String,
     pub asked: Receiver<Asked>,
@@ -62,12 +62,12 @@
 }
 
 impl Rig {
-    pub fn start() -> Rig {
+    pub(crate) fn start() -> Rig {
         Rig::limited("true", Stdio::null())
     }
 
     /// The same with a client that has asked for one request, under tag 7, and the attempt that came of it.
-    pub fn asked_for(content_type: &str) -> (Rig, TcpStream, Asked) {
+    pub(crate) fn asked_for(content_type: &str) -> (Rig, TcpStream, Asked) {
         let rig = Rig::start();
         let mut client = rig.client();
         client.write_all(&request(7, content_type, "9b1f", UNHURRIED)).expect("the program reads");
@@ -76,13 +76,13 @@
     }
 
     /// The same with system calls that fail as a plan says.
-    pub fn failing(plan: &FaultPlan, errors: Stdio) -> Rig {
+    pub(crate) fn failing(plan: &FaultPlan, errors: Stdio) -> Rig {
         let library = fault_injection::library();
         Rig::limited(&format!("export LD_PRELOAD='{}' {VARIABLE}='{plan}'", library.display()), errors)
     }
 
     /// The same after a command of the shell has set limits.
-    pub fn limited(limits: &str, errors: Stdio) -> Rig {
+    pub(crate) fn limited(limits: &str, errors: Stdio) -> Rig {
         let (tell, asked) = channel();
         let log = TcpListener::bind("127.0.0.1:0").expect("a free port");
         // An address of its own: a port that was free a moment ago may be another test's by now.
@@ -112,22 +112,22 @@
         Rig { program, address, asked, log, config: path }
     }
 
-    pub fn client(&self) -> TcpStream {
+    pub(crate) fn client(&self) -> TcpStream {
         let stream = TcpStream::connect(&self.address).expect("the program listens");
         stream.set_read_timeout(Some(LONG)).expect("a timeout");
         stream
     }
 
-    pub fn asked(&self) -> Asked {
+    pub(crate) fn asked(&self) -> Asked {
         self.asked.recv_timeout(LONG).expect("a node is asked")
     }
 
     /// The change log tells something.
-    pub fn tell(&mut self, line: &str) {
+    pub(crate) fn tell(&mut self, line: &str) {
         self.log.write_all(line.as_bytes()).expect("the program reads");
     }
 
-    pub fn signal(&self, name: &str) {
+    pub(crate) fn signal(&self, name: &str) {
         let kill = format!("kill -{name} {}", self.program.id());
         assert!(Command::new("sh").args(["-c", &kill]).status().expect("a shell").success());
         // A stop takes effect a moment later: what comes before would be found apart from what comes after.
@@ -147,7 +147,7 @@
 }
 
 /// A stand-in of the change log that is followed from its first event.
-pub fn followed(log: &TcpListener) -> TcpStream {
+pub(crate) fn followed(log: &TcpListener) -> TcpStream {
     log.set_nonblocking(true).expect("a listener");
     let until = Instant::now() + LONG;
     let mut stream = loop {
@@ -165,7 +165,7 @@
 }
 
 /// A node's answer and what follows its line.
-pub fn told(answer: &str, rest: &[u8]) -> Vec<u8> {
+pub(crate) fn told(answer: &str, rest: &[u8]) -> Vec<u8> {
     let mut bytes = answered(answer).into_bytes();
     bytes.extend_from_slice(b"\r\n");
     bytes.extend_from_slice(rest);
@@ -173,7 +173,7 @@
 }
 
 /// An answer's four bulk strings.
-pub fn items(reader: &mut impl BufRead) -> Vec<Vec<u8>> {
+pub(crate) fn items(reader: &mut impl BufRead) -> Vec<Vec<u8>> {
     let mut line = String::new();
     reader.read_line(&mut line).expect("an answer");
     assert_eq!(line, "*4\r\n");
@@ -190,26 +190,26 @@
 }
 
 /// An answer as a line.
-pub fn answer(stream: &TcpStream) -> String {
+pub(crate) fn answer(stream: &TcpStream) -> String {
     let words: Vec<_> =
         items(&mut BufReader::new(stream)).iter().map(|w| w.escape_ascii().to_string()).collect();
     words.join(" ").trim_end().to_string() + "\n"
 }
 
 /// Who is asked depends on hashes that are the same in every run; what varies from run to run is the wait.
-pub fn shown(asked: &Asked) -> String {
+pub(crate) fn shown(asked: &Asked) -> String {
     let wait = asked.line.split("ttl=").nth(1).map_or("", |rest| rest.split([',', ' ']).next().unwrap_or(""));
     short(&format!("{}: {}\n", asked.node, asked.line.replace(&format!("ttl={wait}"), "ttl=T")))
 }
 
 /// Ends a connection by a reset.
-pub fn reset(stream: &TcpStream) {
+pub(crate) fn reset(stream: &TcpStream) {
     SockRef::from(stream).set_linger(Some(Duration::ZERO)).expect("an option");
     SockRef::from(stream).shutdown(Shutdown::Both).ok();
 }
 
 /// All that still comes on a connection, and how it ends.
-pub fn rest(mut stream: &TcpStream) -> String {
+pub(crate) fn rest(mut stream: &TcpStream) -> String {
     let mut all = Vec::new();
     let end = stream.read_to_end(&mut all);
     format!(
@@ -221,7 +221,7 @@
 
 /// Waits until what was written on this side lies unread at the stopped program, or the end where the sending side has ended:
 /// under load a kernel takes its time over loopback too.
-pub fn lies_unread(stream: &TcpStream, ended: bool) {
+pub(crate) fn lies_unread(stream: &TcpStream, ended: bool) {
     let port = |address: std::io::Result<std::net::SocketAddr>| {
         format!(":{:04X}", address.expect("an address").port())
     };
@@ -243,7 +243,7 @@
 }
 
 /// The program has read all that came before this: a client of its own is answered, and no node was asked anything.
-pub fn quiet(rig: &Rig) -> String {
+pub(crate) fn quiet(rig: &Rig) -> String {
     let mut client = rig.client();
     client.write_all(&message("HEALTH", 8)).expect("the program reads");
     let mut trace = answer(&client);
@@ -255,18 +255,18 @@
 }
 
 /// The processor time that a process has used.
-pub fn processor_s(pid: u32) -> f64 {
+pub(crate) fn processor_s(pid: u32) -> f64 {
     let text = std::fs::read_to_string(format!("/proc/{pid}/stat")).expect("it runs");
     let fields: Vec<&str> = text.rsplit(") ").next().unwrap_or_default().split(' ').collect();
     [11, 12].iter().map(|at| fields[*at].parse::<f64>().expect("a number") / 100.0).sum()
 }
 
-pub fn still_there(stream: &TcpStream) -> bool {
+pub(crate) fn still_there(stream: &TcpStream) -> bool {
     matches!((&*stream).read(&mut [0; 16]), Err(fault) if fault.kind() == ErrorKind::WouldBlock)
 }
 
 /// All that was told to the program before this has been read.
-pub fn lies_read(rig: &Rig) {
+pub(crate) fn lies_read(rig: &Rig) {
     let mut client = rig.client();
     // The change log is read before clients in a turn, and one turn may have begun before it was told.
     for tag in 1..4 {
--- a/crates/dispatcher/tests/dispatcher/system_calls.rs
+++ b/crates/dispatcher/tests/dispatcher/system_calls.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 /// Longer than it takes until a plan that was written holds.
-pub const TAKES_OVER: Duration = Duration::from_millis(120);
+pub(crate) const TAKES_OVER: Duration = Duration::from_millis(120);
 /// Clients at once, and what each asks.
 const CLIENTS: u64 = 6;
 const REQUESTS: u64 = 10;
--- a/crates/fault-injection/preload/src/files.rs
+++ b/crates/fault-injection/preload/src/files.rs
@@ -75,7 +75,7 @@
 /// As libc's.
 // SAFETY: of the name and type of libc's.
 #[unsafe(no_mangle)]
-pub unsafe extern "C" fn rename(from: *const c_char, to: *const c_char) -> c_int {
+pub(crate) unsafe extern "C" fn rename(from: *const c_char, to: *const c_char) -> c_int {
     // SAFETY: as libc's.
     if session::fails_on_path(Call::Rename, &unsafe { path_of(to) }) {
         return -1;
--- a/crates/fault-injection/preload/src/lib.rs
+++ b/crates/fault-injection/preload/src/lib.rs
@@ -6,6 +6,9 @@
 //! find the real functions by `dlsym`, and is handed raw pointers. No program that serves depends on it; each block says
 //! why it holds. Only linked as the library that tests preload.
 
+// What takes the place of functions of libc is reached by its symbol.
+#![allow(unreachable_pub)]
+
 mod descriptor;
 mod files;
 mod real;
--- a/crates/fault-injection/preload/src/sockets.rs
+++ b/crates/fault-injection/preload/src/sockets.rs
@@ -37,7 +37,7 @@
 /// As libc's.
 // SAFETY: of the name and type of libc's.
 #[unsafe(no_mangle)]
-pub unsafe extern "C" fn connect(socket: c_int, address: *const sockaddr, length: socklen_t) -> c_int {
+pub(crate) unsafe extern "C" fn connect(socket: c_int, address: *const sockaddr, length: socklen_t) -> c_int {
     let error = session::error(Call::Connect);
     if let None | Some(Errno(libc::EINTR | libc::EINPROGRESS)) = error {
         let result = real!(connect(socket, address, length): fn(c_int, *const sockaddr, socklen_t) -> c_int);
@@ -56,7 +56,7 @@
 /// As libc's.
 // SAFETY: of the name and, as said, the type of libc's.
 #[unsafe(no_mangle)]
-pub unsafe extern "C" fn ioctl(descriptor: c_int, request: c_ulong, argument: *mut c_void) -> c_int {
+pub(crate) unsafe extern "C" fn ioctl(descriptor: c_int, request: c_ulong, argument: *mut c_void) -> c_int {
     if descriptor::kind(descriptor) == Kind::Socket && session::fails(Call::Ioctl) {
         return -1;
     }
--- a/crates/fault-injection/preload/src/wall_clock.rs
+++ b/crates/fault-injection/preload/src/wall_clock.rs
@@ -18,7 +18,7 @@
 /// As libc's.
 // SAFETY: of the name and type of libc's.
 #[unsafe(no_mangle)]
-pub unsafe extern "C" fn clock_gettime(clock: clockid_t, to: *mut timespec) -> c_int {
+pub(crate) unsafe extern "C" fn clock_gettime(clock: clockid_t, to: *mut timespec) -> c_int {
     let result = real!(clock_gettime(clock, to): fn(clockid_t, *mut timespec) -> c_int);
     if result == 0 && matches!(clock, libc::CLOCK_REALTIME | libc::CLOCK_REALTIME_COARSE) {
         // SAFETY: the call has gone well, so it's room that holds a time.
@@ -35,7 +35,7 @@
 /// As libc's.
 // SAFETY: of the name and type of libc's.
 #[unsafe(no_mangle)]
-pub unsafe extern "C" fn gettimeofday(to: *mut timeval, zone: *mut c_void) -> c_int {
+pub(crate) unsafe extern "C" fn gettimeofday(to: *mut timeval, zone: *mut c_void) -> c_int {
     let result = real!(gettimeofday(to, zone): fn(*mut timeval, *mut c_void) -> c_int);
     if result == 0 && !to.is_null() {
         // SAFETY: the call has gone well, so it's room that holds a time.
@@ -52,7 +52,7 @@
 /// As libc's.
 // SAFETY: of the name and type of libc's.
 #[unsafe(no_mangle)]
-pub unsafe extern "C" fn time(to: *mut time_t) -> time_t {
+pub(crate) unsafe extern "C" fn time(to: *mut time_t) -> time_t {
     let mut now = timespec { tv_sec: 0, tv_nsec: 0 };
     // SAFETY: it's room for a time.
     unsafe { clock_gettime(libc::CLOCK_REALTIME, &mut now) };
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -8,6 +8,9 @@
 //! the event loop's epoll, timerfd and eventfd calls are out of reach; a process that is stopped and continued
 //! (`SIGSTOP`, `SIGCONT`) has its waits interrupted.
 
+// Not yet: calls and plans have names that say it.
+#![allow(missing_docs)]
+
 mod call;
 mod errno;
 mod parse;
--- a/crates/model-checks/tests/checks/change_log/dispatcher.rs
+++ b/crates/model-checks/tests/checks/change_log/dispatcher.rs
@@ -6,7 +6,7 @@
 
 /// What no ordering may bring about.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Violation {
+pub(super) enum Violation {
     /// An event was acted on twice, behind a later one, or before its predecessors.
     OutOfOrder,
     /// An event was passed over that was not lost on both ways, or was not acted on though a stream told all.
@@ -22,7 +22,7 @@
 
 /// A dispatcher.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Dispatcher {
+pub(super) struct Dispatcher {
     merge: Merge<u64>,
     /// The last event that it acted on.
     pub acted: u64,
@@ -35,7 +35,7 @@
 
 impl Dispatcher {
     /// With both streams up and one heartbeat of each heard.
-    pub fn new() -> Self {
+    pub(super) fn new() -> Self {
         let streams = [Link::up(), Link::up()];
         let mut merge = merge();
         for of in 0..streams.len() {
@@ -46,32 +46,32 @@
     }
 
     /// It is killed and started again with nothing.
-    pub fn restart(&mut self) {
+    pub(super) fn restart(&mut self) {
         self.streams.iter_mut().for_each(Link::end);
         (self.merge, self.acted) = (merge(), 0);
     }
 
     /// Asks a replica, whose last event has this number, for what follows.
-    pub fn call(&mut self, second: u64, of: usize, last: u64, fault: Option<Fault>) {
+    pub(super) fn call(&mut self, second: u64, of: usize, last: u64, fault: Option<Fault>) {
         let too_late = u64::from(fault == Some(Fault::AskTooLate));
         self.merge.asked(clock(second), of);
         self.streams[of].call(self.merge.applied() + too_late, last);
     }
 
     /// A stream ends.
-    pub fn end(&mut self, of: usize) {
+    pub(super) fn end(&mut self, of: usize) {
         self.merge.ended(of);
         self.streams[of].end();
     }
 
     /// The next message of a stream is lost.
-    pub fn lose_next(&mut self, of: usize) {
+    pub(super) fn lose_next(&mut self, of: usize) {
         let lost = self.streams[of].lose_next();
         self.lost_on_way += u8::from(matches!(lost, Some(Message::Event(_))));
     }
 
     /// Takes what a stream tells next; a heartbeat has to vouch for all events up to `before`.
-    pub fn hear(&mut self, second: u64, of: usize, before: u64, fault: Option<Fault>) {
+    pub(super) fn hear(&mut self, second: u64, of: usize, before: u64, fault: Option<Fault>) {
         match self.streams[of].deliver() {
             Some(Message::Event(number)) => self.event(of, number, fault),
             Some(Message::Heartbeat(last)) => self.heartbeat(second, of, last, before, fault),
@@ -112,7 +112,7 @@
     }
 
     /// Does what the merge asks for by now.
-    pub fn take_steps(&mut self, second: u64) {
+    pub(super) fn take_steps(&mut self, second: u64) {
         while let Some(step) = self.merge.next_step(clock(second)) {
             match step {
                 Step::Apply { event, lost } => self.act(event, lost),
--- a/crates/model-checks/tests/checks/change_log/model.rs
+++ b/crates/model-checks/tests/checks/change_log/model.rs
@@ -7,7 +7,7 @@
 
 /// A deliberate fault. Those of the merge and of a replica are put around the real decisions.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fault {
+pub(super) enum Fault {
     /// The second copy of an event is acted on again.
     ApplySecondCopy,
     /// An event is acted on though those before it have not come.
@@ -22,7 +22,7 @@
 
 /// How much may happen.
 #[derive(Debug, Clone, Copy)]
-pub struct Bounds {
+pub(super) struct Bounds {
     pub events: u64,
     pub troubles: usize,
     pub seconds: u64,
@@ -33,7 +33,7 @@
 /// Dispatchers change neither each other nor a replica, and start alike: what any of them can come to, the first can come
 /// to. Where the second is prompt, it takes all at once and calls at once, and nothing of its own goes wrong; what is left
 /// out by that is what the first goes through.
-pub struct Search {
+pub(super) struct Search {
     pub fault: Option<Fault>,
     pub bounds: Bounds,
     pub second_is_prompt: bool,
@@ -43,7 +43,7 @@
 
 /// A step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Action {
+pub(super) enum Action {
     Tick,
     Write,
     ReplicaHears(usize),
@@ -56,12 +56,12 @@
 }
 
 /// Names of the properties.
-pub const IN_ORDER: &str = "no event is acted on out of order";
-pub const NONE_LOST: &str = "no event is lost while either stream delivers";
-pub const NO_STALE_LEASE: &str = "no heartbeat from a source that is out of touch renews a lease";
-pub const NEVER_ANEW: &str = "numbers are not taken to begin anew";
+pub(super) const IN_ORDER: &str = "no event is acted on out of order";
+pub(super) const NONE_LOST: &str = "no event is lost while either stream delivers";
+pub(super) const NO_STALE_LEASE: &str = "no heartbeat from a source that is out of touch renews a lease";
+pub(super) const NEVER_ANEW: &str = "numbers are not taken to begin anew";
 /// Names of what must be reached.
-pub const ALL_ACT: &str = "both act on all, after all that goes wrong";
+pub(super) const ALL_ACT: &str = "both act on all, after all that goes wrong";
 
 impl Search {
     fn has_time(&self, world: &World) -> bool {
--- a/crates/model-checks/tests/checks/change_log/parts.rs
+++ b/crates/model-checks/tests/checks/change_log/parts.rs
@@ -5,18 +5,18 @@
 use std::collections::VecDeque;
 
 /// Where the clock begins, in seconds.
-pub const BEGIN: u64 = 100;
+pub(super) const BEGIN: u64 = 100;
 /// On its way a line takes no longer.
-pub const PROPAGATION_BOUND: Nanos = Nanos(500_000_000);
+pub(super) const PROPAGATION_BOUND: Nanos = Nanos(500_000_000);
 
 /// A second of the clock.
-pub fn clock(second: u64) -> Nanos {
+pub(super) fn clock(second: u64) -> Nanos {
     Nanos((BEGIN + second) * 1_000_000_000)
 }
 
 /// What a stream tells.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Message {
+pub(super) enum Message {
     /// An event, by its number.
     Event(u64),
     /// The number of the last event, once a second.
@@ -25,7 +25,7 @@
 
 /// A connection on which events and heartbeats are told.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Link {
+pub(super) struct Link {
     pub is_up: bool,
     /// It carries nothing for now; what is sent waits.
     pub is_held: bool,
@@ -36,59 +36,59 @@
 
 impl Link {
     /// It stands, and has told all so far.
-    pub fn up() -> Self {
+    pub(super) fn up() -> Self {
         Link { is_up: true, is_held: false, is_whole: true, queue: VecDeque::new() }
     }
 
     /// Asked for what follows an event, of which the last has this number.
-    pub fn call(&mut self, since: u64, last: u64) {
+    pub(super) fn call(&mut self, since: u64, last: u64) {
         self.is_up = true;
         self.queue.extend((since + 1..=last).map(Message::Event));
     }
 
     /// The connection ends, and what is on its way is gone.
-    pub fn end(&mut self) {
+    pub(super) fn end(&mut self) {
         *self = Link { is_up: false, is_held: false, is_whole: false, queue: VecDeque::new() };
     }
 
-    pub fn hold(&mut self) {
+    pub(super) fn hold(&mut self) {
         (self.is_held, self.is_whole) = (true, false);
     }
 
-    pub fn send(&mut self, message: Message) {
+    pub(super) fn send(&mut self, message: Message) {
         if self.is_up {
             self.queue.push_back(message);
         }
     }
 
     /// Whether something is due to arrive within the second.
-    pub fn has_due(&self) -> bool {
+    pub(super) fn has_due(&self) -> bool {
         !self.is_held && !self.queue.is_empty()
     }
 
-    pub fn deliver(&mut self) -> Option<Message> {
+    pub(super) fn deliver(&mut self) -> Option<Message> {
         if self.is_held { None } else { self.queue.pop_front() }
     }
 
     /// The next message is lost on its way.
-    pub fn lose_next(&mut self) -> Option<Message> {
+    pub(super) fn lose_next(&mut self) -> Option<Message> {
         self.is_whole = false;
         self.queue.pop_front()
     }
 
-    pub fn double_next(&mut self) {
+    pub(super) fn double_next(&mut self) {
         let next = self.queue.front().copied();
         next.into_iter().for_each(|next| self.queue.push_front(next));
     }
 
-    pub fn second_begins(&mut self) {
+    pub(super) fn second_begins(&mut self) {
         self.is_whole = self.is_up && !self.is_held;
     }
 }
 
 /// A replica of the change log, which follows the log itself.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Replica {
+pub(super) struct Replica {
     pub source: Link,
     /// The last event that it holds; it holds all before it.
     pub last: u64,
@@ -99,7 +99,7 @@
 
 impl Replica {
     /// Current, with one heartbeat heard.
-    pub fn new() -> Self {
+    pub(super) fn new() -> Self {
         let mut heartbeats = Heartbeats::new(PROPAGATION_BOUND);
         heartbeats.asked(clock(0));
         assert!(heartbeats.is_fresh(clock(0)), "it comes with the call");
@@ -108,25 +108,25 @@
     }
 
     /// It is killed and started again with nothing.
-    pub fn restart(&mut self) {
+    pub(super) fn restart(&mut self) {
         self.lose_source();
         self.last = 0;
         self.heartbeats = Heartbeats::new(PROPAGATION_BOUND);
     }
 
-    pub fn lose_source(&mut self) {
+    pub(super) fn lose_source(&mut self) {
         self.source.end();
         self.is_current = false;
     }
 
     /// Calls the log, whose last event has this number.
-    pub fn call(&mut self, second: u64, log: u64) {
+    pub(super) fn call(&mut self, second: u64, log: u64) {
         self.source.call(self.last, log);
         self.heartbeats.asked(clock(second));
     }
 
     /// Takes what its source has told next; gives what is passed on to followers.
-    pub fn hear(&mut self, second: u64) -> Option<Message> {
+    pub(super) fn hear(&mut self, second: u64) -> Option<Message> {
         let message = self.source.deliver()?;
         match message {
             Message::Event(number) if number == self.last + 1 => self.last = number,
@@ -152,7 +152,7 @@
     }
 
     /// Whether its followers' streams have to end; it leaves a source that brings no heartbeat.
-    pub fn lapses(&mut self, second: u64) -> bool {
+    pub(super) fn lapses(&mut self, second: u64) -> bool {
         let lapses = !self.heartbeats.is_current(clock(second));
         if lapses && self.is_current {
             self.lose_source();
--- a/crates/model-checks/tests/checks/change_log/world.rs
+++ b/crates/model-checks/tests/checks/change_log/world.rs
@@ -6,7 +6,7 @@
 
 /// What goes wrong; numbers name a dispatcher and a replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Trouble {
+pub(super) enum Trouble {
     /// A replica's stream from the log, or a dispatcher's from a replica, ends.
     EndSource(usize),
     EndStream(usize, usize),
@@ -22,7 +22,7 @@
 
 /// All, and the judge's findings.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct World {
+pub(super) struct World {
     pub second: u64,
     /// The last event of the log, and the last as this second and the two before it began.
     pub log: u64,
@@ -35,7 +35,7 @@
 
 impl World {
     /// All are in touch, and the log is empty.
-    pub fn new() -> Self {
+    pub(super) fn new() -> Self {
         World {
             second: 0,
             log: 0,
@@ -46,19 +46,19 @@
         }
     }
 
-    pub fn violation(&self) -> Option<Violation> {
+    pub(super) fn violation(&self) -> Option<Violation> {
         self.dispatchers.iter().find_map(|dispatcher| dispatcher.violation)
     }
 
     /// Whether all that is not held has arrived: only then the second may end.
-    pub fn is_settled(&self) -> bool {
+    pub(super) fn is_settled(&self) -> bool {
         let sources = self.replicas.iter().map(|replica| &replica.source);
         let streams = self.dispatchers.iter().flat_map(|dispatcher| &dispatcher.streams);
         !sources.chain(streams).any(|link| link.has_due())
     }
 
     /// The log has one event more.
-    pub fn write(&mut self) {
+    pub(super) fn write(&mut self) {
         self.log += 1;
         for replica in &mut self.replicas {
             replica.source.send(Message::Event(self.log));
@@ -66,7 +66,7 @@
     }
 
     /// A second ends, and another begins.
-    pub fn tick(&mut self, fault: Option<Fault>) {
+    pub(super) fn tick(&mut self, fault: Option<Fault>) {
         self.judge();
         self.second += 1;
         self.before = [self.log, self.before[0], self.before[1]];
@@ -107,28 +107,34 @@
         self.dispatchers.iter_mut().for_each(|dispatcher| dispatcher.streams[of].send(message));
     }
 
-    pub fn replica_hears(&mut self, of: usize) {
+    pub(super) fn replica_hears(&mut self, of: usize) {
         if let Some(message) = self.replicas[of].hear(self.second) {
             self.tell(of, message);
         }
     }
 
     /// What renews a lease has to vouch for all that was written before this second, or so many seconds earlier.
-    pub fn dispatcher_hears(&mut self, who: usize, of: usize, seconds_old: usize, fault: Option<Fault>) {
+    pub(super) fn dispatcher_hears(
+        &mut self,
+        who: usize,
+        of: usize,
+        seconds_old: usize,
+        fault: Option<Fault>,
+    ) {
         let before = self.before[seconds_old];
         self.dispatchers[who].hear(self.second, of, before, fault);
     }
 
-    pub fn replica_calls(&mut self, of: usize) {
+    pub(super) fn replica_calls(&mut self, of: usize) {
         self.replicas[of].call(self.second, self.log);
     }
 
-    pub fn dispatcher_calls(&mut self, who: usize, of: usize, fault: Option<Fault>) {
+    pub(super) fn dispatcher_calls(&mut self, who: usize, of: usize, fault: Option<Fault>) {
         let last = self.replicas[of].last;
         self.dispatchers[who].call(self.second, of, last, fault);
     }
 
-    pub fn suffer(&mut self, trouble: Trouble) {
+    pub(super) fn suffer(&mut self, trouble: Trouble) {
         self.troubles += 1;
         match trouble {
             Trouble::EndSource(of) => self.replicas[of].lose_source(),
--- a/crates/protocol/src/changes.rs
+++ b/crates/protocol/src/changes.rs
@@ -37,8 +37,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
+    /// Takes work.
     Active,
+    /// Is draining.
     Leaving,
+    /// Is gone.
     Left,
 }
 
--- a/crates/routing/src/change_log/held.rs
+++ b/crates/routing/src/change_log/held.rs
@@ -5,11 +5,11 @@
 use std::collections::VecDeque;
 
 /// Events of one stream that are held back at most.
-pub const MOST_EVENTS: usize = 4096;
+pub(super) const MOST_EVENTS: usize = 4096;
 /// Bytes of them: as many as the longest line may have.
-pub const MOST_BYTES: usize = 4 * 1024 * 1024;
+pub(super) const MOST_BYTES: usize = 4 * 1024 * 1024;
 /// For so long the other stream may fill a gap: a heartbeat's period, half of what a purge may take.
-pub const LONGEST: Nanos = Nanos(1_000_000_000);
+pub(super) const LONGEST: Nanos = Nanos(1_000_000_000);
 
 /// Arrivals in the order in which they came.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
--- a/crates/routing/src/change_log/merge.rs
+++ b/crates/routing/src/change_log/merge.rs
@@ -53,13 +53,33 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Reason {
     /// An event has come before its predecessors.
-    Gap { number: u64, applied: u64 },
+    Gap {
+        /// The event's number.
+        number: u64,
+        /// The number of the last event that was applied.
+        applied: u64,
+    },
     /// An event can't be used.
-    Unusable { number: u64, why: String },
+    Unusable {
+        /// The event's number.
+        number: u64,
+        /// Why not, for the log.
+        why: String,
+    },
     /// Its heartbeat names an event that has not come.
-    Missing { last: u64, applied: u64 },
+    Missing {
+        /// The number that it names.
+        last: u64,
+        /// The number of the last event that was applied.
+        applied: u64,
+    },
     /// Its numbers are lower than what was applied.
-    BegunAnew { last: u64, applied: u64 },
+    BegunAnew {
+        /// The number that it names.
+        last: u64,
+        /// The number of the last event that was applied.
+        applied: u64,
+    },
 }
 
 impl fmt::Display for Reason {
@@ -79,13 +99,35 @@
 #[derive(Debug)]
 pub enum Step<E> {
     /// Apply an event. Where `lost`, what lies between it and the one before was not told.
-    Apply { event: E, lost: bool },
+    Apply {
+        /// The event.
+        event: E,
+        /// Events before it were not told.
+        lost: bool,
+    },
     /// Pass over an event that can't be used.
-    LeftOut { number: u64, why: String },
+    LeftOut {
+        /// The event's number.
+        number: u64,
+        /// Why not, for the log.
+        why: String,
+    },
     /// A stream tells another content under a number that was applied: of both the stricter acts.
-    Contradiction { source: usize, number: u64, event: E },
+    Contradiction {
+        /// The stream, by its index.
+        source: usize,
+        /// The event's number.
+        number: u64,
+        /// The event.
+        event: E,
+    },
     /// End a stream and ask it again from the last event that was applied.
-    Reconnect { source: usize, reason: Reason },
+    Reconnect {
+        /// The stream, by its index.
+        source: usize,
+        /// Why.
+        reason: Reason,
+    },
 }
 
 /// What a heartbeat says.
@@ -96,7 +138,10 @@
     /// It vouches for nothing now: it came late, or events of its stream are held back.
     Unsure,
     /// It knows of less than what was applied; `news` the first time in a row that this lasts.
-    Behind { news: bool },
+    Behind {
+        /// It was not so at its last heartbeat.
+        news: bool,
+    },
     /// The stream is to be asked again.
     Reconnect(Reason),
     /// So are all: numbers begin anew.
--- a/crates/routing/src/retry_safety.rs
+++ b/crates/routing/src/retry_safety.rs
@@ -14,7 +14,12 @@
     /// It may run any number of times.
     Retriable,
     /// A repeat is known and dropped within a group of caches, for a time from the first attempt.
-    Deduped { scope: DedupScope, window: Nanos },
+    Deduped {
+        /// Which caches know of it.
+        scope: DedupScope,
+        /// For how long, from the first attempt.
+        window: Nanos,
+    },
     /// It must never run twice.
     NonRetriable,
 }
--- a/crates/routing/tests/module/change_log/merge_play.rs
+++ b/crates/routing/tests/module/change_log/merge_play.rs
@@ -5,18 +5,18 @@
 use std::fmt::Write as _;
 
 /// A merge with two streams that are asked for.
-pub struct Play {
+pub(super) struct Play {
     pub merge: Merge<&'static str>,
     pub now_ms: u64,
     pub trace: String,
 }
 
 impl Play {
-    pub fn new(applied: u64) -> Play {
+    pub(super) fn new(applied: u64) -> Play {
         Play::with_streams(applied, 2)
     }
 
-    pub fn with_streams(applied: u64, streams: usize) -> Play {
+    pub(super) fn with_streams(applied: u64, streams: usize) -> Play {
         let mut merge = Merge::new(applied, ms(500));
         merge.look_for_anew(true);
         let mut play = Play { merge, now_ms: 10_000, trace: String::new() };
@@ -27,30 +27,30 @@
         play
     }
 
-    pub fn ask(&mut self, source: usize) {
+    pub(super) fn ask(&mut self, source: usize) {
         self.merge.asked(ms(self.now_ms), source);
     }
 
-    pub fn event(&mut self, source: usize, number: u64, says: &'static str) {
+    pub(super) fn event(&mut self, source: usize, number: u64, says: &'static str) {
         let digest = (!says.is_empty()).then(|| says.len() as u64 * 1_000 + u64::from(says.as_bytes()[0]));
         self.arrives(source, Arrival { number, bytes: 100, digest, content: Content::Delta(says) });
     }
 
-    pub fn snapshot(&mut self, source: usize, number: u64) {
+    pub(super) fn snapshot(&mut self, source: usize, number: u64) {
         self.arrives(source, Arrival { number, bytes: 100, digest: None, content: Content::Snapshot("all") });
     }
 
-    pub fn unusable(&mut self, source: usize, number: u64) {
+    pub(super) fn unusable(&mut self, source: usize, number: u64) {
         let content = Content::Unusable("no such state".into());
         self.arrives(source, Arrival { number, bytes: 100, digest: None, content });
     }
 
-    pub fn arrives(&mut self, source: usize, arrival: Arrival<&'static str>) {
+    pub(super) fn arrives(&mut self, source: usize, arrival: Arrival<&'static str>) {
         self.merge.arrived(source, arrival);
         self.steps();
     }
 
-    pub fn steps(&mut self) {
+    pub(super) fn steps(&mut self) {
         while let Some(step) = self.merge.next_step(ms(self.now_ms)) {
             let _ = match step {
                 Step::Apply { event, lost: false } => {
@@ -70,7 +70,7 @@
         }
     }
 
-    pub fn heartbeat(&mut self, source: usize, last: u64) {
+    pub(super) fn heartbeat(&mut self, source: usize, last: u64) {
         let says = match self.merge.heartbeat(ms(self.now_ms), source, last) {
             Heartbeat::CaughtUp => "caught up".to_string(),
             Heartbeat::Unsure => "unsure".into(),
@@ -83,12 +83,12 @@
         self.steps();
     }
 
-    pub fn pass(&mut self, millis: u64) {
+    pub(super) fn pass(&mut self, millis: u64) {
         self.now_ms += millis;
         self.steps();
     }
 
-    pub fn note(&mut self, text: &str) {
+    pub(super) fn note(&mut self, text: &str) {
         let _ = writeln!(self.trace, "-- {text}");
     }
 }
--- a/crates/routing/tests/module/cold_fleet.rs
+++ b/crates/routing/tests/module/cold_fleet.rs
@@ -9,7 +9,7 @@
 
 /// A node that starts, and how it is asked.
 #[derive(Debug, Clone, Copy)]
-pub struct Case {
+pub(crate) struct Case {
     pub dispatchers: u32,
     /// How many the settings name.
     pub told: u32,
@@ -26,7 +26,7 @@
 
 /// Which dispatchers begin anew in the middle of what is counted, with nothing known but the list.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Restarts {
+pub(crate) enum Restarts {
     None,
     /// At this second, so many of a hundred.
     Once(u64, u32),
@@ -55,9 +55,9 @@
 }
 
 /// Of each request 100 ms are sent.
-pub const WORK_S: f64 = 0.1;
+pub(crate) const WORK_S: f64 = 0.1;
 /// How both nodes start.
-pub const SHARE: f64 = 0.2;
+pub(crate) const SHARE: f64 = 0.2;
 const WARM_AFTER: Nanos = Nanos(15_000_000_000);
 /// The node starts at this second, and is told of one later.
 const STARTS: u64 = 60;
@@ -127,7 +127,7 @@
     }
 
     /// The moments at which calls come to the cold cache and to the cold parent.
-    pub fn play(&self, seed: u64) -> [Vec<Nanos>; 2] {
+    pub(crate) fn play(&self, seed: u64) -> [Vec<Nanos>; 2] {
         let mut chance = Random::new(seed);
         let mut fleet: Vec<_> = (0..self.dispatchers)
             .map(|at| self.begin(ms(1), seed << 16 | u64::from(at), Nanos::ZERO))
@@ -211,7 +211,7 @@
     }
 
     /// The fullest window, as calls over what `bears` makes of the N of its first moment.
-    pub fn fullest(&self, came: &[Nanos], bears: impl Fn(f64) -> f64) -> f64 {
+    pub(crate) fn fullest(&self, came: &[Nanos], bears: impl Fn(f64) -> f64) -> f64 {
         let mut worst: f64 = 0.0;
         for (first, from) in came.iter().enumerate() {
             let calls = came[first..].iter().take_while(|at| at.since(*from) < self.window).count();
@@ -221,7 +221,7 @@
     }
 
     /// Calls that the settings let a node be asked for in a window, so long after its start.
-    pub fn allowed(&self, age: Nanos) -> f64 {
+    pub(crate) fn allowed(&self, age: Nanos) -> f64 {
         let present = SHARE + (1.0 - SHARE) * (age.secs() / WARM_AFTER.secs()).min(1.0);
         self.multiple * present * self.weight * self.window.secs() / WORK_S
     }
--- a/crates/routing/tests/module/common.rs
+++ b/crates/routing/tests/module/common.rs
@@ -6,7 +6,7 @@
 
 /// Prints each thing that the module sends as a line, and keeps the timers that it arms.
 #[derive(Default)]
-pub struct Trace(pub String, pub Vec<(Nanos, u64)>);
+pub(crate) struct Trace(pub String, pub Vec<(Nanos, u64)>);
 
 macro_rules! say {
     ($trace:ident, $($parts:tt)*) => {{ let _ = writeln!($trace.0, $($parts)*); }};
@@ -57,12 +57,12 @@
 }
 
 /// Milliseconds.
-pub fn ms(n: u64) -> Nanos {
+pub(crate) fn ms(n: u64) -> Nanos {
     Nanos(n * 1_000_000)
 }
 
 /// Three content types: retriable (0), retriable and fresh for 8 s (1), non-retriable at the origin (2).
-pub fn settings() -> Settings {
+pub(crate) fn settings() -> Settings {
     let row = |repeat, fresh: Option<u64>, uncacheable| ContentType {
         target_time: ms(400),
         target_stretch: 2.0,
@@ -107,14 +107,14 @@
 }
 
 /// Node `id`: caches are kind 0 in zone 2, parents kind 1, the origin kind 2.
-pub fn entry(id: u32, kind: u32, readiness: Readiness, started: Nanos) -> NodeEntry {
+pub(crate) fn entry(id: u32, kind: u32, readiness: Readiness, started: Nanos) -> NodeEntry {
     let zone = ZoneId(if kind == 0 { 2 } else { 0 });
     let hash = stable_hash(format!("node-{id}").as_bytes());
     NodeEntry { node: NodeId(id), hash, zone, kind, cell: 0, readiness, weight: 12.0, started }
 }
 
 /// A dispatcher that knows caches 0, 1, 2, parents 3, 4 and the origin 5, all warm; and its trace.
-pub fn start(settings: Settings) -> (Dispatcher, Trace) {
+pub(crate) fn start(settings: Settings) -> (Dispatcher, Trace) {
     let (mut module, mut trace) = (Dispatcher::new(settings), Trace::default());
     module.start(ms(1), &mut trace);
     let nodes = [(0, 0), (1, 0), (2, 0), (3, 1), (4, 1), (5, 2)];
@@ -124,7 +124,7 @@
 }
 
 /// Request `request_id` of content type 0 for object `object`, of so many KB, which expires 3 s from now.
-pub fn sized(now: Nanos, request_id: u32, object: u32, size_kb: f64) -> RoutingRequest {
+pub(crate) fn sized(now: Nanos, request_id: u32, object: u32, size_kb: f64) -> RoutingRequest {
     let hash = stable_hash(format!("object-{object}").as_bytes());
     RoutingRequest {
         request_id: RequestId(request_id),
@@ -143,7 +143,14 @@
 
 /// Request `request_id` of content type `kind` for object `object`, which expires 3 s from now; 10 more on
 /// `kind` for a client's repeat.
-pub fn ask(module: &mut Dispatcher, now: Nanos, request_id: u32, kind: u32, object: u32, trace: &mut Trace) {
+pub(crate) fn ask(
+    module: &mut Dispatcher,
+    now: Nanos,
+    request_id: u32,
+    kind: u32,
+    object: u32,
+    trace: &mut Trace,
+) {
     let d = RoutingRequest {
         content_type: TypeId(kind % 10),
         group: Some(u64::from(object % 4)),
@@ -154,12 +161,12 @@
 }
 
 /// The end of an attempt with this outcome and remark.
-pub fn end(outcome: Outcome, remark: Remark) -> AttemptEnd {
+pub(crate) fn end(outcome: Outcome, remark: Remark) -> AttemptEnd {
     let closed = outcome == Outcome::Served;
     AttemptEnd { outcome, took: ms(120), closed, waited: Some(ms(20)), remark, report: Report::default() }
 }
 
 /// The look of request `request_id` finds nothing.
-pub fn miss(module: &mut Dispatcher, now: Nanos, request_id: u32, trace: &mut Trace) {
+pub(crate) fn miss(module: &mut Dispatcher, now: Nanos, request_id: u32, trace: &mut Trace) {
     module.attempt_ended(now, RequestId(request_id), 0, &end(Outcome::Missed, Remark::None), trace);
 }
--- a/crates/routing/tests/module/main.rs
+++ b/crates/routing/tests/module/main.rs
@@ -1,5 +1,8 @@
 //! The decisions, as traces that people read.
 
+// Not yet: the day of `largest` is still one function.
+#![allow(clippy::too_many_lines, clippy::cognitive_complexity)]
+
 mod calls;
 mod change_log;
 mod changed;
--- a/crates/routing/tests/module/storm_day.rs
+++ b/crates/routing/tests/module/storm_day.rs
@@ -9,7 +9,7 @@
 const STEP: Nanos = Nanos(10_000_000);
 
 /// The settings of the day.
-pub fn told() -> StormSettings {
+pub(crate) fn told() -> StormSettings {
     StormSettings {
         remember: ms(60_000),
         most_remembered: 20_000,
@@ -23,7 +23,7 @@
 
 /// A client's try.
 #[derive(Clone, Copy, Debug)]
-pub struct Try {
+pub(crate) struct Try {
     pub client: u64,
     pub object: u32,
     pub kind: u32,
@@ -65,7 +65,7 @@
 }
 
 /// A module, the clients that come back to it, and how nodes answer.
-pub struct Day {
+pub(crate) struct Day {
     pub module: Dispatcher,
     pub now: Nanos,
     pub held: HashMap<u32, (Try, u32)>,
@@ -90,7 +90,7 @@
 
 impl Day {
     /// A quiet day with all nodes there.
-    pub fn new(storms: StormSettings) -> Day {
+    pub(crate) fn new(storms: StormSettings) -> Day {
         let mut s = Settings { storms: Some(storms), zone_dispatchers: 1, dispatchers: 1, ..settings() };
         // Images, tables, posts.
         (s.content_types[0].benefit, s.content_types[1].benefit, s.content_types[2].benefit) =
@@ -132,7 +132,7 @@
     }
 
     /// A try comes.
-    pub fn come(&mut self, tried: Try) {
+    pub(crate) fn come(&mut self, tried: Try) {
         let request_id = self.free.pop().unwrap_or_else(|| {
             self.next += 1;
             self.next - 1
@@ -199,7 +199,7 @@
     }
 
     /// Lets so many seconds pass, with so many first tries of each type every tenth of one.
-    pub fn pass(&mut self, seconds: u64, firsts: [u32; 3], heeds: impl Fn(u64) -> bool) {
+    pub(crate) fn pass(&mut self, seconds: u64, firsts: [u32; 3], heeds: impl Fn(u64) -> bool) {
         for step in 0..seconds * 100 {
             self.now = self.now.after(STEP);
             let due: Vec<_> = self.ending.range(..=self.now.0).map(|(at, _)| *at).collect();
@@ -240,12 +240,12 @@
     }
 
     /// Nodes can no longer be reached.
-    pub fn down(&mut self) {
+    pub(crate) fn down(&mut self) {
         self.up = false;
     }
 
     /// The caches are back, cold.
-    pub fn back(&mut self) {
+    pub(crate) fn back(&mut self) {
         self.up = true;
         self.list(Readiness::Ready, self.now);
     }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,5 +1,8 @@
 //! `copperroute-simulator-adapter`: the bench's wire on standard input and output, the decisions behind it.
 
+// Not yet: `wire::event` is still one function.
+#![allow(clippy::too_many_lines)]
+
 mod stdio_transport;
 mod wire;
 
--- a/crates/simulator-adapter/src/stdio_transport.rs
+++ b/crates/simulator-adapter/src/stdio_transport.rs
@@ -5,7 +5,7 @@
 use std::fmt::Write as _;
 
 /// What one instance knows of the wire's ids.
-pub struct StdioTransport {
+pub(crate) struct StdioTransport {
     instance: u32,
     request_ids: Ids<u64>,
     objects: Ids<(String, u64)>,
@@ -15,32 +15,32 @@
 }
 
 impl StdioTransport {
-    pub fn new(instance: u32) -> Self {
+    pub(crate) fn new(instance: u32) -> Self {
         let (request_ids, objects, nodes) = (Ids::default(), Ids::default(), Ids::default());
         StdioTransport { instance, request_ids, objects, nodes, lines: String::new() }
     }
 
     /// A slot for a request that has just come.
-    pub fn open(&mut self, id: u64) -> RequestId {
+    pub(crate) fn open(&mut self, id: u64) -> RequestId {
         RequestId(self.request_ids.open(id))
     }
 
     /// The slot of a request, if it is still held.
-    pub fn held(&self, id: u64) -> Option<RequestId> {
+    pub(crate) fn held(&self, id: u64) -> Option<RequestId> {
         self.request_ids.held(&id).map(RequestId)
     }
 
-    pub fn object(&mut self, name: &str, part: u64) -> ObjectId {
+    pub(crate) fn object(&mut self, name: &str, part: u64) -> ObjectId {
         ObjectId(self.objects.open((name.to_string(), part)))
     }
 
     /// The index of a node that was listed.
-    pub fn held_node(&self, address: &str) -> Option<NodeId> {
+    pub(crate) fn held_node(&self, address: &str) -> Option<NodeId> {
         self.nodes.held(&address.to_string()).map(NodeId)
     }
 
     /// The index of a listed node, new or known.
-    pub fn list_node(&mut self, address: &str) -> NodeId {
+    pub(crate) fn list_node(&mut self, address: &str) -> NodeId {
         NodeId(self.nodes.open(address.to_string()))
     }
 }
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -14,7 +14,7 @@
 
 /// Why the adapter stopped.
 #[derive(Debug)]
-pub enum Fault {
+pub(crate) enum Fault {
     /// A line that the page does not allow: its number, and what was expected.
     Line(u64, String),
     /// The pipe broke.
@@ -275,7 +275,7 @@
 }
 
 /// Answers batches until the input ends.
-pub fn serve(mut input: impl BufRead, mut output: impl Write) -> Result<(), Fault> {
+pub(crate) fn serve(mut input: impl BufRead, mut output: impl Write) -> Result<(), Fault> {
     let mut instances: BTreeMap<u32, Instance> = BTreeMap::new();
     let mut now: Option<Nanos> = None;
     let mut reply = String::new();
--- a/crates/testbed/src/capacity/access.rs
+++ b/crates/testbed/src/capacity/access.rs
@@ -16,7 +16,7 @@
 
 /// What has passed.
 #[derive(Debug, Default)]
-pub struct Counter {
+pub(super) struct Counter {
     calls: AtomicU64,
     bytes: AtomicU64,
     messages: AtomicU64,
@@ -25,7 +25,7 @@
 
 /// Its figures at a moment.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Counted {
+pub(super) struct Counted {
     /// New connections.
     pub calls: u64,
     /// Bytes to the dispatcher.
@@ -65,7 +65,7 @@
 
 /// One dispatcher's ways, to each source that it may follow.
 #[derive(Debug, Clone)]
-pub struct Access {
+pub(super) struct Access {
     counters: Arc<Vec<Counter>>,
     cut: watch::Sender<bool>,
     /// Raised when all its streams are reset.
@@ -74,13 +74,13 @@
 
 impl Access {
     /// Ways to so many sources that nobody has used.
-    pub fn new(sources: usize) -> Access {
+    pub(super) fn new(sources: usize) -> Access {
         let counters = (0..sources).map(|_| Counter::default()).collect();
         Access { counters: Arc::new(counters), cut: watch::channel(false).0, life: watch::channel(0).0 }
     }
 
     /// Listens at one address, for connections to a source at another.
-    pub fn open(&self, source: usize, listen: SocketAddr, to: SocketAddr) -> std::io::Result<()> {
+    pub(super) fn open(&self, source: usize, listen: SocketAddr, to: SocketAddr) -> std::io::Result<()> {
         let socket = TcpSocket::new_v4()?;
         socket.set_reuseaddr(true)?;
         socket.bind(listen)?;
@@ -97,17 +97,17 @@
     }
 
     /// Cuts it: connections stay up, and are silent. Or lets through what was held.
-    pub fn set_cut(&self, cut: bool) {
+    pub(super) fn set_cut(&self, cut: bool) {
         self.cut.send_replace(cut);
     }
 
     /// Resets all its streams.
-    pub fn reset(&self) {
+    pub(super) fn reset(&self) {
         self.life.send_modify(|life| *life += 1);
     }
 
     /// What has passed from each source up to now.
-    pub fn counted(&self) -> Vec<Counted> {
+    pub(super) fn counted(&self) -> Vec<Counted> {
         let read = |count: &AtomicU64| count.load(Ordering::Relaxed);
         let counted = |Counter { calls, bytes, messages, streams }: &Counter| Counted {
             calls: read(calls),
--- a/crates/testbed/src/capacity/caches.rs
+++ b/crates/testbed/src/capacity/caches.rs
@@ -9,14 +9,14 @@
 use tokio::net::{TcpListener, TcpStream};
 
 /// What a copy from before the run holds, and one that was made anew.
-pub const OLD: &[u8] = b"old copy";
-pub const FRESH: &[u8] = b"fresh copy";
+pub(super) const OLD: &[u8] = b"old copy";
+pub(super) const FRESH: &[u8] = b"fresh copy";
 /// All copies were made so long before they are asked for.
 const AGE_MS: u64 = 3_600_000;
 const LONGEST_LINE: usize = 8_192;
 
 /// Answers all who connect there.
-pub async fn serve(address: SocketAddr) -> Result<(), String> {
+pub(super) async fn serve(address: SocketAddr) -> Result<(), String> {
     let listener = TcpListener::bind(address).await.map_err(|fault| format!("{address}: {fault}"))?;
     tokio::spawn(async move {
         loop {
@@ -44,7 +44,7 @@
 }
 
 /// The answer to an attempt; nothing to any other line.
-pub fn answer(line: &str) -> Option<Vec<u8>> {
+pub(super) fn answer(line: &str) -> Option<Vec<u8>> {
     let (id, rest) = line.strip_prefix("fetch ")?.split_once(' ')?;
     let fields = rest.split(' ').next()?.split(',');
     let most_age_ms = fields.filter_map(|field| field.strip_prefix("maxage=")?.parse::<u64>().ok()).next();
--- a/crates/testbed/src/capacity/clients.rs
+++ b/crates/testbed/src/capacity/clients.rs
@@ -30,7 +30,7 @@
 
 /// What all who ask share.
 #[derive(Debug, Default)]
-pub struct Asked {
+pub(super) struct Asked {
     /// Requests that were answered with a copy, and the others.
     pub served: AtomicU64,
     pub unserved: AtomicU64,
@@ -116,7 +116,7 @@
 }
 
 /// Asks one dispatcher for objects, so many a second.
-pub async fn load(to: SocketAddr, rate: f64, seed: u64, asked: Arc<Asked>) {
+pub(super) async fn load(to: SocketAddr, rate: f64, seed: u64, asked: Arc<Asked>) {
     let mut chance = StdRng::seed_from_u64(seed);
     let mut requester = None;
     loop {
@@ -144,7 +144,7 @@
 }
 
 /// Watches when one real dispatcher acts on the purges that it is told of: asks for the object until the answer shows it.
-pub async fn observe(
+pub(super) async fn observe(
     dispatcher: usize,
     to: SocketAddr,
     seed: u64,
--- a/crates/testbed/src/capacity/clock.rs
+++ b/crates/testbed/src/capacity/clock.rs
@@ -3,6 +3,6 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 /// The Unix time in microseconds.
-pub fn unix_us() -> u64 {
+pub(super) fn unix_us() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_micros() as u64)
 }
--- a/crates/testbed/src/capacity/faults.rs
+++ b/crates/testbed/src/capacity/faults.rs
@@ -20,7 +20,7 @@
 
 /// What passes between a fault and the run.
 #[derive(Clone)]
-pub struct Course {
+pub(super) struct Course {
     pub rig: Arc<Rig>,
     pub begun: Instant,
     /// Whether the log is up.
@@ -35,7 +35,7 @@
     }
 
     /// Lets all faults come in their time.
-    pub fn set_out(&self) {
+    pub(super) fn set_out(&self) {
         for fault in self.rig.scenario.faults.clone() {
             let course = self.clone();
             tokio::spawn(async move { course.happen(&fault).await });
--- a/crates/testbed/src/capacity/figures.rs
+++ b/crates/testbed/src/capacity/figures.rs
@@ -6,12 +6,12 @@
 use std::collections::BTreeMap;
 
 /// What the page says: a purge is acted on everywhere within this, and configuration is in force.
-pub const PURGE_BOUND_S: f64 = 2.1;
-pub const VERSION_BOUND_S: f64 = 9.0;
+pub(super) const PURGE_BOUND_S: f64 = 2.1;
+pub(super) const VERSION_BOUND_S: f64 = 9.0;
 
 /// How long something took, in seconds.
 #[derive(Debug, Clone, Copy, Default, PartialEq, serde::Serialize)]
-pub struct Spread {
+pub(super) struct Spread {
     pub count: usize,
     pub p50_s: f64,
     pub p99_s: f64,
@@ -23,7 +23,7 @@
 
 /// What a kind of disturbance brought about, of hollow dispatchers.
 #[derive(Debug, Clone, Copy, Default, serde::Serialize)]
-pub struct Harm {
+pub(super) struct Harm {
     /// How often a dispatcher was disturbed so.
     pub times: usize,
     /// Seconds over the bound of purges, of all dispatchers together, while each could be reached.
@@ -34,7 +34,7 @@
 
 /// A class of events, by dispatcher and by the last of them.
 #[derive(Debug, Clone, Copy, Default, serde::Serialize)]
-pub struct Class {
+pub(super) struct Class {
     /// From issue until the last reachable dispatcher had acted.
     pub last: Spread,
     /// From issue until one reachable dispatcher had acted.
@@ -45,7 +45,7 @@
 
 impl Spread {
     /// Of these, in seconds, and so many that never came.
-    pub fn of(mut all: Vec<f64>, never: usize) -> Spread {
+    pub(super) fn of(mut all: Vec<f64>, never: usize) -> Spread {
         all.sort_by(f64::total_cmp);
         let at = |share: f64| {
             let rank = (share * all.len() as f64).ceil() as usize;
@@ -67,7 +67,7 @@
 }
 
 /// Whether and when a dispatcher had acted on an event.
-pub fn acted_us(track: &Track, issued: &Issued) -> Option<u64> {
+pub(super) fn acted_us(track: &Track, issued: &Issued) -> Option<u64> {
     match issued.kind {
         Kind::Version { number } => track.in_force_us(number, issued.at_us),
         Kind::Purge { .. } | Kind::List => track.acted_us(issued.seq, issued.at_us),
@@ -91,7 +91,10 @@
 }
 
 /// How long events of a class took. Also by event: its issue, and its last.
-pub fn class<'a>(issued: impl Iterator<Item = &'a Issued>, tracks: &[&Track]) -> (Class, Vec<(u64, f64)>) {
+pub(super) fn class<'a>(
+    issued: impl Iterator<Item = &'a Issued>,
+    tracks: &[&Track],
+) -> (Class, Vec<(u64, f64)>) {
     let (mut lasts, mut each, mut undisturbed) = (Vec::new(), Vec::new(), Vec::new());
     let [mut never, mut never_each, mut never_undisturbed] = [0; 3];
     for issued in issued {
@@ -127,7 +130,7 @@
 }
 
 /// What kinds of disturbances brought about, by cause. `until_us` is when the last events had come to an end.
-pub fn harm(issued: &[Issued], tracks: &[&Track], until_us: u64) -> BTreeMap<Cause, Harm> {
+pub(super) fn harm(issued: &[Issued], tracks: &[&Track], until_us: u64) -> BTreeMap<Cause, Harm> {
     let mut harms: BTreeMap<Cause, Harm> = BTreeMap::new();
     let mut currents: BTreeMap<Cause, (Vec<f64>, usize)> = BTreeMap::new();
     for track in tracks {
--- a/crates/testbed/src/capacity/groups.rs
+++ b/crates/testbed/src/capacity/groups.rs
@@ -4,7 +4,7 @@
 
 /// Dispatchers that fail together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Group {
+pub(super) enum Group {
     /// All of them.
     All,
     /// One.
@@ -18,18 +18,18 @@
 }
 
 /// The zone of a dispatcher.
-pub fn zone_of(dispatcher: usize, fleet: &Fleet) -> usize {
+pub(super) fn zone_of(dispatcher: usize, fleet: &Fleet) -> usize {
     dispatcher % fleet.zones
 }
 
 /// The region of a zone.
-pub fn region_of(zone: usize, fleet: &Fleet) -> usize {
+pub(super) fn region_of(zone: usize, fleet: &Fleet) -> usize {
     zone % fleet.regions
 }
 
 impl Group {
     /// Reads a name, such as `zone:3`.
-    pub fn read(name: &str) -> Option<Group> {
+    pub(super) fn read(name: &str) -> Option<Group> {
         if name == "all" {
             return Some(Group::All);
         }
@@ -45,7 +45,7 @@
     }
 
     /// Who belongs to it, in order.
-    pub fn members(self, fleet: &Fleet) -> Vec<usize> {
+    pub(super) fn members(self, fleet: &Fleet) -> Vec<usize> {
         let all = 0..fleet.hollow + fleet.real;
         let of_zone = |zone: usize| all.clone().filter(move |at| zone_of(*at, fleet) == zone);
         match self {
--- a/crates/testbed/src/capacity/hollow/dispatcher.rs
+++ b/crates/testbed/src/capacity/hollow/dispatcher.rs
@@ -39,7 +39,7 @@
 }
 
 /// A hollow dispatcher.
-pub struct Hollow {
+pub(super) struct Hollow {
     number: usize,
     clock: Clock,
     reducer: Reducer,
@@ -80,7 +80,7 @@
 
 impl Hollow {
     /// One that has not started, whose clock is ahead by so many milliseconds.
-    pub fn new(number: usize, config: Config, clock_error_ms: i64, records: Rc<Records>) -> Hollow {
+    pub(super) fn new(number: usize, config: Config, clock_error_ms: i64, records: Rc<Records>) -> Hollow {
         let clock = Clock::start();
         let unix_ns = unix_us().saturating_mul(1_000);
         let epoch = Epoch::at(unix_ns.saturating_add_signed(clock_error_ms * 1_000_000));
@@ -103,7 +103,7 @@
     }
 
     /// Runs until it is aborted, or ends by itself.
-    pub async fn run(mut self, mut signals: mpsc::UnboundedReceiver<Signal>) {
+    pub(super) async fn run(mut self, mut signals: mpsc::UnboundedReceiver<Signal>) {
         let Some(mut arrivals) = self.arrivals.take() else { return };
         self.records.push(Record::Started { dispatcher: self.number, at_us: unix_us() });
         self.reduce(Event::Started);
--- a/crates/testbed/src/capacity/hollow/mod.rs
+++ b/crates/testbed/src/capacity/hollow/mod.rs
@@ -7,7 +7,7 @@
 mod dispatcher;
 mod records;
 
-pub use records::Record;
+pub(crate) use records::Record;
 
 use copperroute_dispatcher::config::Sources;
 use dispatcher::Hollow;
@@ -22,7 +22,7 @@
 
 /// What a host is told of one of its dispatchers.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Hosted {
+pub(crate) struct Hosted {
     /// Its number in the run.
     pub number: usize,
     /// The platform's configuration and the operator's file, read at each start.
@@ -35,7 +35,7 @@
 /// What a host is asked for.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Order {
+pub(crate) enum Order {
     /// Starts a dispatcher.
     Start(usize),
     /// Ends it, as a kill would.
@@ -59,7 +59,7 @@
 }
 
 /// Hosts the dispatchers that a file names, on this one thread, until standard input ends.
-pub fn host(file: &Path) -> Result<(), String> {
+pub(crate) fn host(file: &Path) -> Result<(), String> {
     let named = |fault: &dyn std::fmt::Display| format!("{}: {fault}", file.display());
     let text = std::fs::read_to_string(file).map_err(|fault| named(&fault))?;
     let hosted: Vec<Hosted> = serde_json::from_str(&text).map_err(|fault| named(&fault))?;
--- a/crates/testbed/src/capacity/hollow/records.rs
+++ b/crates/testbed/src/capacity/hollow/records.rs
@@ -11,7 +11,7 @@
 
 /// What a dispatcher has done, at a Unix microsecond.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Record {
+pub(crate) enum Record {
     /// It has started.
     Started { dispatcher: usize, at_us: u64 },
     /// It has acted on all events up to this number.
@@ -36,7 +36,7 @@
     }
 
     /// Reads a line.
-    pub fn decode(line: &str) -> Option<Record> {
+    pub(crate) fn decode(line: &str) -> Option<Record> {
         let mut words = line.split_whitespace();
         let what = words.next()?;
         let dispatcher = words.next()?.parse().ok()?;
@@ -54,16 +54,16 @@
 
 /// Those that are not written yet.
 #[derive(Default)]
-pub struct Records(RefCell<Vec<u8>>);
+pub(super) struct Records(RefCell<Vec<u8>>);
 
 impl Records {
     /// One more.
-    pub fn push(&self, record: Record) {
+    pub(super) fn push(&self, record: Record) {
         self.0.borrow_mut().extend_from_slice(record.encode().as_bytes());
     }
 
     /// Writes them.
-    pub fn flush(&self) {
+    pub(super) fn flush(&self) {
         let bytes = std::mem::take(&mut *self.0.borrow_mut());
         let mut out = std::io::stdout().lock();
         // Who reads them no more has ended the run.
@@ -71,7 +71,7 @@
     }
 
     /// Writes them again and again.
-    pub async fn write_out(self: Rc<Self>) {
+    pub(super) async fn write_out(self: Rc<Self>) {
         loop {
             tokio::time::sleep(WRITTEN_EACH).await;
             self.flush();
--- a/crates/testbed/src/capacity/hosts.rs
+++ b/crates/testbed/src/capacity/hosts.rs
@@ -20,11 +20,11 @@
 }
 
 /// All of them.
-pub struct Hosts(Vec<Host>);
+pub(super) struct Hosts(Vec<Host>);
 
 impl Hosts {
     /// Starts the processes, with no dispatcher in them yet; all that they tell goes to the ledger.
-    pub fn start(
+    pub(super) fn start(
         scenario: &Scenario,
         layout: &Layout,
         clock_errors_ms: &[i64],
@@ -45,7 +45,7 @@
     }
 
     /// Asks the host of a dispatcher for something.
-    pub fn order(&self, dispatcher: usize, order: Order) {
+    pub(super) fn order(&self, dispatcher: usize, order: Order) {
         let hosts = |host: &&Host| (host.first..host.first + host.count).contains(&dispatcher);
         if let Some(host) = self.0.iter().find(hosts) {
             let _ = host.orders.send(order);
@@ -53,12 +53,12 @@
     }
 
     /// The process ids, and how many dispatchers each hosts.
-    pub fn ids(&self) -> Vec<(u32, usize)> {
+    pub(super) fn ids(&self) -> Vec<(u32, usize)> {
         self.0.iter().map(|host| (host.id, host.count)).collect()
     }
 
     /// Ends them; tells how many had ended by themselves.
-    pub async fn end(&self) -> usize {
+    pub(super) async fn end(&self) -> usize {
         let mut ended = 0;
         for host in &self.0 {
             let mut child = host.child.lock().await;
--- a/crates/testbed/src/capacity/issuer.rs
+++ b/crates/testbed/src/capacity/issuer.rs
@@ -23,7 +23,7 @@
 }
 
 /// Issues purges until the end; one each so often is looked for by observers.
-pub async fn purges(rig: Arc<Rig>, until: Instant, mut up: watch::Receiver<bool>) {
+pub(super) async fn purges(rig: Arc<Rig>, until: Instant, mut up: watch::Receiver<bool>) {
     let mut chance = StdRng::seed_from_u64(rig.scenario.seed.rotate_left(16));
     let changes = rig.scenario.changes.clone();
     let mut due = Instant::now();
@@ -46,7 +46,7 @@
 }
 
 /// Issues changes of the list until the end.
-pub async fn lists(rig: Arc<Rig>, until: Instant, mut up: watch::Receiver<bool>) {
+pub(super) async fn lists(rig: Arc<Rig>, until: Instant, mut up: watch::Receiver<bool>) {
     let (begun, count) = (Instant::now(), rig.scenario.changes.lists);
     for number in 0..count {
         wait(begun + (until - begun).mul_f64(number as f64 / count as f64), &mut up).await;
@@ -56,7 +56,7 @@
 }
 
 /// Issues versions of the rules until the end.
-pub async fn versions(rig: Arc<Rig>, until: Instant, mut up: watch::Receiver<bool>) {
+pub(super) async fn versions(rig: Arc<Rig>, until: Instant, mut up: watch::Receiver<bool>) {
     let changes = rig.scenario.changes.clone();
     if changes.version_each_s <= 0.0 {
         return;
--- a/crates/testbed/src/capacity/layout.rs
+++ b/crates/testbed/src/capacity/layout.rs
@@ -8,9 +8,9 @@
 use std::path::{Path, PathBuf};
 
 /// The one content type that is asked for.
-pub const CONTENT_TYPE: &str = "image";
+pub(super) const CONTENT_TYPE: &str = "image";
 /// How long a client waits for it.
-pub const EXPIRY_MS: u64 = 5_000;
+pub(super) const EXPIRY_MS: u64 = 5_000;
 /// KB a second of one answer, as the settings say.
 const KB_PER_S: f64 = 5_000.0;
 const PARENTS: usize = 4;
@@ -19,7 +19,7 @@
 
 /// Where everything is.
 #[derive(Debug, Clone)]
-pub struct Layout {
+pub(super) struct Layout {
     /// All addresses are in 127.`net`.0.0/16.
     pub net: u8,
     /// Configurations and logs go here.
@@ -28,7 +28,7 @@
 
 /// A stand-in of a node.
 #[derive(Debug, Clone)]
-pub struct NodePlace {
+pub(super) struct NodePlace {
     pub id: String,
     pub address: SocketAddr,
     zone: String,
@@ -37,44 +37,44 @@
 
 impl Layout {
     /// Where the change log listens.
-    pub fn log(&self) -> SocketAddr {
+    pub(super) fn log(&self) -> SocketAddr {
         SocketAddr::from(([127, self.net, 3, 1], 2379))
     }
 
     /// Where a replica of it takes followers.
-    pub fn replica_listen(&self, replica: usize) -> SocketAddr {
+    pub(super) fn replica_listen(&self, replica: usize) -> SocketAddr {
         SocketAddr::from(([127, self.net, 3, replica as u8 + 2], 2379))
     }
 
     /// Where a dispatcher reaches a source: the change log, or a replica by its number.
-    pub fn access(&self, dispatcher: usize, source: usize) -> SocketAddr {
+    pub(super) fn access(&self, dispatcher: usize, source: usize) -> SocketAddr {
         SocketAddr::new(own_address(self.net, dispatcher), 2379 + source as u16)
     }
 
     /// Where a real dispatcher takes clients.
-    pub fn listen(&self, dispatcher: usize) -> SocketAddr {
+    pub(super) fn listen(&self, dispatcher: usize) -> SocketAddr {
         SocketAddr::new(own_address(self.net, dispatcher), 5050)
     }
 
     /// The files of a dispatcher.
-    pub fn config_file(&self, dispatcher: usize) -> PathBuf {
+    pub(super) fn config_file(&self, dispatcher: usize) -> PathBuf {
         self.folder.join(format!("n{dispatcher}.json"))
     }
 
-    pub fn operator_file(&self, dispatcher: usize) -> PathBuf {
+    pub(super) fn operator_file(&self, dispatcher: usize) -> PathBuf {
         self.folder.join(format!("operator-{dispatcher}.json"))
     }
 
-    pub fn replica_file(&self, replica: usize) -> PathBuf {
+    pub(super) fn replica_file(&self, replica: usize) -> PathBuf {
         self.folder.join(format!("replica-{replica}.json"))
     }
 
-    pub fn log_file(&self, name: &str) -> PathBuf {
+    pub(super) fn log_file(&self, name: &str) -> PathBuf {
         self.folder.join(format!("{name}.log"))
     }
 
     /// The nodes: caches, parents, the origin.
-    pub fn nodes(&self, scenario: &Scenario) -> Vec<NodePlace> {
+    pub(super) fn nodes(&self, scenario: &Scenario) -> Vec<NodePlace> {
         let zones = scenario.fleet.zones;
         let address = |number: usize| SocketAddr::from(([127, self.net, 2, number as u8 + 1], 6000));
         let place = |number: usize, id: String, zone: String, kind| NodePlace {
@@ -94,7 +94,7 @@
     }
 
     /// The configuration of a dispatcher that knows these events.
-    pub fn config(&self, scenario: &Scenario, dispatcher: usize, known: Value) -> Value {
+    pub(super) fn config(&self, scenario: &Scenario, dispatcher: usize, known: Value) -> Value {
         let fleet = &scenario.fleet;
         let mut zones: Vec<_> = (0..fleet.zones).map(zone_name).collect();
         zones.push("hub".into());
@@ -129,7 +129,7 @@
     }
 
     /// The configuration of a replica: it follows the change log.
-    pub fn replica(&self, scenario: &Scenario, replica: usize) -> Value {
+    pub(super) fn replica(&self, scenario: &Scenario, replica: usize) -> Value {
         let mut file = scenario.relay.clone();
         file.insert("name".into(), json!(format!("r{replica}")));
         file.insert("listen".into(), json!(self.replica_listen(replica).to_string()));
@@ -138,7 +138,7 @@
     }
 
     /// The operator's file of a dispatcher: as the scenario has it, and with its own way to each replica.
-    pub fn operator(&self, scenario: &Scenario, dispatcher: usize) -> Value {
+    pub(super) fn operator(&self, scenario: &Scenario, dispatcher: usize) -> Value {
         let mut file = Value::Object(scenario.operator.clone());
         let replica = |number: usize| {
             json!({"address": self.access(dispatcher, number).to_string(), "zone": zone_name(number),
@@ -151,14 +151,19 @@
     }
 
     /// Writes the configuration of a dispatcher that is about to start.
-    pub fn write_config(&self, scenario: &Scenario, dispatcher: usize, known: Value) -> Result<(), String> {
+    pub(super) fn write_config(
+        &self,
+        scenario: &Scenario,
+        dispatcher: usize,
+        known: Value,
+    ) -> Result<(), String> {
         write(&self.config_file(dispatcher), &self.config(scenario, dispatcher, known))
     }
 }
 
 impl NodePlace {
     /// Its line of the list.
-    pub fn listed(&self) -> Value {
+    pub(super) fn listed(&self) -> Value {
         let weight = if self.kind == "caches" { 1_000 } else { 5_000 };
         json!({"id": self.id, "addr": self.address.to_string(), "zone": self.zone, "kind": self.kind, "cell": 0,
             "state": "active", "weight": weight, "started_ms": 0})
@@ -166,11 +171,11 @@
 }
 
 /// The name of a zone.
-pub fn zone_name(zone: usize) -> String {
+pub(super) fn zone_name(zone: usize) -> String {
     format!("z{zone}")
 }
 
 /// Writes JSON to a file.
-pub fn write(path: &Path, value: &Value) -> Result<(), String> {
+pub(super) fn write(path: &Path, value: &Value) -> Result<(), String> {
     std::fs::write(path, value.to_string()).map_err(|fault| format!("{}: {fault}", path.display()))
 }
--- a/crates/testbed/src/capacity/ledger.rs
+++ b/crates/testbed/src/capacity/ledger.rs
@@ -6,7 +6,7 @@
 /// What an observer saw of a purge at a real dispatcher: it had not acted on it when the last answer that showed an old
 /// copy was asked for, and had when the first answer with a fresh one came; none came in time if that is absent.
 #[derive(Debug, Clone, Copy)]
-pub struct Probe {
+pub(super) struct Probe {
     pub seq: u64,
     pub stale_us: u64,
     pub seen_us: Option<u64>,
@@ -15,7 +15,7 @@
 /// Why a dispatcher was out of reach, or may be late though it is not.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Cause {
+pub(super) enum Cause {
     /// Nothing has happened to it.
     None,
     /// The start of the run.
@@ -35,7 +35,7 @@
 /// What happened to a dispatcher: for this span, in Unix microseconds, it could not be reached; an empty span only tells
 /// that something happened then.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Disturbance {
+pub(super) struct Disturbance {
     pub cause: Cause,
     pub from_us: u64,
     pub to_us: u64,
@@ -43,7 +43,7 @@
 
 /// All that was seen of one dispatcher.
 #[derive(Debug, Clone, Default)]
-pub struct Track {
+pub(super) struct Track {
     /// At a Unix microsecond it had acted on all events up to a number.
     pub applied: Vec<(u64, u64)>,
     /// At a Unix microsecond a version of the rules was in force.
@@ -57,23 +57,23 @@
 }
 
 /// What was seen of all.
-pub struct Ledger(Vec<Mutex<Track>>);
+pub(super) struct Ledger(Vec<Mutex<Track>>);
 
 impl Track {
     /// When it had acted on an event that was issued at a time, if it ever had.
-    pub fn acted_us(&self, seq: u64, issued_us: u64) -> Option<u64> {
+    pub(super) fn acted_us(&self, seq: u64, issued_us: u64) -> Option<u64> {
         let from = self.applied.partition_point(|(at_us, _)| *at_us < issued_us);
         self.applied[from..].iter().find(|(_, applied)| *applied >= seq).map(|(at_us, _)| *at_us)
     }
 
     /// When a version that was issued at a time, or a later one, was in force.
-    pub fn in_force_us(&self, number: u64, issued_us: u64) -> Option<u64> {
+    pub(super) fn in_force_us(&self, number: u64, issued_us: u64) -> Option<u64> {
         let from = self.versions.partition_point(|(at_us, _)| *at_us < issued_us);
         self.versions[from..].iter().find(|(_, version)| *version >= number).map(|(at_us, _)| *at_us)
     }
 
     /// Whether it could be reached all the time from one moment to another.
-    pub fn is_reachable(&self, from_us: u64, to_us: u64) -> bool {
+    pub(super) fn is_reachable(&self, from_us: u64, to_us: u64) -> bool {
         !self
             .disturbances
             .iter()
@@ -81,20 +81,20 @@
     }
 
     /// What last happened to it before a moment.
-    pub fn cause(&self, at_us: u64) -> Cause {
+    pub(super) fn cause(&self, at_us: u64) -> Cause {
         let before = self.disturbances.iter().filter(|span| span.from_us <= at_us);
         before.max_by_key(|span| span.to_us).map_or(Cause::None, |span| span.cause)
     }
 
     /// It could be reached all the time since its start, whatever happened to what it follows.
-    pub fn is_undisturbed(&self) -> bool {
+    pub(super) fn is_undisturbed(&self) -> bool {
         self.disturbances.iter().all(|span| span.cause == Cause::Start || span.from_us == span.to_us)
     }
 }
 
 impl Ledger {
     /// For so many dispatchers.
-    pub fn new(dispatchers: usize) -> Ledger {
+    pub(super) fn new(dispatchers: usize) -> Ledger {
         Ledger((0..dispatchers).map(|_| Mutex::default()).collect())
     }
 
@@ -103,7 +103,7 @@
     }
 
     /// A host of hollow dispatchers has told something; what it tells of dispatchers that there are none of is nothing.
-    pub fn record(&self, record: Record) {
+    pub(super) fn record(&self, record: Record) {
         let (Record::Started { dispatcher, .. }
         | Record::Applied { dispatcher, .. }
         | Record::Version { dispatcher, .. }
@@ -121,17 +121,17 @@
     }
 
     /// An observer has ended a probe.
-    pub fn probed(&self, dispatcher: usize, probe: Probe) {
+    pub(super) fn probed(&self, dispatcher: usize, probe: Probe) {
         self.track(dispatcher).probes.push(probe);
     }
 
     /// Something happens to a dispatcher, which can't be reached until told otherwise.
-    pub fn lost(&self, dispatcher: usize, cause: Cause, from_us: u64) {
+    pub(super) fn lost(&self, dispatcher: usize, cause: Cause, from_us: u64) {
         self.track(dispatcher).disturbances.push(Disturbance { cause, from_us, to_us: u64::MAX });
     }
 
     /// What happened to it for this cause is over.
-    pub fn back(&self, dispatcher: usize, cause: Cause, to_us: u64) {
+    pub(super) fn back(&self, dispatcher: usize, cause: Cause, to_us: u64) {
         let mut track = self.track(dispatcher);
         let open = |span: &&mut Disturbance| span.cause == cause && span.to_us == u64::MAX;
         if let Some(span) = track.disturbances.iter_mut().rev().find(open) {
@@ -140,28 +140,28 @@
     }
 
     /// Something happened to what all dispatchers follow, at one moment: all can be reached as before.
-    pub fn disturbed(&self, cause: Cause, at_us: u64) {
+    pub(super) fn disturbed(&self, cause: Cause, at_us: u64) {
         (0..self.0.len()).for_each(|dispatcher| self.touched(dispatcher, cause, at_us));
     }
 
     /// The same of what one follows.
-    pub fn touched(&self, dispatcher: usize, cause: Cause, at_us: u64) {
+    pub(super) fn touched(&self, dispatcher: usize, cause: Cause, at_us: u64) {
         let disturbance = Disturbance { cause, from_us: at_us, to_us: at_us };
         self.track(dispatcher).disturbances.push(disturbance);
     }
 
     /// When a dispatcher last started, if it did after a moment.
-    pub fn started_after(&self, dispatcher: usize, at_us: u64) -> Option<u64> {
+    pub(super) fn started_after(&self, dispatcher: usize, at_us: u64) -> Option<u64> {
         self.track(dispatcher).started_us.filter(|started_us| *started_us >= at_us)
     }
 
     /// Whether all of these have told that they acted on an event.
-    pub fn all_applied(&self, who: &[usize], seq: u64) -> bool {
+    pub(super) fn all_applied(&self, who: &[usize], seq: u64) -> bool {
         who.iter().all(|at| self.track(*at).applied.last().is_some_and(|(_, applied)| *applied >= seq))
     }
 
     /// All that was seen.
-    pub fn tracks(&self) -> Vec<Track> {
+    pub(super) fn tracks(&self) -> Vec<Track> {
         (0..self.0.len()).map(|at| self.track(at).clone()).collect()
     }
 }
--- a/crates/testbed/src/capacity/log.rs
+++ b/crates/testbed/src/capacity/log.rs
@@ -19,7 +19,7 @@
 
 /// What an event is about.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Kind {
+pub(super) enum Kind {
     /// A purge of an object.
     Purge { object: String },
     /// A change of the list of nodes.
@@ -30,7 +30,7 @@
 
 /// An event as it was issued.
 #[derive(Debug, Clone)]
-pub struct Issued {
+pub(super) struct Issued {
     /// Its number.
     pub seq: u64,
     /// When, in Unix microseconds.
@@ -62,7 +62,7 @@
 }
 
 /// The change log.
-pub struct ChangeLog {
+pub(super) struct ChangeLog {
     state: Mutex<State>,
     last: watch::Sender<u64>,
     service: watch::Sender<Service>,
@@ -102,7 +102,7 @@
 
 impl ChangeLog {
     /// Begins with the whole list as event 1, then so many purges of long ago.
-    pub fn new(nodes: Vec<Value>, backlog: usize) -> ChangeLog {
+    pub(super) fn new(nodes: Vec<Value>, backlog: usize) -> ChangeLog {
         let mut state = State { nodes, ..State::default() };
         let first = whole_list(1, &state.nodes);
         state.push(&first);
@@ -122,7 +122,7 @@
     }
 
     /// Listens at an address for those who follow.
-    pub async fn listen(self: &Arc<Self>, address: SocketAddr) -> std::io::Result<()> {
+    pub(super) async fn listen(self: &Arc<Self>, address: SocketAddr) -> std::io::Result<()> {
         let listener = TcpListener::bind(address).await?;
         let log = self.clone();
         tokio::spawn(async move {
@@ -150,14 +150,14 @@
     }
 
     /// Purges an object.
-    pub fn purge(&self, object: String) -> Issued {
+    pub(super) fn purge(&self, object: String) -> Issued {
         let time = unix_us() / 1_000;
         let invalidate = json!({"object": object, "time": time});
         self.issue(Kind::Purge { object }, |seq, _| json!({"seq": seq, "invalidate": invalidate}))
     }
 
     /// Changes the size of the node of this number in the list.
-    pub fn list(&self, node: usize, weight: u32) -> Issued {
+    pub(super) fn list(&self, node: usize, weight: u32) -> Issued {
         self.issue(Kind::List, |seq, state| {
             let at = node % state.nodes.len();
             state.nodes[at]["weight"] = json!(weight);
@@ -166,7 +166,7 @@
     }
 
     /// Tells a version of the rules.
-    pub fn version(&self, number: u64, issue: Value) -> Issued {
+    pub(super) fn version(&self, number: u64, issue: Value) -> Issued {
         self.issue(Kind::Version { number }, |seq, state| {
             state.version = Some((number, issue.clone()));
             json!({"seq": seq, "rules": issue})
@@ -174,12 +174,12 @@
     }
 
     /// All that was issued while it was played.
-    pub fn issued(&self) -> Vec<Issued> {
+    pub(super) fn issued(&self) -> Vec<Issued> {
         self.state().issued.clone()
     }
 
     /// What the configuration of a dispatcher holds that starts now: the list, the last version, the last purges.
-    pub fn known(&self) -> Value {
+    pub(super) fn known(&self) -> Value {
         let state = self.state();
         let last = state.last();
         let from = last.saturating_sub(KNOWN_TAIL as u64).max(1);
@@ -194,17 +194,17 @@
     }
 
     /// The same for one that heard nothing since event 1.
-    pub fn known_first(&self) -> Value {
+    pub(super) fn known_first(&self) -> Value {
         json!({"seq": 1, "results": [self.state().line(1)]})
     }
 
     /// The log goes away, or is back.
-    pub fn set_up(&self, up: bool) {
+    pub(super) fn set_up(&self, up: bool) {
         self.service.send_modify(|service| (service.up, service.life) = (up, service.life + 1));
     }
 
     /// All streams are reset.
-    pub fn reset(&self) {
+    pub(super) fn reset(&self) {
         self.service.send_modify(|service| service.life += 1);
     }
 
--- a/crates/testbed/src/capacity/mod.rs
+++ b/crates/testbed/src/capacity/mod.rs
@@ -9,7 +9,7 @@
 mod faults;
 mod figures;
 mod groups;
-pub mod hollow;
+pub(crate) mod hollow;
 mod hosts;
 mod issuer;
 mod layout;
@@ -20,7 +20,7 @@
 mod replicas;
 mod report;
 mod rig;
-pub mod scenario;
+pub(crate) mod scenario;
 mod usage;
 
 use clock::unix_us;
@@ -37,7 +37,7 @@
 use usage::Moment;
 
 /// Plays a scenario, and writes results and report to a folder. Returns the lines to print, and the bounds missed.
-pub async fn play(
+pub(crate) async fn play(
     name: &str,
     scenario: &Scenario,
     program: &Path,
--- a/crates/testbed/src/capacity/outcome.rs
+++ b/crates/testbed/src/capacity/outcome.rs
@@ -10,7 +10,7 @@
 
 /// What one dispatcher was told a second, in the mean of those that could be reached all the time.
 #[derive(Debug, Clone, Copy, Default, serde::Serialize)]
-pub struct Told {
+pub(super) struct Told {
     pub dispatchers: usize,
     pub messages_per_s: f64,
     pub bytes_per_s: f64,
@@ -18,7 +18,7 @@
 
 /// Hollow dispatchers beside real ones, of the same run.
 #[derive(Debug, Clone, Copy, Default, serde::Serialize)]
-pub struct Beside {
+pub(super) struct Beside {
     pub hollow: Told,
     pub real: Told,
     /// The time that the purges took that observers looked for: hollow ones by their hosts' record.
@@ -31,7 +31,7 @@
 
 /// What a run came to.
 #[derive(Debug, Clone, Default, serde::Serialize)]
-pub struct Outcome {
+pub(super) struct Outcome {
     pub seed: u64,
     pub hollow: usize,
     pub real: usize,
@@ -65,7 +65,7 @@
 }
 
 /// What was seen of a run.
-pub struct Seen {
+pub(super) struct Seen {
     pub first_current_s: f64,
     pub begun_us: u64,
     pub until_us: u64,
@@ -129,7 +129,7 @@
 
 impl Outcome {
     /// What was seen, as figures; and which bounds it misses.
-    pub fn of(scenario: &Scenario, seen: Seen) -> Outcome {
+    pub(super) fn of(scenario: &Scenario, seen: Seen) -> Outcome {
         let (real, idle) = (scenario.fleet.real, scenario.fleet.real_idle);
         let hollow: Vec<_> = seen.tracks[real..].iter().collect();
         let all: Vec<_> = seen.tracks.iter().collect();
--- a/crates/testbed/src/capacity/real.rs
+++ b/crates/testbed/src/capacity/real.rs
@@ -17,7 +17,7 @@
 use tokio::process::{Child, ChildStderr, Command};
 
 /// The program, and its processes by number of dispatcher.
-pub struct Real {
+pub(super) struct Real {
     program: PathBuf,
     layout: Layout,
     /// It gets an operator's file.
@@ -27,7 +27,7 @@
 }
 
 /// The version of the rules that a line says is in force.
-pub fn version_of(line: &str) -> Option<u64> {
+pub(super) fn version_of(line: &str) -> Option<u64> {
     let rest = line.split_once("rules: ")?.1;
     let number = rest.split_once(" version=")?.1;
     number.split_whitespace().next()?.parse().ok()
@@ -35,7 +35,7 @@
 
 impl Real {
     /// None started yet.
-    pub fn new(scenario: &Scenario, program: PathBuf, layout: &Layout, ledger: &Arc<Ledger>) -> Real {
+    pub(super) fn new(scenario: &Scenario, program: PathBuf, layout: &Layout, ledger: &Arc<Ledger>) -> Real {
         let children = (0..scenario.fleet.real).map(|_| Mutex::default()).collect();
         let operated = !scenario.operator.is_empty();
         Real { program, layout: layout.clone(), operated, ledger: ledger.clone(), children }
@@ -46,7 +46,7 @@
     }
 
     /// Starts one with the configuration as it stands, and waits until it listens.
-    pub async fn start(&self, dispatcher: usize) -> Result<(), String> {
+    pub(super) async fn start(&self, dispatcher: usize) -> Result<(), String> {
         let mut command = Command::new(&self.program);
         command.arg("serve").arg("--config").arg(self.layout.config_file(dispatcher));
         if self.operated {
@@ -65,7 +65,7 @@
     }
 
     /// Kills one.
-    pub async fn kill(&self, dispatcher: usize) {
+    pub(super) async fn kill(&self, dispatcher: usize) {
         let child = self.child(dispatcher).take();
         if let Some(mut child) = child {
             let _ = child.kill().await;
@@ -73,7 +73,7 @@
     }
 
     /// Stops one, or lets it go on.
-    pub fn signal(&self, dispatcher: usize, signal: Signal) {
+    pub(super) fn signal(&self, dispatcher: usize, signal: Signal) {
         let id = self.child(dispatcher).as_ref().and_then(Child::id).and_then(|id| i32::try_from(id).ok());
         if let Some(id) = id {
             let _ = kill(Pid::from_raw(id), signal);
@@ -81,12 +81,12 @@
     }
 
     /// The process id of one, if it runs.
-    pub fn id(&self, dispatcher: usize) -> Option<u32> {
+    pub(super) fn id(&self, dispatcher: usize) -> Option<u32> {
         self.child(dispatcher).as_ref().and_then(Child::id)
     }
 
     /// Ends them all; tells how many had ended by themselves.
-    pub async fn end(&self) -> usize {
+    pub(super) async fn end(&self) -> usize {
         let mut ended = 0;
         for dispatcher in 0..self.children.len() {
             let status = self.child(dispatcher).as_mut().and_then(|child| child.try_wait().ok().flatten());
--- a/crates/testbed/src/capacity/replicas.rs
+++ b/crates/testbed/src/capacity/replicas.rs
@@ -18,7 +18,7 @@
 const LOOKED_EACH: Duration = Duration::from_millis(50);
 
 /// The program, and its processes by number of replica.
-pub struct Replicas {
+pub(super) struct Replicas {
     program: PathBuf,
     layout: Layout,
     children: Vec<Mutex<Option<Child>>>,
@@ -36,7 +36,7 @@
 
 impl Replicas {
     /// None started yet.
-    pub fn new(scenario: &Scenario, program: PathBuf, layout: &Layout) -> Result<Replicas, String> {
+    pub(super) fn new(scenario: &Scenario, program: PathBuf, layout: &Layout) -> Result<Replicas, String> {
         for replica in 0..scenario.replicas {
             layout::write(&layout.replica_file(replica), &layout.replica(scenario, replica))?;
             let _ = std::fs::remove_file(layout.log_file(&format!("replica-{replica}")));
@@ -46,7 +46,7 @@
     }
 
     /// How many there are.
-    pub fn count(&self) -> usize {
+    pub(super) fn count(&self) -> usize {
         self.children.len()
     }
 
@@ -55,7 +55,7 @@
     }
 
     /// Starts one.
-    pub fn start(&self, replica: usize) -> Result<(), String> {
+    pub(super) fn start(&self, replica: usize) -> Result<(), String> {
         let log = self.layout.log_file(&format!("replica-{replica}"));
         let errors = std::fs::OpenOptions::new().create(true).append(true).open(&log);
         let errors = errors.map_err(|fault| format!("{}: {fault}", log.display()))?;
@@ -68,7 +68,7 @@
     }
 
     /// Starts all, and waits until each serves.
-    pub async fn start_all(&self) -> Result<(), String> {
+    pub(super) async fn start_all(&self) -> Result<(), String> {
         (0..self.count()).try_for_each(|replica| self.start(replica))?;
         let begun = Instant::now();
         for replica in 0..self.count() {
@@ -84,7 +84,7 @@
     }
 
     /// Kills one.
-    pub async fn kill(&self, replica: usize) {
+    pub(super) async fn kill(&self, replica: usize) {
         let child = self.child(replica).take();
         if let Some(mut child) = child {
             let _ = child.kill().await;
@@ -92,12 +92,12 @@
     }
 
     /// The process ids of those that run.
-    pub fn ids(&self) -> Vec<u32> {
+    pub(super) fn ids(&self) -> Vec<u32> {
         (0..self.count()).filter_map(|replica| self.child(replica).as_ref().and_then(Child::id)).collect()
     }
 
     /// Ends them all; tells how many had ended by themselves.
-    pub async fn end(&self) -> usize {
+    pub(super) async fn end(&self) -> usize {
         let mut ended = 0;
         for replica in 0..self.count() {
             let status = self.child(replica).as_mut().and_then(|child| child.try_wait().ok().flatten());
--- a/crates/testbed/src/capacity/report.rs
+++ b/crates/testbed/src/capacity/report.rs
@@ -24,7 +24,7 @@
 }
 
 /// A figure's name, and what it came to.
-pub fn rows(outcome: &Outcome) -> Vec<(String, String)> {
+pub(super) fn rows(outcome: &Outcome) -> Vec<(String, String)> {
     let mut rows = vec![
         ("dispatchers, hollow and real".to_string(), format!("{}, {}", outcome.hollow, outcome.real)),
         ("all followed after, s".into(), format!("{:.2}", outcome.first_current_s)),
@@ -101,7 +101,7 @@
 }
 
 /// Writes results and report to a folder.
-pub fn write(out: &Path, name: &str, scenario: &Scenario, outcome: &Outcome) -> Result<(), String> {
+pub(super) fn write(out: &Path, name: &str, scenario: &Scenario, outcome: &Outcome) -> Result<(), String> {
     let results = out.join("results.json");
     let text = serde_json::to_string_pretty(outcome).map_err(|fault| fault.to_string())?;
     std::fs::write(&results, text).map_err(|fault| format!("{}: {fault}", results.display()))?;
--- a/crates/testbed/src/capacity/rig.rs
+++ b/crates/testbed/src/capacity/rig.rs
@@ -32,7 +32,7 @@
 const PROBES_WAITING: usize = 64;
 
 /// What a run is played on.
-pub struct Rig {
+pub(super) struct Rig {
     pub scenario: Scenario,
     pub layout: Layout,
     pub log: Arc<ChangeLog>,
@@ -72,7 +72,12 @@
 
 impl Rig {
     /// Opens all stand-ins and starts the hosts; no dispatcher runs yet.
-    pub async fn open(scenario: &Scenario, program: &Path, folder: PathBuf, net: u8) -> Result<Rig, String> {
+    pub(super) async fn open(
+        scenario: &Scenario,
+        program: &Path,
+        folder: PathBuf,
+        net: u8,
+    ) -> Result<Rig, String> {
         std::fs::create_dir_all(&folder).map_err(|fault| format!("{}: {fault}", folder.display()))?;
         let layout = Layout { net, folder };
         let nodes = layout.nodes(scenario);
@@ -118,7 +123,7 @@
 
     /// Starts all dispatchers over the span told, and waits until all that are not cut off have acted on a first event.
     /// Returns how long that took from the last start on.
-    pub async fn start(self: &Arc<Self>) -> Result<Duration, String> {
+    pub(super) async fn start(self: &Arc<Self>) -> Result<Duration, String> {
         let (count, fleet) = (self.scenario.dispatchers(), &self.scenario.fleet);
         self.replicas.start_all().await?;
         let begun = Instant::now();
@@ -151,7 +156,7 @@
     }
 
     /// Lets clients and observers ask the real dispatchers, until the run ends.
-    pub fn ask(self: &Arc<Self>) {
+    pub(super) fn ask(self: &Arc<Self>) {
         let fleet = &self.scenario.fleet;
         for at in 0..fleet.real - fleet.real_idle {
             let (to, seed) = (self.layout.listen(at), self.scenario.seed.rotate_left(8) + at as u64);
@@ -164,22 +169,22 @@
     }
 
     /// Takes a dispatcher for a fault; tells whether nothing else happens to it.
-    pub fn claim(&self, dispatcher: usize) -> bool {
+    pub(super) fn claim(&self, dispatcher: usize) -> bool {
         self.claimed.lock().unwrap_or_else(PoisonError::into_inner).insert(dispatcher)
     }
 
     /// The fault is over.
-    pub fn release(&self, dispatcher: usize) {
+    pub(super) fn release(&self, dispatcher: usize) {
         self.claimed.lock().unwrap_or_else(PoisonError::into_inner).remove(&dispatcher);
     }
 
     /// Whether a dispatcher is a process of its own.
-    pub fn is_real(&self, dispatcher: usize) -> bool {
+    pub(super) fn is_real(&self, dispatcher: usize) -> bool {
         dispatcher < self.scenario.fleet.real
     }
 
     /// Starts one whose configuration is written, and notes from when it can be reached.
-    pub async fn begin(&self, dispatcher: usize, cause: Cause) -> Result<(), String> {
+    pub(super) async fn begin(&self, dispatcher: usize, cause: Cause) -> Result<(), String> {
         let asked_us = unix_us();
         if self.is_real(dispatcher) {
             self.real.start(dispatcher).await?;
@@ -200,7 +205,7 @@
     }
 
     /// What a configuration holds that is written now.
-    pub fn write_config(&self, dispatcher: usize, known: Value) -> Result<(), String> {
+    pub(super) fn write_config(&self, dispatcher: usize, known: Value) -> Result<(), String> {
         self.layout.write_config(&self.scenario, dispatcher, known)
     }
 
@@ -210,19 +215,19 @@
     }
 
     /// What has passed to each dispatcher.
-    pub fn counted(&self) -> Vec<Counted> {
+    pub(super) fn counted(&self) -> Vec<Counted> {
         (0..self.access.len()).map(|at| self.counted_of(at)).collect()
     }
 
     /// What has passed from each source.
-    pub fn counted_by_source(&self) -> Vec<Counted> {
+    pub(super) fn counted_by_source(&self) -> Vec<Counted> {
         let all: Vec<_> = self.access.iter().map(Access::counted).collect();
         let of = |source: usize| all.iter().map(|counted| counted[source]).sum();
         (0..self.scenario.replicas.max(1)).map(of).collect()
     }
 
     /// Who follows a replica now.
-    pub fn followers(&self, replica: usize) -> Vec<usize> {
+    pub(super) fn followers(&self, replica: usize) -> Vec<usize> {
         let follows = |at: &usize| self.access[*at].counted()[replica].streams > 0;
         (0..self.access.len()).filter(follows).collect()
     }
--- a/crates/testbed/src/capacity/scenario.rs
+++ b/crates/testbed/src/capacity/scenario.rs
@@ -17,7 +17,7 @@
 /// A capacity scenario.
 #[derive(Debug, Clone, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct Scenario {
+pub(crate) struct Scenario {
     /// One line on what it shows.
     pub about: String,
     /// Where chance starts from.
@@ -59,7 +59,7 @@
 /// The dispatchers, and what they stand before.
 #[derive(Debug, Clone, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct Fleet {
+pub(crate) struct Fleet {
     /// Hollow dispatchers: control without clients and bodies.
     pub hollow: usize,
     /// Hollow dispatchers in one process.
@@ -89,7 +89,7 @@
 /// What the change log tells.
 #[derive(Debug, Clone, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct Changes {
+pub(crate) struct Changes {
     /// Purges a second.
     pub purges_per_s: f64,
     /// One purge each so many seconds is looked for at real dispatchers by clients.
@@ -115,7 +115,7 @@
 /// Restarts and failures that are drawn, of one dispatcher each.
 #[derive(Debug, Clone, Default, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
-pub struct Drawn {
+pub(crate) struct Drawn {
     /// Restarts over the whole run, and how long a dispatcher is away.
     pub restarts: usize,
     pub restart_s: f64,
@@ -127,7 +127,7 @@
 /// What goes wrong.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Deserialize, JsonSchema, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum What {
+pub(crate) enum What {
     /// Dispatchers are killed, and start anew.
     Kill,
     /// Dispatchers are stopped, and go on.
@@ -149,7 +149,7 @@
 /// One fault.
 #[derive(Debug, Clone, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct Fault {
+pub(crate) struct Fault {
     /// When, in seconds from the start.
     pub at_s: f64,
     /// For how long.
@@ -168,7 +168,7 @@
 /// The bounds; absent ones are not looked at.
 #[derive(Debug, Clone, Default, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
-pub struct Expect {
+pub(crate) struct Expect {
     /// From a purge's issue until the last reachable dispatcher has acted on it, in seconds.
     pub purge_p50_s: Option<f64>,
     pub purge_p99_s: Option<f64>,
@@ -203,14 +203,14 @@
 
 impl Scenario {
     /// Reads a scenario; an error is one line with the file, the field and what was expected.
-    pub fn read(path: &Path) -> Result<Scenario, String> {
+    pub(crate) fn read(path: &Path) -> Result<Scenario, String> {
         let named = |what: String| format!("{}: {what}", path.display());
         let text = std::fs::read_to_string(path).map_err(|fault| named(fault.to_string()))?;
         Scenario::parse(&text).map_err(named)
     }
 
     /// The same from the text of a file.
-    pub fn parse(text: &str) -> Result<Scenario, String> {
+    pub(crate) fn parse(text: &str) -> Result<Scenario, String> {
         let read = &mut serde_json::Deserializer::from_str(text);
         let read: Scenario = serde_path_to_error::deserialize(read).map_err(|fault| fault.to_string())?;
         read.check()?;
@@ -218,17 +218,17 @@
     }
 
     /// The schema of such files.
-    pub fn schema() -> serde_json::Value {
+    pub(crate) fn schema() -> serde_json::Value {
         schemars::schema_for!(Scenario).to_value()
     }
 
     /// Dispatchers in all; the first `fleet.real` of them are real.
-    pub fn dispatchers(&self) -> usize {
+    pub(crate) fn dispatchers(&self) -> usize {
         self.fleet.hollow + self.fleet.real
     }
 
     /// Processes that host hollow dispatchers.
-    pub fn hosts(&self) -> usize {
+    pub(crate) fn hosts(&self) -> usize {
         self.fleet.hollow.div_ceil(self.fleet.hollow_each.max(1))
     }
 
--- a/crates/testbed/src/capacity/usage.rs
+++ b/crates/testbed/src/capacity/usage.rs
@@ -7,7 +7,7 @@
 
 /// One second of all.
 #[derive(Debug, Clone, Copy, Default, serde::Serialize)]
-pub struct Second {
+pub(super) struct Second {
     /// New connections.
     pub calls: u64,
     /// Bytes to one dispatcher: the mean, and the most.
@@ -36,7 +36,7 @@
 
 /// What one dispatcher of a kind takes, in the mean.
 #[derive(Debug, Clone, Copy, Default, serde::Serialize)]
-pub struct Share {
+pub(super) struct Share {
     /// Dispatchers that it was measured for.
     pub dispatchers: usize,
     pub cores: f64,
@@ -44,7 +44,7 @@
 }
 
 /// A moment: what was counted and used.
-pub struct Moment {
+pub(super) struct Moment {
     at: Instant,
     pub counted: Vec<Counted>,
     hollow: Vec<Use>,
@@ -62,7 +62,7 @@
 
 impl Moment {
     /// As it is now.
-    pub fn now(rig: &Rig) -> Moment {
+    pub(super) fn now(rig: &Rig) -> Moment {
         let hollow = rig.hosts.ids().into_iter().filter_map(|(id, count)| use_of(id, count)).collect();
         let real = (0..rig.scenario.fleet.real).map(|at| use_of(rig.real.id(at)?, 1)).collect();
         let replicas = rig.replicas.ids().into_iter().filter_map(|id| use_of(id, 1)).collect();
@@ -89,23 +89,23 @@
     }
 
     /// Seconds since another moment.
-    pub fn secs_since(&self, before: &Moment) -> f64 {
+    pub(super) fn secs_since(&self, before: &Moment) -> f64 {
         self.at.duration_since(before.at).as_secs_f64().max(1e-3)
     }
 
     /// What one hollow dispatcher took since another moment.
-    pub fn hollow_share(&self, before: &Moment) -> Share {
+    pub(super) fn hollow_share(&self, before: &Moment) -> Share {
         share(&self.hollow, &before.hollow, self.secs_since(before))
     }
 
     /// What one of these real dispatchers took, of those that ran all the time.
-    pub fn real_share(&self, before: &Moment, who: std::ops::Range<usize>) -> Share {
+    pub(super) fn real_share(&self, before: &Moment, who: std::ops::Range<usize>) -> Share {
         let of = |moment: &Moment| moment.real[who.clone()].iter().flatten().copied().collect::<Vec<_>>();
         share(&of(self), &of(before), self.secs_since(before))
     }
 
     /// What one replica took, of those that ran all the time.
-    pub fn replica_share(&self, before: &Moment) -> Share {
+    pub(super) fn replica_share(&self, before: &Moment) -> Share {
         share(&self.replicas, &before.replicas, self.secs_since(before))
     }
 
@@ -145,7 +145,7 @@
 }
 
 /// Looks once a second until the end; `told` hears of each second.
-pub async fn watch(rig: &Rig, until: Instant, mut told: impl FnMut(usize)) -> Vec<Second> {
+pub(super) async fn watch(rig: &Rig, until: Instant, mut told: impl FnMut(usize)) -> Vec<Second> {
     let (mut seconds, mut before) = (Vec::new(), Moment::now(rig));
     let mut due = Instant::now();
     while due < until {
--- a/crates/testbed/src/clients.rs
+++ b/crates/testbed/src/clients.rs
@@ -16,13 +16,13 @@
 use tokio::sync::watch;
 
 /// What the settings say of sizes: KB a second of one answer.
-pub const KB_PER_S: f64 = 5_000.0;
+pub(crate) const KB_PER_S: f64 = 5_000.0;
 /// An answer may come so much after its time, by the rules on sockets and what this machine adds.
 const LATE: Duration = Duration::from_millis(50 + 200);
 const MOST_LINE: usize = 256;
 
 /// What all clients share.
-pub struct Crowd {
+pub(crate) struct Crowd {
     /// What is true.
     pub world: Arc<World>,
     /// What is counted.
@@ -68,7 +68,7 @@
 
 impl Crowd {
     /// Client number `number`, until the scenario's end.
-    pub async fn client(self: Arc<Self>, number: usize) {
+    pub(crate) async fn client(self: Arc<Self>, number: usize) {
         let scenario = &self.world.scenario;
         let told = &scenario.clients;
         let mut chance = StdRng::seed_from_u64(scenario.seed.wrapping_mul(1_000_003) + number as u64);
--- a/crates/testbed/src/fleet_simulation/arrangement.rs
+++ b/crates/testbed/src/fleet_simulation/arrangement.rs
@@ -8,7 +8,7 @@
 
 /// A way of changes.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Arrangement {
+pub(super) struct Arrangement {
     pub name: &'static str,
     pub replicas: usize,
     pub streams: usize,
@@ -19,43 +19,43 @@
 }
 
 impl Arrangement {
-    pub const TODAY: Arrangement = Arrangement {
+    pub(super) const TODAY: Arrangement = Arrangement {
         name: "(a) today: one service, one stream",
         replicas: 0,
         streams: 1,
         calls_times: 1.0,
         waits_at_start: true,
     };
-    pub const TWO_STREAMS: Arrangement =
+    pub(super) const TWO_STREAMS: Arrangement =
         Arrangement { name: "(b) two streams to 6 replicas", replicas: 6, streams: 2, ..Self::TODAY };
-    pub const TWO_STREAMS_AT_ONCE: Arrangement = Arrangement {
+    pub(super) const TWO_STREAMS_AT_ONCE: Arrangement = Arrangement {
         name: "(b') as (b), called in the next round at a start",
         waits_at_start: false,
         ..Self::TWO_STREAMS
     };
-    pub const ONE_OF_SIX: Arrangement =
+    pub(super) const ONE_OF_SIX: Arrangement =
         Arrangement { name: "(c) one stream to one of 6 replicas", streams: 1, ..Self::TWO_STREAMS };
-    pub const LARGER_SERVICE: Arrangement = Arrangement {
+    pub(super) const LARGER_SERVICE: Arrangement = Arrangement {
         name: "(d) one service of four times the calls, called in the next round at a start",
         calls_times: 4.0,
         waits_at_start: false,
         ..Self::TODAY
     };
-    pub const ALL: [Arrangement; 5] =
+    pub(super) const ALL: [Arrangement; 5] =
         [Self::TODAY, Self::TWO_STREAMS, Self::TWO_STREAMS_AT_ONCE, Self::ONE_OF_SIX, Self::LARGER_SERVICE];
 
     /// The letter that its name begins with, in brackets.
-    pub fn letter(&self) -> &str {
+    pub(super) fn letter(&self) -> &str {
         self.name.trim_start_matches('(').split(')').next().unwrap_or_default()
     }
 
     /// Calls a second that each source bears.
-    pub fn bears(&self, dispatchers: u32) -> f64 {
+    pub(super) fn bears(&self, dispatchers: u32) -> f64 {
         (f64::from(dispatchers) * CALLS_SHARE * self.calls_times).max(1.0)
     }
 
     /// What a dispatcher is told of its sources: rounds hold though one replica is lost.
-    pub fn calls(&self, dispatchers: u32) -> CallSettings {
+    pub(super) fn calls(&self, dispatchers: u32) -> CallSettings {
         let streams = dispatchers * self.streams as u32;
         let share = (self.replicas.saturating_sub(1) as u32).max(1);
         CallSettings {
@@ -67,13 +67,13 @@
     }
 
     /// What a replica is told of the log.
-    pub fn replica_calls(&self, dispatchers: u32) -> CallSettings {
+    pub(super) fn replica_calls(&self, dispatchers: u32) -> CallSettings {
         CallSettings { dispatchers: self.replicas as u32, ..self.calls(dispatchers) }
     }
 
     /// The sources of a dispatcher, those that it prefers first: rendezvous hashing, the second in another zone than the
     /// first.
-    pub fn sources(&self, dispatcher: u32, seed: u64) -> Vec<usize> {
+    pub(super) fn sources(&self, dispatcher: u32, seed: u64) -> Vec<usize> {
         if self.replicas == 0 {
             return vec![0];
         }
@@ -90,7 +90,7 @@
 }
 
 /// Where a source stands: the log is 0.
-pub fn place_of(source: usize) -> Place {
+pub(super) fn place_of(source: usize) -> Place {
     match source {
         0 => topology::log(),
         replica => topology::replica(replica - 1),
--- a/crates/testbed/src/fleet_simulation/fault.rs
+++ b/crates/testbed/src/fleet_simulation/fault.rs
@@ -6,8 +6,8 @@
 use copperroute_routing::interface::Nanos;
 
 /// The first fault begins then; all that is counted is counted from a little before.
-pub const BEGINS: Nanos = Nanos(30 * SECOND.0);
-pub const COUNTED_FROM: Nanos = Nanos(25 * SECOND.0);
+pub(super) const BEGINS: Nanos = Nanos(30 * SECOND.0);
+pub(super) const COUNTED_FROM: Nanos = Nanos(25 * SECOND.0);
 /// After the last step the run goes on for so long.
 const SETTLES: Nanos = Nanos(60 * SECOND.0);
 /// Faults that hit one dispatcher are played so often in one run, one a second.
@@ -20,7 +20,7 @@
 
 /// A kind of fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Kind {
+pub(super) enum Kind {
     None,
     DispatcherRestart,
     DispatcherMachine,
@@ -46,7 +46,7 @@
 
 /// Whose process or machine it is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Scope {
+pub(super) enum Scope {
     Dispatcher(u32),
     Rack(u32),
     Zone(usize),
@@ -54,7 +54,7 @@
 
 /// One step of a fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Step {
+pub(super) enum Step {
     /// Dispatchers end; without a word where their machines are lost.
     Stop(Scope),
     Start(Scope),
@@ -86,7 +86,7 @@
 
 /// What is played.
 #[derive(Debug, Clone)]
-pub struct Script {
+pub(super) struct Script {
     pub steps: Vec<(Nanos, Step)>,
     /// How many faults of the kind it has.
     pub faults: u32,
@@ -94,7 +94,7 @@
 }
 
 impl Kind {
-    pub const ALL: [Kind; 19] = [
+    pub(super) const ALL: [Kind; 19] = [
         Kind::None,
         Kind::DispatcherRestart,
         Kind::DispatcherMachine,
@@ -116,7 +116,7 @@
         Kind::OtherPairCut,
     ];
 
-    pub fn name(self) -> &'static str {
+    pub(super) fn name(self) -> &'static str {
         match self {
             Kind::None => "no fault, an hour",
             Kind::DispatcherRestart => "a dispatcher restarts",
@@ -142,13 +142,13 @@
     }
 
     /// Whether it lasts an hour.
-    pub fn is_long(self) -> bool {
+    pub(super) fn is_long(self) -> bool {
         use Kind::*;
         matches!(self, None | RegionCut | RegionCutOneWay | RegionOfLogCut | PairWithLogCut | OtherPairCut)
     }
 
     /// How often in an ordinary month.
-    pub fn per_month(self, dispatchers: u32, arrangement: &Arrangement) -> f64 {
+    pub(super) fn per_month(self, dispatchers: u32, arrangement: &Arrangement) -> f64 {
         let dispatchers = f64::from(dispatchers);
         let scale = dispatchers / TOLD_DISPATCHERS;
         let machines_told = TOLD_DISPATCHERS + TOLD_CACHE_HOSTS + CONTROL_MACHINES;
@@ -186,7 +186,7 @@
     }
 
     /// What is played; `cut` is for how long regions are cut.
-    pub fn script(self, dispatchers: u32, arrangement: &Arrangement, cut: Nanos, seed: u64) -> Script {
+    pub(super) fn script(self, dispatchers: u32, arrangement: &Arrangement, cut: Nanos, seed: u64) -> Script {
         let mut writer = Writer { steps: Vec::new(), faults: 1, chance: Chance::new(seed) };
         writer.write(self, dispatchers, arrangement, cut);
         let last = writer.steps.iter().map(|step| step.0).max();
--- a/crates/testbed/src/fleet_simulation/follower.rs
+++ b/crates/testbed/src/fleet_simulation/follower.rs
@@ -20,7 +20,7 @@
 
 /// What a follower took of the bytes that came.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum News {
+pub(super) enum News {
     /// The event with this number, for the first time.
     Event(u64),
     /// A second's line; whether all that is known there has been taken here.
@@ -28,7 +28,7 @@
 }
 
 /// What a version says in the simulation.
-pub fn rules(attempts: u64) -> Map<String, Value> {
+pub(super) fn rules(attempts: u64) -> Map<String, Value> {
     [("max_pulls".to_string(), json!(attempts))].into_iter().collect()
 }
 
@@ -40,12 +40,12 @@
 }
 
 /// The address by which the simulation knows a source.
-pub fn address_of(source: usize) -> SocketAddr {
+pub(super) fn address_of(source: usize) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], source as u16))
 }
 
 /// What a follower starts with.
-pub struct Start {
+pub(super) struct Start {
     /// The source of each stream.
     pub sources: Vec<usize>,
     pub calls: CallSettings,
@@ -58,7 +58,7 @@
     pub agrees: bool,
 }
 
-pub struct Follower {
+pub(super) struct Follower {
     streams: Vec<ChangeLog>,
     agreement: Option<Box<Agreement>>,
     newest: u64,
@@ -66,7 +66,7 @@
 }
 
 impl Follower {
-    pub fn new(start: &Start) -> Self {
+    pub(super) fn new(start: &Start) -> Self {
         let unix_zero = UNIX_MS * 1_000_000;
         let stream = |(at, source): (usize, &usize)| {
             let seed = start.seed.wrapping_add(at as u64 * 0x9E37_79B9);
@@ -89,35 +89,41 @@
     }
 
     /// The last event that was taken.
-    pub fn newest(&self) -> u64 {
+    pub(super) fn newest(&self) -> u64 {
         self.newest
     }
 
     /// The last event that came by this stream.
-    pub fn applied(&self, stream: usize) -> u64 {
+    pub(super) fn applied(&self, stream: usize) -> u64 {
         self.streams[stream].applied()
     }
 
     /// The version in force, where it acts on versions.
-    pub fn in_force(&self) -> u64 {
+    pub(super) fn in_force(&self) -> u64 {
         self.agreement.as_ref().map_or(0, |agreement| agreement.in_force().number)
     }
 
     /// Whether it knows that it is out of touch.
-    pub fn is_out_of_touch(&self) -> bool {
+    pub(super) fn is_out_of_touch(&self) -> bool {
         self.agreement.as_ref().is_some_and(|agreement| agreement.out_of_touch().is_some())
     }
 
     /// It starts; one that has a list `waits` as `Calls` has it, one that has none calls in the next round.
-    pub fn start(&mut self, stream: usize, waits: bool, now: Nanos, effects: &mut Vec<Effect>) {
+    pub(super) fn start(&mut self, stream: usize, waits: bool, now: Nanos, effects: &mut Vec<Effect>) {
         self.streams[stream].start(waits, now, effects);
     }
 
-    pub fn due(&mut self, stream: usize, now: Nanos, effects: &mut Vec<Effect>) {
+    pub(super) fn due(&mut self, stream: usize, now: Nanos, effects: &mut Vec<Effect>) {
         self.streams[stream].connect(now, effects);
     }
 
-    pub fn connected(&mut self, stream: usize, connection: u32, now: Nanos, effects: &mut Vec<Effect>) {
+    pub(super) fn connected(
+        &mut self,
+        stream: usize,
+        connection: u32,
+        now: Nanos,
+        effects: &mut Vec<Effect>,
+    ) {
         // With another stream up, the lease goes on by that one's lines.
         if self.streams.len() == 1 {
             self.agreement.iter_mut().for_each(|agreement| agreement.asked(now));
@@ -125,22 +131,22 @@
         self.streams[stream].connected(connection, now, effects);
     }
 
-    pub fn closed(&mut self, stream: usize, connection: u32, now: Nanos, effects: &mut Vec<Effect>) {
+    pub(super) fn closed(&mut self, stream: usize, connection: u32, now: Nanos, effects: &mut Vec<Effect>) {
         self.streams[stream].closed(connection, now, effects);
     }
 
     /// The next call of this stream goes to another source.
-    pub fn turn_to(&mut self, stream: usize, source: usize, now: Nanos, effects: &mut Vec<Effect>) {
+    pub(super) fn turn_to(&mut self, stream: usize, source: usize, now: Nanos, effects: &mut Vec<Effect>) {
         self.streams[stream].follow(&[address_of(source)], now, effects);
     }
 
     /// Gives a silent stream up.
-    pub fn watch(&mut self, stream: usize, now: Nanos, effects: &mut Vec<Effect>) {
+    pub(super) fn watch(&mut self, stream: usize, now: Nanos, effects: &mut Vec<Effect>) {
         self.streams[stream].watch(now, effects);
     }
 
     /// Brings what is agreed up to this time.
-    pub fn look(&mut self, now: Nanos) {
+    pub(super) fn look(&mut self, now: Nanos) {
         let unix_ms = self.unix_ms(now);
         if let Some(agreement) = &mut self.agreement {
             agreement.look(now, unix_ms);
@@ -148,7 +154,7 @@
     }
 
     /// Bytes have come on a stream.
-    pub fn received(
+    pub(super) fn received(
         &mut self,
         stream: usize,
         connection: u32,
--- a/crates/testbed/src/fleet_simulation/measures.rs
+++ b/crates/testbed/src/fleet_simulation/measures.rs
@@ -9,7 +9,7 @@
 
 /// A span of time; one that still lasts ends at the end of time.
 #[derive(Debug, Clone, Copy)]
-pub struct Span {
+pub(super) struct Span {
     pub from: Nanos,
     pub to: Nanos,
 }
@@ -22,7 +22,7 @@
 
 /// Dispatcher-seconds over a bound, by what is to blame.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Over {
+pub(super) struct Over {
     /// The way of changes.
     pub way_s: f64,
     /// The log was away.
@@ -57,7 +57,7 @@
 }
 
 #[derive(Debug, Default)]
-pub struct Measures {
+pub(super) struct Measures {
     /// Nothing is counted before.
     from: Nanos,
     accounts: Vec<Account>,
@@ -82,31 +82,31 @@
 }
 
 impl Measures {
-    pub fn new(dispatchers: u32, from: Nanos) -> Self {
+    pub(super) fn new(dispatchers: u32, from: Nanos) -> Self {
         Measures { from, accounts: vec![Account::default(); dispatchers as usize], ..Measures::default() }
     }
 
     /// The log goes away.
-    pub fn log_away(&mut self, now: Nanos) {
+    pub(super) fn log_away(&mut self, now: Nanos) {
         self.away = Some(Span { from: now, to: Nanos(u64::MAX) });
     }
 
     /// The log is back.
-    pub fn log_back(&mut self, now: Nanos) {
+    pub(super) fn log_back(&mut self, now: Nanos) {
         self.away.iter_mut().for_each(|span| span.to = now);
     }
 
     /// From now on no way leads to these dispatchers.
-    pub fn cut(&mut self, now: Nanos, members: Vec<bool>) {
+    pub(super) fn cut(&mut self, now: Nanos, members: Vec<bool>) {
         self.cut = Some((Span { from: now, to: Nanos(u64::MAX) }, members));
     }
 
-    pub fn healed(&mut self, now: Nanos) {
+    pub(super) fn healed(&mut self, now: Nanos) {
         self.cut.iter_mut().for_each(|(span, _)| span.to = now);
     }
 
     /// A dispatcher starts.
-    pub fn started(&mut self, dispatcher: u32, now: Nanos) {
+    pub(super) fn started(&mut self, dispatcher: u32, now: Nanos) {
         let account = &mut self.accounts[dispatcher as usize];
         let (longest_s, total_s) = (account.longest_s, account.total_s);
         *account = Account {
@@ -124,7 +124,7 @@
     }
 
     /// The dispatcher acts now on an event, or ends without having done so.
-    pub fn acted(&mut self, dispatcher: u32, number: u64, [issued, entered]: [Nanos; 2], now: Nanos) {
+    pub(super) fn acted(&mut self, dispatcher: u32, number: u64, [issued, entered]: [Nanos; 2], now: Nanos) {
         let cut = self.cut_of(dispatcher);
         self.count_slowest(dispatcher, number, entered, now);
         let account = &mut self.accounts[dispatcher as usize];
@@ -172,7 +172,7 @@
     }
 
     /// A version is in force at a dispatcher; `issued` tells when each was, from the first on.
-    pub fn version(&mut self, dispatcher: u32, version: u64, issued: &[Nanos], now: Nanos) {
+    pub(super) fn version(&mut self, dispatcher: u32, version: u64, issued: &[Nanos], now: Nanos) {
         let account = &mut self.accounts[dispatcher as usize];
         let before = account.version;
         account.version = version.max(before);
@@ -186,7 +186,7 @@
     }
 
     /// Bytes have come to a dispatcher.
-    pub fn bytes(&mut self, dispatcher: u32, bytes: u64, now: Nanos) {
+    pub(super) fn bytes(&mut self, dispatcher: u32, bytes: u64, now: Nanos) {
         if now < self.from {
             return;
         }
@@ -203,7 +203,7 @@
     }
 
     /// A dispatcher was out of touch for one sweep; `anew` if it was not at the sweep before.
-    pub fn out_of_touch(&mut self, now: Nanos, anew: bool) {
+    pub(super) fn out_of_touch(&mut self, now: Nanos, anew: bool) {
         if now < self.from {
             return;
         }
@@ -215,7 +215,7 @@
     }
 
     /// How many dispatchers were over the bound of purges, and the longest for which one was.
-    pub fn affected(&self) -> (usize, f64) {
+    pub(super) fn affected(&self) -> (usize, f64) {
         let over = self.accounts.iter().filter(|account| account.total_s > 0.0);
         let longest = self.accounts.iter().map(|account| account.longest_s).fold(0.0, f64::max);
         (over.count(), longest)
@@ -229,7 +229,7 @@
 }
 
 /// The value that this part of them does not exceed; they are put in order.
-pub fn quantile(values: &mut [Nanos], part: f64) -> Nanos {
+pub(super) fn quantile(values: &mut [Nanos], part: f64) -> Nanos {
     values.sort_unstable();
     let at = (values.len() as f64 * part).ceil() as usize;
     values.get(at.saturating_sub(1)).copied().unwrap_or(Nanos::ZERO)
--- a/crates/testbed/src/fleet_simulation/mod.rs
+++ b/crates/testbed/src/fleet_simulation/mod.rs
@@ -26,7 +26,7 @@
 
 /// What is asked for on the command line.
 #[derive(Debug, Clone)]
-pub struct Options {
+pub(crate) struct Options {
     pub dispatchers: Vec<u32>,
     pub seeds: u64,
     /// Those that last an hour with so many.
@@ -40,7 +40,7 @@
 }
 
 /// The tables.
-pub fn table(options: &Options) -> String {
+pub(crate) fn table(options: &Options) -> String {
     let mut text = String::new();
     for dispatchers in &options.dispatchers {
         let ways: Vec<(Arrangement, Vec<Row>)> = Arrangement::ALL
--- a/crates/testbed/src/fleet_simulation/network.rs
+++ b/crates/testbed/src/fleet_simulation/network.rs
@@ -6,29 +6,29 @@
 use copperroute_routing::interface::Nanos;
 
 #[derive(Debug)]
-pub struct Network {
+pub(super) struct Network {
     /// From the first region nothing comes to the second.
     cut: [[bool; REGIONS]; REGIONS],
     chance: Chance,
 }
 
 impl Network {
-    pub fn new(seed: u64) -> Self {
+    pub(super) fn new(seed: u64) -> Self {
         Network { cut: [[false; REGIONS]; REGIONS], chance: Chance::new(seed) }
     }
 
     /// Cuts, or heals, the way from one region to another.
-    pub fn set_cut(&mut self, from: usize, to: usize, cut: bool) {
+    pub(super) fn set_cut(&mut self, from: usize, to: usize, cut: bool) {
         self.cut[from][to] = cut;
     }
 
     /// Whether a connection lives between them: it needs both ways.
-    pub fn connects(&self, one: Place, other: Place) -> bool {
+    pub(super) fn connects(&self, one: Place, other: Place) -> bool {
         !self.cut[one.region][other.region] && !self.cut[other.region][one.region]
     }
 
     /// How long a message takes.
-    pub fn delay(&mut self, from: Place, to: Place) -> Nanos {
+    pub(super) fn delay(&mut self, from: Place, to: Place) -> Nanos {
         let apart = from.region.abs_diff(to.region) as u64;
         let base = match apart {
             0 if from.zone == to.zone => DELAY_ZONE,
--- a/crates/testbed/src/fleet_simulation/record.rs
+++ b/crates/testbed/src/fleet_simulation/record.rs
@@ -13,13 +13,13 @@
 
 /// An event.
 #[derive(Debug)]
-pub struct Entry {
+pub(super) struct Entry {
     pub issued: Nanos,
     pub entered: Nanos,
 }
 
 #[derive(Debug, Default)]
-pub struct Record {
+pub(super) struct Record {
     entries: Vec<Entry>,
     versions: Vec<Nanos>,
     digest: String,
@@ -30,22 +30,22 @@
 
 impl Record {
     /// The number of the last event.
-    pub fn last(&self) -> u64 {
+    pub(super) fn last(&self) -> u64 {
         self.entries.len() as u64
     }
 
     /// The event with this number.
-    pub fn entry(&self, number: u64) -> &Entry {
+    pub(super) fn entry(&self, number: u64) -> &Entry {
         &self.entries[number as usize - 1]
     }
 
     /// When each version was issued, from the first on.
-    pub fn versions(&self) -> &[Nanos] {
+    pub(super) fn versions(&self) -> &[Nanos] {
         &self.versions
     }
 
     /// The number of the last event that the log had taken by then.
-    pub fn last_at(&self, moment: Nanos) -> u64 {
+    pub(super) fn last_at(&self, moment: Nanos) -> u64 {
         self.entries.partition_point(|entry| entry.entered <= moment) as u64
     }
 
@@ -56,7 +56,7 @@
     }
 
     /// A purge that was issued then, and is taken now.
-    pub fn purge(&mut self, issued: Nanos, now: Nanos) {
+    pub(super) fn purge(&mut self, issued: Nanos, now: Nanos) {
         let (seq, time) = (self.last() + 1, UNIX_MS + issued.0 / 1_000_000);
         let what = match seq % GROUPS_ONE_IN {
             0 => json!({"bucket": seq % 200}),
@@ -69,7 +69,7 @@
     }
 
     /// The next version, issued now.
-    pub fn version(&mut self, now: Nanos) {
+    pub(super) fn version(&mut self, now: Nanos) {
         self.versions.push(now);
         let number = self.versions.len() as u64;
         let issued_ms = UNIX_MS + now.0 / 1_000_000;
@@ -88,7 +88,7 @@
     }
 
     /// The bytes of the events after one up to another.
-    pub fn bytes(&self, after: u64, upto: u64) -> &[u8] {
+    pub(super) fn bytes(&self, after: u64, upto: u64) -> &[u8] {
         self.bytes.get(self.end(after)..self.end(upto)).unwrap_or_default()
     }
 
@@ -98,7 +98,7 @@
     }
 
     /// How many bytes these are.
-    pub fn length(&self, after: u64, upto: u64) -> u64 {
+    pub(super) fn length(&self, after: u64, upto: u64) -> u64 {
         self.end(upto).saturating_sub(self.end(after)) as u64
     }
 }
--- a/crates/testbed/src/fleet_simulation/report.rs
+++ b/crates/testbed/src/fleet_simulation/report.rs
@@ -6,7 +6,7 @@
 use std::fmt::Write as _;
 
 /// What one kind of fault brought under one way of changes, with each seed.
-pub struct Row {
+pub(super) struct Row {
     pub kind: Kind,
     pub per_month: f64,
     pub outcomes: Vec<Outcome>,
@@ -58,7 +58,7 @@
 }
 
 /// A way of changes: a line for each kind of fault.
-pub fn faults(dispatchers: u32, arrangement: &Arrangement, rows: &[Row]) -> String {
+pub(super) fn faults(dispatchers: u32, arrangement: &Arrangement, rows: &[Row]) -> String {
     let mut text = format!(
         "\n{dispatchers} dispatchers, {}; worst, or mean (least to most of the seeds):\n\n\
          | fault | a month | dispatchers over 2.1 s, longest (s) | purge acted on: p50, p99, worst (s) | version in \
@@ -95,7 +95,7 @@
 }
 
 /// Ways of changes side by side: dispatcher-seconds of an ordinary month over the bound of purges.
-pub fn month(dispatchers: u32, cut_s: f64, ways: &[(Arrangement, Vec<Row>)]) -> String {
+pub(super) fn month(dispatchers: u32, cut_s: f64, ways: &[(Arrangement, Vec<Row>)]) -> String {
     let mut text = format!(
         "\n{dispatchers} dispatchers, an ordinary month, regions cut for {cut_s} s, dispatcher-seconds over 2.1 s:\n\n| fault |"
     );
--- a/crates/testbed/src/fleet_simulation/source.rs
+++ b/crates/testbed/src/fleet_simulation/source.rs
@@ -7,7 +7,7 @@
 
 /// One connection of one stream of one follower, through all its restarts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Connection {
+pub(super) struct Connection {
     pub member: u32,
     pub stream: usize,
     pub incarnation: u32,
@@ -15,7 +15,7 @@
 }
 
 #[derive(Debug)]
-pub struct Source {
+pub(super) struct Source {
     pub place: Place,
     /// A lost machine refuses nothing: it says nothing at all.
     pub machine_up: bool,
@@ -33,7 +33,7 @@
 
 /// What becomes of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Answer {
+pub(super) enum Answer {
     Accepted,
     Refused,
     /// The source falls over with this call: all its streams end.
@@ -41,7 +41,7 @@
 }
 
 impl Source {
-    pub fn new(place: Place, bears: f64) -> Self {
+    pub(super) fn new(place: Place, bears: f64) -> Self {
         Source {
             place,
             machine_up: true,
@@ -57,7 +57,7 @@
     }
 
     /// A call comes to its machine.
-    pub fn called(&mut self, now: Nanos) -> Answer {
+    pub(super) fn called(&mut self, now: Nanos) -> Answer {
         self.recent.push_back(now);
         while self.recent.front().is_some_and(|first| now.since(*first) >= SECOND) {
             self.recent.pop_front();
@@ -80,14 +80,14 @@
     }
 
     /// The process, or the machine, ends.
-    pub fn stop(&mut self, machine: bool) -> Vec<Connection> {
+    pub(super) fn stop(&mut self, machine: bool) -> Vec<Connection> {
         (self.process_up, self.current, self.machine_up) = (false, false, !machine);
         self.recent.clear();
         std::mem::take(&mut self.followers)
     }
 
     /// It is back; a replica has yet to become current.
-    pub fn start(&mut self, is_log: bool) {
+    pub(super) fn start(&mut self, is_log: bool) {
         (self.process_up, self.current, self.machine_up) = (true, is_log, true);
     }
 }
--- a/crates/testbed/src/fleet_simulation/topology.rs
+++ b/crates/testbed/src/fleet_simulation/topology.rs
@@ -4,7 +4,7 @@
 
 /// Where a machine stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Place {
+pub(super) struct Place {
     pub region: usize,
     pub zone: usize,
     pub rack: u32,
@@ -20,7 +20,7 @@
 }
 
 /// A dispatcher's place: sites in turn, racks filled one after the other.
-pub fn dispatcher(number: u32) -> Place {
+pub(super) fn dispatcher(number: u32) -> Place {
     let site = number % SITES;
     let zone = site as usize % ZONES;
     let rack = number / SITES / RACK * SITES + site;
@@ -28,12 +28,12 @@
 }
 
 /// The change log's place.
-pub fn log() -> Place {
+pub(super) fn log() -> Place {
     Place { region: 0, zone: 0, rack: 0 }
 }
 
 /// A replica's place: in a rack of dispatchers.
-pub fn replica(number: usize) -> Place {
+pub(super) fn replica(number: usize) -> Place {
     let zone = REPLICA_ZONES[number % REPLICA_ZONES.len()];
     Place { region: region_of(zone), zone, rack: zone as u32 }
 }
--- a/crates/testbed/src/fleet_simulation/trial.rs
+++ b/crates/testbed/src/fleet_simulation/trial.rs
@@ -12,7 +12,7 @@
 
 /// What is played.
 #[derive(Debug, Clone, Copy)]
-pub struct Plan {
+pub(super) struct Plan {
     pub dispatchers: u32,
     pub arrangement: Arrangement,
     pub kind: Kind,
@@ -24,7 +24,7 @@
 
 /// What one run brought; dispatcher-seconds are for one fault.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Outcome {
+pub(super) struct Outcome {
     /// Dispatchers over the bound of purges, for each fault, and the longest for which one was.
     pub affected: f64,
     pub longest_s: f64,
@@ -48,7 +48,7 @@
 
 impl Plan {
     /// Plays it with one seed.
-    pub fn play(&self, seed: u64) -> Outcome {
+    pub(super) fn play(&self, seed: u64) -> Outcome {
         let script = self.kind.script(self.dispatchers, &self.arrangement, self.cut, seed);
         let versions_apart = match self.kind.is_long() && self.cut >= CUT {
             true => Nanos::from_secs(3_600.0 / VERSIONS_PER_HOUR),
--- a/crates/testbed/src/fleet_simulation/world.rs
+++ b/crates/testbed/src/fleet_simulation/world.rs
@@ -21,7 +21,7 @@
 
 /// What is simulated.
 #[derive(Debug, Clone, Copy)]
-pub struct Case {
+pub(super) struct Case {
     pub dispatchers: u32,
     pub arrangement: Arrangement,
     pub seed: u64,
@@ -103,7 +103,7 @@
     pub(super) out_of_touch: bool,
 }
 
-pub struct World {
+pub(super) struct World {
     pub(super) case: Case,
     pub(super) script: Script,
     pub(super) now: Nanos,
@@ -121,7 +121,7 @@
 }
 
 impl World {
-    pub fn new(case: Case, script: Script) -> Self {
+    pub(super) fn new(case: Case, script: Script) -> Self {
         let (count, arrangement) = (case.dispatchers, case.arrangement);
         let bears = arrangement.bears(count);
         let sources = (0..=arrangement.replicas).map(|at| Source::new(place_of(at), bears)).collect();
@@ -152,7 +152,7 @@
     }
 
     /// Plays the script to its end.
-    pub fn run(&mut self) {
+    pub(super) fn run(&mut self) {
         self.sources[0].start(true);
         for replica in 0..self.case.arrangement.replicas {
             self.sources[replica + 1].start(false);
--- a/crates/testbed/src/groups.rs
+++ b/crates/testbed/src/groups.rs
@@ -10,7 +10,7 @@
 
 /// The dispatchers that a name means, of so many in so many locations; nothing where it means none. The same seed draws
 /// the same.
-pub fn named(name: &str, count: usize, zones: usize, seed: u64) -> Option<Vec<usize>> {
+pub(crate) fn named(name: &str, count: usize, zones: usize, seed: u64) -> Option<Vec<usize>> {
     let zone = |at: &usize| at % zones.max(1);
     let found: Vec<usize> = if name == "dispatchers" {
         (0..count).collect()
--- a/crates/testbed/src/least.rs
+++ b/crates/testbed/src/least.rs
@@ -13,7 +13,7 @@
 
 /// What no dispatchers could do better.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
-pub struct Least {
+pub(crate) struct Least {
     /// Seconds from the faults' end until benefit is back at 95% of its level.
     pub back_s: f64,
     /// Benefit in the thirty seconds after, beside the level.
@@ -38,7 +38,7 @@
 }
 
 /// What the scenario allows at best; nothing where caches don't lose what they hold.
-pub fn least(scenario: &Scenario) -> Option<Least> {
+pub(crate) fn least(scenario: &Scenario) -> Option<Least> {
     let emptied = |fault: &crate::scenario::Fault| fault.what == What::Crash && fault.who == "caches";
     if !scenario.faults.iter().any(emptied) {
         return None;
--- a/crates/testbed/src/links.rs
+++ b/crates/testbed/src/links.rs
@@ -14,7 +14,7 @@
 
 /// What becomes of bytes that go one way.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Way {
+pub(crate) enum Way {
     /// They go through.
     Open,
     /// They wait, for good or until they are let go at once; nothing tells.
@@ -27,7 +27,7 @@
 
 /// What becomes of a link.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Fate {
+pub(crate) struct Fate {
     /// Bytes from who connected.
     pub to: Way,
     /// Bytes to who connected.
@@ -38,13 +38,13 @@
 
 /// A link; cheap to copy.
 #[derive(Debug, Clone)]
-pub struct Link {
+pub(crate) struct Link {
     fate: watch::Sender<Fate>,
 }
 
 impl Link {
     /// Listens at one address, for connections to another.
-    pub fn open(listen: SocketAddr, to: SocketAddr) -> std::io::Result<Link> {
+    pub(crate) fn open(listen: SocketAddr, to: SocketAddr) -> std::io::Result<Link> {
         let socket = TcpSocket::new_v4()?;
         socket.set_reuseaddr(true)?;
         socket.bind(listen)?;
@@ -62,12 +62,12 @@
     }
 
     /// Changes what becomes of it.
-    pub fn change(&self, change: impl FnOnce(&mut Fate)) {
+    pub(crate) fn change(&self, change: impl FnOnce(&mut Fate)) {
         self.fate.send_modify(change);
     }
 
     /// Resets all its connections.
-    pub fn reset(&self) {
+    pub(crate) fn reset(&self) {
         self.change(|fate| fate.life += 1);
     }
 }
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,5 +1,8 @@
 //! `copperroute-testbed`: plays failures and crowds of clients against real dispatchers on loopback.
 
+// Not yet: plays and simulations are still long functions.
+#![allow(clippy::too_many_lines)]
+
 mod capacity;
 mod clients;
 mod fleet_simulation;
--- a/crates/testbed/src/many.rs
+++ b/crates/testbed/src/many.rs
@@ -15,7 +15,7 @@
 
 /// Who decides when to call.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum How {
+pub(crate) enum How {
     /// The core, told what the service bears.
     Told,
     /// The core, told nothing of it.
@@ -26,7 +26,7 @@
 
 /// What is simulated.
 #[derive(Debug, Clone, Copy)]
-pub struct Case {
+pub(crate) struct Case {
     /// How many dispatchers, in how many locations.
     pub dispatchers: u32,
     pub zones: u32,
@@ -42,7 +42,7 @@
 
 /// What came of it.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Outcome {
+pub(crate) struct Outcome {
     /// Calls a second that the service bears.
     pub bears: f64,
     /// The most calls in a second, beside that: at the start, and from the outage on.
@@ -76,7 +76,7 @@
 }
 
 /// All start within a second, the service goes away 20 s later, for a time, and is back for 60 s.
-pub fn simulate(case: &Case, how: How) -> Outcome {
+pub(crate) fn simulate(case: &Case, how: How) -> Outcome {
     let count = case.dispatchers;
     // As many as can all be heard in time, with a little to spare: 60 for 300.
     let bears = f64::from(count) / 5.0;
@@ -194,7 +194,7 @@
 }
 
 /// A table over numbers of dispatchers, the worst of several seeds.
-pub fn table(counts: &[u32], away_s: f64, zones: u32, told_share: f64, seeds: u64) -> String {
+pub(crate) fn table(counts: &[u32], away_s: f64, zones: u32, told_share: f64, seeds: u64) -> String {
     let mut text = String::from(
         "dispatchers | calls a second borne | decided by | worst second at the start, from the outage on (times that) | falls | calls of each while away | all current after the start, after the return (s)\n",
     );
--- a/crates/testbed/src/many_rules.rs
+++ b/crates/testbed/src/many_rules.rs
@@ -26,7 +26,7 @@
 
 /// What is simulated.
 #[derive(Debug, Clone, Copy)]
-pub struct Case {
+pub(crate) struct Case {
     /// How many dispatchers.
     pub dispatchers: u32,
     /// The part of the streams that is lost in each second.
@@ -38,7 +38,7 @@
 
 /// What came of it.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Outcome {
+pub(crate) struct Outcome {
     /// The part of the time that a dispatcher was out of touch.
     pub out_share: f64,
     /// Seconds after its issue until all acted no looser than a version that tightens, at worst.
@@ -63,7 +63,7 @@
 }
 
 /// Settings under which versions are agreed on.
-pub fn settings() -> Settings {
+pub(crate) fn settings() -> Settings {
     let cold = ColdStart { share: 0.3, warm_after: Nanos(12_000_000_000), fall_multiple: 1.5 };
     Settings {
         seed: 1,
@@ -101,7 +101,7 @@
 }
 
 /// All start within a second; versions come for 90 s.
-pub fn simulate(case: &Case) -> Outcome {
+pub(crate) fn simulate(case: &Case) -> Outcome {
     let bears = f64::from(case.dispatchers) / 5.0;
     let mut chance = Random::new(case.seed);
     let base = RuleSet::of(&settings(), &[]);
@@ -216,7 +216,7 @@
 }
 
 /// A table over numbers of dispatchers and losses.
-pub fn table(dispatchers: &[u32], losses: &[f64], away_s: f64, seed: u64) -> String {
+pub(crate) fn table(dispatchers: &[u32], losses: &[f64], away_s: f64, seed: u64) -> String {
     let mut text = String::from(
         "| dispatchers | streams lost a second | away (s) | out of touch | all act on what is tightened after (s) | \
          seen to act on what is forbidden | most calls, beside what is borne | all in touch after return (s) |\n\
--- a/crates/testbed/src/nodes/mod.rs
+++ b/crates/testbed/src/nodes/mod.rs
@@ -16,12 +16,12 @@
 use tokio::sync::watch;
 
 /// A cold node falls when it is sent this many times what it can do for so long.
-pub const FALL_MULTIPLE: f64 = 2.5;
-pub const FALL_FOR: Duration = Duration::from_secs(3);
+pub(crate) const FALL_MULTIPLE: f64 = 2.5;
+pub(crate) const FALL_FOR: Duration = Duration::from_secs(3);
 /// Parents are warm after this many seconds, as the settings tell.
-pub const PARENT_COLD_S: f64 = 20.0;
+pub(crate) const PARENT_COLD_S: f64 = 20.0;
 /// And fall when sent this many times what they can do.
-pub const PARENT_FALL_MULTIPLE: f64 = 2.0;
+pub(crate) const PARENT_FALL_MULTIPLE: f64 = 2.0;
 /// Purged copies lie about for so long.
 const PURGE_DONE: Duration = Duration::from_secs(3);
 
@@ -49,7 +49,7 @@
 
 /// One node.
 #[derive(Debug)]
-pub struct Node {
+pub(crate) struct Node {
     /// Its id.
     pub id: String,
     /// `caches`, `parents` or `origin`.
@@ -72,7 +72,7 @@
 }
 
 /// All nodes.
-pub struct Fleet {
+pub(crate) struct Fleet {
     world: Arc<World>,
     /// The nodes.
     pub nodes: Vec<Arc<Node>>,
@@ -95,12 +95,12 @@
 }
 
 /// The name of a location.
-pub fn zone_name(at: usize) -> String {
+pub(crate) fn zone_name(at: usize) -> String {
     if at == 0 { "east".into() } else { format!("z-{at}") }
 }
 
 /// The size of an object beside its type's mean: 0.5 to 2, 1 on average.
-pub fn size(object: &str) -> f64 {
+pub(crate) fn size(object: &str) -> f64 {
     let share = (stable_hash(object.as_bytes()) >> 11) as f64 / (1_u64 << 53) as f64;
     0.5 + 1.5 * share * share
 }
@@ -132,7 +132,7 @@
 
 impl Fleet {
     /// The nodes of a scenario, on addresses of 127.`net`.2.0/24.
-    pub fn new(world: Arc<World>, net: u8) -> Arc<Fleet> {
+    pub(crate) fn new(world: Arc<World>, net: u8) -> Arc<Fleet> {
         let fleet = &world.scenario.fleet;
         let node = |(at, (id, group)): (usize, (String, &'static str))| {
             let weight = match group {
@@ -163,19 +163,19 @@
     }
 
     /// Starts them all.
-    pub fn listen(self: &Arc<Self>) {
+    pub(crate) fn listen(self: &Arc<Self>) {
         for node in &self.nodes {
             tokio::spawn(connections::live(self.clone(), node.clone()));
         }
     }
 
     /// The nodes that a fault names.
-    pub fn named(&self, who: &str) -> Vec<Arc<Node>> {
+    pub(crate) fn named(&self, who: &str) -> Vec<Arc<Node>> {
         self.nodes.iter().filter(|node| node.id == who || node.group == who).cloned().collect()
     }
 
     /// A fault begins at a node.
-    pub fn begin(&self, node: &Node, what: What, by: f64) {
+    pub(crate) fn begin(&self, node: &Node, what: What, by: f64) {
         match what {
             What::Crash | What::Drain => {
                 let mut state = node.state();
@@ -195,7 +195,7 @@
     }
 
     /// A fault ends at a node. One that crashed is back, cold.
-    pub fn end(&self, node: &Node, what: What) {
+    pub(crate) fn end(&self, node: &Node, what: What) {
         let mut state = node.state();
         match what {
             What::Crash => {
@@ -220,7 +220,7 @@
     }
 
     /// Copies of older versions are dropped once their time is over.
-    pub fn purge(self: &Arc<Self>) {
+    pub(crate) fn purge(self: &Arc<Self>) {
         let fleet = self.clone();
         tokio::spawn(async move {
             tokio::time::sleep(PURGE_DONE).await;
--- a/crates/testbed/src/pace.rs
+++ b/crates/testbed/src/pace.rs
@@ -21,7 +21,7 @@
 const MEASURED: Duration = Duration::from_secs(4);
 
 /// Passes bytes from one address to another and back, on one thread.
-pub async fn relay(listen: SocketAddr, to: SocketAddr) -> Result<(), String> {
+pub(crate) async fn relay(listen: SocketAddr, to: SocketAddr) -> Result<(), String> {
     let listener = TcpListener::bind(listen).await.map_err(|fault| format!("{listen}: {fault}"))?;
     loop {
         let Ok((mut from, _)) = listener.accept().await else { continue };
@@ -139,7 +139,7 @@
 }
 
 /// Measures programs in turn, so many rounds, and prints each one's share of the relay's pace.
-pub async fn compare(
+pub(crate) async fn compare(
     programs: &[&Path],
     net: u8,
     out: &Path,
--- a/crates/testbed/src/play/mod.rs
+++ b/crates/testbed/src/play/mod.rs
@@ -30,7 +30,7 @@
 const LOOK: Duration = Duration::from_millis(20);
 
 /// What is played, with what, and where to.
-pub struct Play<'a> {
+pub(crate) struct Play<'a> {
     /// The scenario's name.
     pub name: &'a str,
     /// The scenario.
@@ -150,7 +150,7 @@
     }
 
     /// Plays it to the end.
-    pub async fn run(&self) -> Result<Outcome, String> {
+    pub(crate) async fn run(&self) -> Result<Outcome, String> {
         std::fs::create_dir_all(self.out).map_err(|fault| format!("{}: {fault}", self.out.display()))?;
         let count = self.scenario.dispatchers.count;
         for at in 0..count {
@@ -291,12 +291,12 @@
 }
 
 /// The name of a scenario's file.
-pub fn name_of(path: &Path) -> String {
+pub(crate) fn name_of(path: &Path) -> String {
     path.file_stem().map_or_else(|| "scenario".into(), |stem| stem.to_string_lossy().to_string())
 }
 
 /// The dispatchers' program beside this one.
-pub fn own_program() -> Result<PathBuf, String> {
+pub(crate) fn own_program() -> Result<PathBuf, String> {
     let own = std::env::current_exe().map_err(|fault| fault.to_string())?;
     let beside = own.parent().map(|folder| folder.join("copperroute")).unwrap_or_default();
     match beside.exists() {
--- a/crates/testbed/src/processes.rs
+++ b/crates/testbed/src/processes.rs
@@ -31,15 +31,15 @@
 
 /// All of them, by number.
 #[derive(Default)]
-pub struct Processes(Vec<Process>);
+pub(crate) struct Processes(Vec<Process>);
 
 /// A dispatcher's own address.
-pub fn own_address(net: u8, at: usize) -> IpAddr {
+pub(crate) fn own_address(net: u8, at: usize) -> IpAddr {
     IpAddr::V4(Ipv4Addr::new(127, net, 4 + (at / 250) as u8, (at % 250) as u8 + 1))
 }
 
 /// CPU time in milliseconds and memory in MB of a process.
-pub fn used(pid: u32) -> Option<(f64, f64)> {
+pub(crate) fn used(pid: u32) -> Option<(f64, f64)> {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
     let fields: Vec<_> = stat.rsplit_once(')')?.1.split_whitespace().collect();
     let ticks = fields.get(11)?.parse::<f64>().ok()? + fields.get(12)?.parse::<f64>().ok()?;
@@ -49,7 +49,7 @@
 }
 
 /// Waits until somebody listens there.
-pub async fn ready(address: SocketAddr) -> Result<(), String> {
+pub(crate) async fn ready(address: SocketAddr) -> Result<(), String> {
     let begun = Instant::now();
     while tokio::net::TcpStream::connect(address).await.is_err() {
         if begun.elapsed() > READY {
@@ -111,7 +111,7 @@
 
 impl Processes {
     /// One more, with its program, what it is told, where its log goes, and what is done before each start.
-    pub fn add(
+    pub(crate) fn add(
         &mut self,
         program: &Path,
         words: Vec<OsString>,
@@ -125,7 +125,7 @@
     }
 
     /// Starts these over a span.
-    pub async fn start(&self, who: &[usize], over: Duration) -> Result<(), String> {
+    pub(crate) async fn start(&self, who: &[usize], over: Duration) -> Result<(), String> {
         let begun = Instant::now();
         for (number, at) in who.iter().enumerate() {
             let due = begun + over.mul_f64(number as f64 / who.len().max(1) as f64);
@@ -142,7 +142,7 @@
     }
 
     /// A fault happens to these, until its end.
-    pub async fn suffer(&self, fault: &Fault, who: &[usize], until: Instant) -> Result<(), String> {
+    pub(crate) async fn suffer(&self, fault: &Fault, who: &[usize], until: Instant) -> Result<(), String> {
         let by = Duration::from_secs_f64(fault.by);
         match fault.what {
             What::Stop => {
@@ -168,12 +168,12 @@
     }
 
     /// What those that run have used.
-    pub fn used(&self) -> Vec<(f64, f64)> {
+    pub(crate) fn used(&self) -> Vec<(f64, f64)> {
         self.0.iter().filter_map(|process| used(process.child().as_ref()?.id()?)).collect()
     }
 
     /// Ends them all; returns those that had ended by themselves.
-    pub async fn end(&self) -> Vec<(usize, ExitStatus)> {
+    pub(crate) async fn end(&self) -> Vec<(usize, ExitStatus)> {
         let mut ended = Vec::new();
         for (at, process) in self.0.iter().enumerate() {
             let status = process.child().as_mut().and_then(|child| child.try_wait().ok().flatten());
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -13,11 +13,11 @@
 const SIZE: (u32, u32) = (900, 280);
 
 /// A curve's name and values.
-pub type Curve = (String, Vec<f64>);
+pub(crate) type Curve = (String, Vec<f64>);
 type Value<'a> = (&'a str, &'a dyn Fn(&Second) -> f64);
 
 /// One chart over the seconds, with the faults shaded; over numbers of dispatchers where these are given.
-pub fn chart(curves: &[Curve], faults: [f64; 2], sizes: &[usize]) -> Result<String, String> {
+pub(crate) fn chart(curves: &[Curve], faults: [f64; 2], sizes: &[usize]) -> Result<String, String> {
     let mut svg = String::new();
     {
         let said = |fault: &dyn std::fmt::Display| fault.to_string();
@@ -113,7 +113,7 @@
 }
 
 /// The figures of plays, a row each: name, and one value a play.
-pub fn rows(outcomes: &[Outcome]) -> Vec<(&'static str, Vec<String>)> {
+pub(crate) fn rows(outcomes: &[Outcome]) -> Vec<(&'static str, Vec<String>)> {
     let each = |value: &dyn Fn(&Outcome) -> String| outcomes.iter().map(value).collect();
     vec![
         ("dispatchers", each(&|o| o.dispatchers.to_string())),
@@ -180,7 +180,7 @@
 }
 
 /// Writes results and report to a folder.
-pub fn write(out: &Path, name: &str, scenario: &Scenario, outcomes: &[Outcome]) -> Result<(), String> {
+pub(crate) fn write(out: &Path, name: &str, scenario: &Scenario, outcomes: &[Outcome]) -> Result<(), String> {
     let said = |path: &Path, fault: std::io::Error| format!("{}: {fault}", path.display());
     let results = out.join("results.json");
     let text = serde_json::to_string_pretty(outcomes).map_err(|fault| fault.to_string())?;
--- a/crates/testbed/src/results.rs
+++ b/crates/testbed/src/results.rs
@@ -14,7 +14,7 @@
 
 /// One second.
 #[derive(Debug, Clone, Default, Serialize)]
-pub struct Second {
+pub(crate) struct Second {
     /// Requests begun, and tries that were answered, or found nobody.
     pub firsts: u32,
     pub tries: u32,
@@ -42,11 +42,11 @@
 
 /// What is counted.
 #[derive(Debug)]
-pub struct Results(Mutex<Counts>);
+pub(crate) struct Results(Mutex<Counts>);
 
 /// What the list service saw, and what dispatchers wrote of it.
 #[derive(Debug, Clone, Default, Serialize)]
-pub struct Heard {
+pub(crate) struct Heard {
     /// Seconds in which all dispatchers were started.
     pub started_s: f64,
     /// Seconds until all had heard all: from the first's start, and from the last fault's end.
@@ -64,7 +64,7 @@
 }
 
 /// What stand-ins and logs show at the end.
-pub struct Seen {
+pub(crate) struct Seen {
     /// Breaches of the rules.
     pub breaches: Vec<Breach>,
     /// What dispatchers wrote.
@@ -81,7 +81,7 @@
 
 /// What a play came to.
 #[derive(Debug, Clone, Serialize)]
-pub struct Outcome {
+pub(crate) struct Outcome {
     /// Where chance started from.
     pub seed: u64,
     /// What the list service saw.
@@ -130,7 +130,7 @@
 
 impl Results {
     /// Nothing counted, for so many seconds and content types.
-    pub fn new(seconds: usize, types: usize) -> Results {
+    pub(crate) fn new(seconds: usize, types: usize) -> Results {
         let second = Second { by_type: vec![0.0; types], ..Second::default() };
         // Microseconds up to a minute, milliseconds up to ten.
         let histogram = || Histogram::new_with_bounds(1, 600_000_000, 3).unwrap_or_else(|_| unreachable!());
@@ -154,12 +154,20 @@
     }
 
     /// A request has begun.
-    pub fn first(&self, at_s: f64) {
+    pub(crate) fn first(&self, at_s: f64) {
         self.second(at_s, |second| second.firsts += 1);
     }
 
     /// A try was answered.
-    pub fn ended(&self, at_s: f64, of: usize, served: bool, throttled: bool, benefit: f64, took: Duration) {
+    pub(crate) fn ended(
+        &self,
+        at_s: f64,
+        of: usize,
+        served: bool,
+        throttled: bool,
+        benefit: f64,
+        took: Duration,
+    ) {
         self.second(at_s, |second| {
             second.tries += 1;
             second.served += u32::from(served);
@@ -174,29 +182,29 @@
     }
 
     /// A try found nobody.
-    pub fn unreachable(&self, at_s: f64) {
+    pub(crate) fn unreachable(&self, at_s: f64) {
         self.second(at_s, |second| second.unreachable += 1);
     }
 
     /// A request is served, so long after its first try.
-    pub fn served_in_the_end(&self, waited: Duration) {
+    pub(crate) fn served_in_the_end(&self, waited: Duration) {
         let mut counts = self.counts();
         counts.downloads[0] += 1;
         counts.waited.saturating_record(waited.as_micros() as u64);
     }
 
     /// A request is given up for good.
-    pub fn given_up(&self) {
+    pub(crate) fn given_up(&self) {
         self.counts().downloads[1] += 1;
     }
 
     /// What dispatchers used in a second.
-    pub fn used(&self, at_s: f64, cpu_ms: f64, memory_mb: f64) {
+    pub(crate) fn used(&self, at_s: f64, cpu_ms: f64, memory_mb: f64) {
         self.second(at_s, |second| (second.cpu_ms, second.memory_mb) = (cpu_ms, memory_mb));
     }
 
     /// What it came to.
-    pub fn outcome(&self, name: &str, program: &str, scenario: &Scenario, seen: Seen) -> Outcome {
+    pub(crate) fn outcome(&self, name: &str, program: &str, scenario: &Scenario, seen: Seen) -> Outcome {
         let Seen { breaches, logs, heard, tallies, traffic, agreed } = seen;
         let counts = self.counts();
         let seconds = counts.seconds[..counts.seconds.len() - 1].to_vec();
@@ -289,7 +297,7 @@
 
 impl Outcome {
     /// Whether all rules were kept and all expectations met; else the first that was not.
-    pub fn verdict(&self) -> Result<(), String> {
+    pub(crate) fn verdict(&self) -> Result<(), String> {
         if let Some(breach) = self.breaches.first() {
             let more = self.breaches.len() - 1;
             return Err(format!(
--- a/crates/testbed/src/scenario/expect.rs
+++ b/crates/testbed/src/scenario/expect.rs
@@ -4,13 +4,13 @@
 use serde::Deserialize;
 
 /// Benefit has recovered once it is this part of its level, on the mean of so many seconds.
-pub const RECOVERED_SHARE: f64 = 0.95;
-pub const RECOVERED_OVER_S: usize = 3;
+pub(crate) const RECOVERED_SHARE: f64 = 0.95;
+pub(crate) const RECOVERED_OVER_S: usize = 3;
 
 /// What must hold besides the rules.
 #[derive(Debug, Clone, Default, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct Expect {
+pub(crate) struct Expect {
     /// After the last fault ends benefit is back at 95% of its level before the first within so many seconds.
     pub back_within_s: Option<f64>,
     /// So large a part of the requests is served in the end.
--- a/crates/testbed/src/scenario/faults.rs
+++ b/crates/testbed/src/scenario/faults.rs
@@ -8,7 +8,7 @@
 /// Faults that are drawn.
 #[derive(Debug, Clone, Copy, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct Drawn {
+pub(crate) struct Drawn {
     /// From when, and until when.
     pub from_s: f64,
     pub until_s: f64,
@@ -21,7 +21,7 @@
 /// Something that goes wrong.
 #[derive(Debug, Clone, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct Fault {
+pub(crate) struct Fault {
     /// From when.
     pub at_s: f64,
     /// For how long.
@@ -41,7 +41,7 @@
 /// What goes wrong.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
-pub enum What {
+pub(crate) enum What {
     /// Connections are reset, nothing listens; comes back cold and empty.
     Crash,
     /// Nobody gets there: connections end and can't be made; comes back as it was, and the list says nothing.
--- a/crates/testbed/src/scenario/fleet.rs
+++ b/crates/testbed/src/scenario/fleet.rs
@@ -7,7 +7,7 @@
 /// Versions of rules that are issued while a scenario is played: how many attempts a request may take.
 #[derive(Debug, Clone, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct Versions {
+pub(crate) struct Versions {
     /// One each so many seconds.
     pub each_s: f64,
     /// It acts so long after it was issued.
@@ -22,7 +22,7 @@
 /// The dispatchers that are started.
 #[derive(Debug, Clone, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct Dispatchers {
+pub(crate) struct Dispatchers {
     /// How many.
     #[schemars(range(min = 1, max = 400))]
     pub count: usize,
@@ -57,7 +57,7 @@
 /// Dispatchers that are told otherwise.
 #[derive(Debug, Clone, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct Odd {
+pub(crate) struct Odd {
     /// Which, as faults name them.
     pub who: String,
     /// Their operator's file.
@@ -67,7 +67,7 @@
 /// What a dispatcher's configuration holds of the change log.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
-pub enum Know {
+pub(crate) enum Know {
     /// All events up to its start, at each start.
     #[default]
     All,
@@ -80,7 +80,7 @@
 /// What the list service bears.
 #[derive(Debug, Clone, Copy, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
-pub struct Service {
+pub(crate) struct Service {
     /// Calls a second; 0 for any number.
     pub calls_per_s: f64,
     /// It falls over this multiple of that in a second, and resets all.
@@ -111,7 +111,7 @@
 /// The stand-ins of nodes.
 #[derive(Debug, Clone, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct Fleet {
+pub(crate) struct Fleet {
     /// Locations, which nodes and dispatchers are dealt out to in turn.
     #[serde(default = "zones")]
     #[schemars(range(min = 1, max = 40))]
@@ -161,7 +161,7 @@
 /// What is asked for.
 #[derive(Debug, Clone, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct ContentType {
+pub(crate) struct ContentType {
     /// Its name.
     pub name: String,
     /// Its part of the requests, in relation to the others.
@@ -184,7 +184,7 @@
 /// Who asks.
 #[derive(Debug, Clone, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct Clients {
+pub(crate) struct Clients {
     /// How many there are, each with an address of its own.
     #[schemars(range(min = 1, max = 20000))]
     pub count: usize,
