--- a/crates/testbed/src/scenario/mod.rs
+++ b/crates/testbed/src/scenario/mod.rs
@@ -5,10 +5,10 @@
 mod fleet;
 mod targets;
 
-pub use expect::{Expect, RECOVERED_OVER_S, RECOVERED_SHARE};
-pub use faults::{Drawn, Fault, What};
-pub use fleet::{Clients, ContentType, Dispatchers, Fleet, Know, Service, Versions};
-pub use targets::{Side, Whom};
+pub(crate) use expect::{Expect, RECOVERED_OVER_S, RECOVERED_SHARE};
+pub(crate) use faults::{Drawn, Fault, What};
+pub(crate) use fleet::{Clients, ContentType, Dispatchers, Fleet, Know, Service, Versions};
+pub(crate) use targets::{Side, Whom};
 
 use schemars::JsonSchema;
 use serde::Deserialize;
@@ -17,7 +17,7 @@
 /// A scenario as it stands in its file.
 #[derive(Debug, Clone, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct Scenario {
+pub(crate) struct Scenario {
     /// One line on what it shows.
     pub about: String,
     /// Where chance starts from.
@@ -57,14 +57,14 @@
 
 impl Scenario {
     /// Reads a scenario; an error is one line with the file, the field, what was found and what was expected.
-    pub fn read(path: &Path) -> Result<Scenario, String> {
+    pub(crate) fn read(path: &Path) -> Result<Scenario, String> {
         let named = |what: String| format!("{}: {what}", path.display());
         let text = std::fs::read_to_string(path).map_err(|fault| named(fault.to_string()))?;
         Scenario::parse(&text).map_err(named)
     }
 
     /// The same from the text of a file.
-    pub fn parse(text: &str) -> Result<Scenario, String> {
+    pub(crate) fn parse(text: &str) -> Result<Scenario, String> {
         let mut read = serde_json::Deserializer::from_str(text);
         let mut read: Scenario =
             serde_path_to_error::deserialize(&mut read).map_err(|fault| fault.to_string())?;
@@ -76,7 +76,7 @@
     }
 
     /// Whether it can be played.
-    pub fn check(&self) -> Result<(), String> {
+    pub(crate) fn check(&self) -> Result<(), String> {
         let within = |path: &str, value: f64, least: f64, most: f64| match value >= least && value <= most {
             true => Ok(()),
             false => Err(format!("{path}: {value}; expected {least} to {most}")),
@@ -112,14 +112,14 @@
     }
 
     /// The ids of all nodes, with the names of their groups.
-    pub fn nodes(&self) -> Vec<(String, &'static str)> {
+    pub(crate) fn nodes(&self) -> Vec<(String, &'static str)> {
         let caches = (0..self.fleet.caches).map(|at| (format!("s-{at}"), "caches"));
         let parents = (0..self.fleet.parents).map(|at| (format!("p-{at}"), "parents"));
         caches.chain(parents).chain([("o-0".to_string(), "origin")]).collect()
     }
 
     /// The schema of scenarios.
-    pub fn schema() -> serde_json::Value {
+    pub(crate) fn schema() -> serde_json::Value {
         schemars::schema_for!(Scenario).to_value()
     }
 }
--- a/crates/testbed/src/scenario/targets.rs
+++ b/crates/testbed/src/scenario/targets.rs
@@ -8,7 +8,7 @@
 
 /// What a fault happens to.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Whom {
+pub(crate) enum Whom {
     /// All clients, or everybody.
     All,
     /// The list service.
@@ -23,7 +23,7 @@
 
 /// The far side of a dispatcher's links.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Side {
+pub(crate) enum Side {
     /// The list service.
     Lists,
     /// Nodes.
@@ -34,7 +34,7 @@
 
 impl Scenario {
     /// What the fault with this number happens to; nothing if it can't.
-    pub fn whom(&self, at: usize) -> Option<Whom> {
+    pub(crate) fn whom(&self, at: usize) -> Option<Whom> {
         let fault = self.faults.get(at)?;
         let (who, seed) = (fault.who.as_str(), self.seed.wrapping_mul(31).wrapping_add(at as u64));
         let group = |name: &str| groups::named(name, self.dispatchers.count, self.fleet.zones, seed);
@@ -61,7 +61,7 @@
     }
 
     /// Whether a dispatcher may lose what it holds at this time: it is killed, or its link to clients fails.
-    pub fn may_lose(&self, dispatcher: usize, at_s: f64) -> bool {
+    pub(crate) fn may_lose(&self, dispatcher: usize, at_s: f64) -> bool {
         let touches = |at: usize| match self.whom(at) {
             Some(Whom::Links(Side::Clients, who) | Whom::Dispatchers(who)) => who.contains(&dispatcher),
             _ => false,
@@ -73,13 +73,13 @@
     }
 
     /// When the last fault ends; a purge is none.
-    pub fn last_fault_ends(&self) -> Option<f64> {
+    pub(crate) fn last_fault_ends(&self) -> Option<f64> {
         let bad = self.faults.iter().filter(|fault| fault.what != What::Purge);
         bad.map(|fault| fault.at_s + fault.for_s).reduce(f64::max)
     }
 
     /// The faults that keep dispatchers from hearing the list service, as spans in seconds.
-    pub fn unheard(&self) -> Vec<[f64; 2]> {
+    pub(crate) fn unheard(&self) -> Vec<[f64; 2]> {
         let deaf = |at: usize| {
             matches!(self.whom(at), Some(Whom::Service | Whom::Links(Side::Lists, _) | Whom::Dispatchers(_)))
         };
--- a/crates/testbed/src/service.rs
+++ b/crates/testbed/src/service.rs
@@ -18,7 +18,7 @@
 
 /// What it counts in a second.
 #[derive(Debug, Clone, Copy, Default, PartialEq, serde::Serialize)]
-pub struct Tally {
+pub(crate) struct Tally {
     /// Connections that came.
     pub calls: u32,
     /// Those of them that were reset, as it was away or had fallen.
@@ -48,7 +48,7 @@
 }
 
 /// The list service.
-pub struct Service {
+pub(crate) struct Service {
     told: Told,
     events: Mutex<Vec<Value>>,
     /// The version of rules that is told with a whole list, and its number.
@@ -99,7 +99,7 @@
 
 impl Service {
     /// Begins with the whole list, and listens.
-    pub async fn start(net: u8, told: Told, nodes: &[Arc<Node>]) -> std::io::Result<Arc<Service>> {
+    pub(crate) async fn start(net: u8, told: Told, nodes: &[Arc<Node>]) -> std::io::Result<Arc<Service>> {
         let address = SocketAddr::from(([127, net, 3, 1], 2379));
         let listener = TcpListener::bind(address).await?;
         let all: Vec<_> = nodes.iter().map(|node| line(node, "active", 0)).collect();
@@ -130,7 +130,7 @@
     }
 
     /// Counting begins.
-    pub fn begin(&self) {
+    pub(crate) fn begin(&self) {
         let mut state = self.state();
         let calls = std::mem::take(&mut state.calls);
         (state.begun, state.seconds, state.most, state.falls) =
@@ -199,7 +199,7 @@
     }
 
     /// A fault begins, or ends.
-    pub fn fault(&self, what: Option<What>) {
+    pub(crate) fn fault(&self, what: Option<What>) {
         if what == Some(What::Anew) {
             return self.begin_anew();
         }
@@ -210,12 +210,12 @@
     }
 
     /// A dispatcher with this address is to see these nodes elsewhere.
-    pub fn show(&self, to: IpAddr, nodes: HashMap<String, SocketAddr>) {
+    pub(crate) fn show(&self, to: IpAddr, nodes: HashMap<String, SocketAddr>) {
         self.seen.lock().unwrap_or_else(PoisonError::into_inner).insert(to, nodes);
     }
 
     /// The events up to now, as a dispatcher's configuration holds them.
-    pub fn known(&self, to: IpAddr) -> Value {
+    pub(crate) fn known(&self, to: IpAddr) -> Value {
         let by = self.seen.lock().unwrap_or_else(PoisonError::into_inner).get(&to).cloned();
         let events: Vec<_> = self.events().iter().map(|event| seen(event.clone(), by.as_ref())).collect();
         json!({"seq": events.len(), "results": events})
@@ -229,19 +229,19 @@
     }
 
     /// A node's line has changed.
-    pub fn list(&self, node: &Node, state: &str, started_ms: u64) {
+    pub(crate) fn list(&self, node: &Node, state: &str, started_ms: u64) {
         let servers = vec![line(node, state, started_ms)];
         self.add(|seq| json!({"seq": seq, "fleet": {"version": seq, "full": false, "servers": servers}}));
     }
 
     /// A group was purged.
-    pub fn purge(&self, group: u64) {
+    pub(crate) fn purge(&self, group: u64) {
         let time = unix_ms();
         self.add(|seq| json!({"seq": seq, "invalidate": {"bucket": group, "time": time}}));
     }
 
     /// A version of rules is told; who asks for the whole list is told the last `good` one.
-    pub fn rules(&self, number: u64, issue: &Value, good: bool) {
+    pub(crate) fn rules(&self, number: u64, issue: &Value, good: bool) {
         if good {
             let kept = &mut *self.rules.lock().unwrap_or_else(PoisonError::into_inner);
             *kept = Some((number, issue.clone()));
@@ -250,7 +250,7 @@
     }
 
     /// How many of these dispatchers have been told all, and are connected.
-    pub fn current(&self, dispatchers: &[IpAddr]) -> usize {
+    pub(crate) fn current(&self, dispatchers: &[IpAddr]) -> usize {
         let last = *self.last.borrow();
         let state = self.state();
         let current = |at: &&IpAddr| state.told.get(at).is_some_and(|told| told.0 >= last && told.1 > 0);
@@ -258,7 +258,7 @@
     }
 
     /// What it counted: second by second, the most calls in any second and when, and how often it fell.
-    pub fn counted(&self) -> (Vec<Tally>, (u32, f64), u32) {
+    pub(crate) fn counted(&self) -> (Vec<Tally>, (u32, f64), u32) {
         let state = self.state();
         (state.seconds.clone(), state.most, state.falls)
     }
--- a/crates/testbed/src/slopes/catalogue.rs
+++ b/crates/testbed/src/slopes/catalogue.rs
@@ -5,10 +5,10 @@
 use std::pin::Pin;
 
 /// A measurement under way.
-pub type Measuring = Pin<Box<dyn Future<Output = Measured> + Send>>;
+pub(super) type Measuring = Pin<Box<dyn Future<Output = Measured> + Send>>;
 
 /// One kind of slope.
-pub struct Slope {
+pub(super) struct Slope {
     /// Its name on the command line.
     pub name: &'static str,
     /// What it shows.
@@ -43,7 +43,7 @@
 const BACKLOGS: [f64; 5] = [0.0, 1_000.0, 10_000.0, 21_600.0, 100_000.0];
 
 /// All of them.
-pub const SLOPES: &[Slope] = &[
+pub(super) const SLOPES: &[Slope] = &[
     Slope {
         name: "nodes",
         about: "control, by nodes in the list",
--- a/crates/testbed/src/slopes/change_log.rs
+++ b/crates/testbed/src/slopes/change_log.rs
@@ -12,7 +12,7 @@
 const LINE_EVERY: Duration = Duration::from_secs(1);
 
 /// The change log.
-pub struct ChangeLog {
+pub(super) struct ChangeLog {
     /// The lines of events: the first has number 1.
     events: Mutex<Vec<String>>,
     last: watch::Sender<usize>,
@@ -24,7 +24,7 @@
 
 impl ChangeLog {
     /// Listens, with the lines of its first events.
-    pub async fn start(address: SocketAddr, events: Vec<String>) -> Result<Arc<ChangeLog>, String> {
+    pub(super) async fn start(address: SocketAddr, events: Vec<String>) -> Result<Arc<ChangeLog>, String> {
         let listener = TcpListener::bind(address).await.map_err(|fault| format!("{address}: {fault}"))?;
         let last = watch::channel(events.len()).0;
         let (bytes, followers) = Default::default();
@@ -49,7 +49,7 @@
     }
 
     /// Adds so many events; what each is, `event` says by its number.
-    pub fn add(&self, count: usize, mut event: impl FnMut(u64) -> String) {
+    pub(super) fn add(&self, count: usize, mut event: impl FnMut(u64) -> String) {
         let mut events = self.events();
         for _ in 0..count {
             let line = event(events.len() as u64 + 1);
@@ -59,12 +59,12 @@
     }
 
     /// Bytes told so far.
-    pub fn bytes(&self) -> u64 {
+    pub(super) fn bytes(&self) -> u64 {
         self.bytes.load(Ordering::Relaxed)
     }
 
     /// Connections that are open.
-    pub fn followers(&self) -> u64 {
+    pub(super) fn followers(&self) -> u64 {
         self.followers.load(Ordering::Relaxed)
     }
 
--- a/crates/testbed/src/slopes/control.rs
+++ b/crates/testbed/src/slopes/control.rs
@@ -25,7 +25,7 @@
 const AHEAD_MS: u64 = 4_000;
 
 /// What every window of control is measured in.
-pub const WINDOW: [&str; 4] =
+pub(super) const WINDOW: [&str; 4] =
     ["processor, ms a second", "told by the change log, B/s", "resident, MB", "descriptors"];
 
 fn in_row(window: &Window) -> Vec<f64> {
@@ -43,7 +43,7 @@
 }
 
 /// A purge with this number: of an object as a rule, told at this Unix millisecond.
-pub fn purge(number: u64, time_ms: u64, chance: &mut StdRng) -> String {
+pub(super) fn purge(number: u64, time_ms: u64, chance: &mut StdRng) -> String {
     let event = match chance.random::<f64>() < GROUPS_PART {
         true => {
             json!({"seq": number, "invalidate": {"bucket": chance.random_range(0..200), "time": time_ms}})
@@ -57,7 +57,11 @@
 }
 
 /// Adds events at a rate until the task is dropped.
-pub fn add_at(log: &Arc<ChangeLog>, per_s: f64, event: impl FnMut(u64) -> String + Send + 'static) -> Adding {
+pub(super) fn add_at(
+    log: &Arc<ChangeLog>,
+    per_s: f64,
+    event: impl FnMut(u64) -> String + Send + 'static,
+) -> Adding {
     let (log, mut event) = (log.clone(), event);
     Adding(tokio::spawn(async move {
         let (begun, mut added) = (tokio::time::Instant::now(), 0);
@@ -74,7 +78,7 @@
 }
 
 /// Events that are being added.
-pub struct Adding(tokio::task::JoinHandle<()>);
+pub(super) struct Adding(tokio::task::JoinHandle<()>);
 
 impl Drop for Adding {
     fn drop(&mut self) {
@@ -83,7 +87,7 @@
 }
 
 /// By nodes in the list: the start too, and what a list of them costs to take.
-pub async fn by_nodes(place: Place, count: f64) -> Measured {
+pub(super) async fn by_nodes(place: Place, count: f64) -> Measured {
     let list = whole_list(&nodes(&place, count as usize));
     let log = ChangeLog::start(place.log(), vec![list.clone()]).await?;
     let dispatcher = Dispatcher::start(&place, &told(&place), &list, &log).await?;
@@ -95,7 +99,7 @@
 }
 
 /// By purges a second.
-pub async fn by_purges(place: Place, per_s: f64) -> Measured {
+pub(super) async fn by_purges(place: Place, per_s: f64) -> Measured {
     let list = whole_list(&nodes(&place, CACHES));
     let log = ChangeLog::start(place.log(), vec![list.clone()]).await?;
     let dispatcher = Dispatcher::start(&place, &told(&place), &list, &log).await?;
@@ -107,7 +111,7 @@
 }
 
 /// A dispatcher with copies of its own, as the platform's operator file has them.
-pub async fn by_purges_with_copies(place: Place, per_s: f64) -> Measured {
+pub(super) async fn by_purges_with_copies(place: Place, per_s: f64) -> Measured {
     let list = whole_list(&nodes(&place, CACHES));
     let log = ChangeLog::start(place.log(), vec![list.clone()]).await?;
     let told = Told { operator: Some(json!({"copies": {"memory_mb": 4}})), ..told(&place) };
@@ -121,13 +125,13 @@
 
 /// By purges of a backlog, six a second of the time that went by, all told at once; what the start costs without one
 /// is part of it.
-pub async fn by_backlog(place: Place, count: f64) -> Measured {
+pub(super) async fn by_backlog(place: Place, count: f64) -> Measured {
     let all = backlog(place.seed, count as u64, 1e3 / PURGES_PER_S);
     take_at_once(&place, &told(&place), all).await
 }
 
 /// The same with copies of its own, and all purges as young as can be: none of them is forgotten while they come.
-pub async fn by_backlog_with_copies(place: Place, count: f64) -> Measured {
+pub(super) async fn by_backlog_with_copies(place: Place, count: f64) -> Measured {
     let all = backlog(place.seed, count as u64, 0.0);
     let told = Told { operator: Some(json!({"copies": {"memory_mb": 4}})), ..told(&place) };
     take_at_once(&place, &told, all).await
@@ -157,7 +161,7 @@
 }
 
 /// By changes of one node's line a second.
-pub async fn by_list_changes(place: Place, per_s: f64) -> Measured {
+pub(super) async fn by_list_changes(place: Place, per_s: f64) -> Measured {
     let listed = nodes(&place, CACHES);
     let list = whole_list(&listed);
     let log = ChangeLog::start(place.log(), vec![list.clone()]).await?;
@@ -168,7 +172,7 @@
 }
 
 /// By versions of rules a second, with the agreement on.
-pub async fn by_versions(place: Place, per_s: f64) -> Measured {
+pub(super) async fn by_versions(place: Place, per_s: f64) -> Measured {
     let list = whole_list(&nodes(&place, CACHES));
     let log = ChangeLog::start(place.log(), vec![list.clone()]).await?;
     let agreement = json!({"agreement": {"lease_s": 3, "clock_error_s": 0.25, "slack_s": 0.5, "floor": {"max_pulls": 2}}});
--- a/crates/testbed/src/slopes/dispatcher.rs
+++ b/crates/testbed/src/slopes/dispatcher.rs
@@ -12,19 +12,19 @@
 use tokio::process::{Child, Command};
 
 /// Sites of the told fleet, and the dispatchers of one.
-pub const SITES: usize = 34;
-pub const SITE_DISPATCHERS: usize = 18;
+pub(super) const SITES: usize = 34;
+pub(super) const SITE_DISPATCHERS: usize = 18;
 /// Nodes' weights, in transfers at once: never the limit here.
 const WEIGHT: u32 = 100_000;
 /// What clients take of one answer, in KB a second.
-pub const CLIENT_KB_PER_S: f64 = 5_000.0;
+pub(super) const CLIENT_KB_PER_S: f64 = 5_000.0;
 /// A process has settled once it uses less than a part of a core for so long.
 const SETTLED_OVER: Duration = Duration::from_millis(300);
 const SETTLED_CORE: f64 = 0.02;
 const SETTLES_WITHIN: Duration = Duration::from_secs(60);
 
 /// A node as the change log lists it.
-pub struct ListedNode {
+pub(super) struct ListedNode {
     /// Its id.
     pub id: String,
     /// Where it listens.
@@ -37,7 +37,7 @@
 
 impl ListedNode {
     /// Its line of the list, with one of two states that both take work.
-    pub fn line(&self, weight: impl Into<Value>) -> Value {
+    pub(super) fn line(&self, weight: impl Into<Value>) -> Value {
         json!({"id": self.id, "addr": self.address.to_string(), "zone": site_name(self.site), "kind": self.kind,
             "cell": 0, "state": "active", "weight": weight.into(), "started_ms": 0})
     }
@@ -48,7 +48,7 @@
 }
 
 /// So many caches spread over all sites but the dispatcher's own, which has `own`, with two parents and the origin.
-pub fn fleet(own: usize, elsewhere: usize, at: impl Fn(usize) -> SocketAddr) -> Vec<ListedNode> {
+pub(super) fn fleet(own: usize, elsewhere: usize, at: impl Fn(usize) -> SocketAddr) -> Vec<ListedNode> {
     let cache = |number: usize, site| ListedNode {
         id: format!("cache-{number}"),
         address: at(number),
@@ -68,31 +68,31 @@
 }
 
 /// The event that tells the whole list.
-pub fn whole_list(nodes: &[ListedNode]) -> String {
+pub(super) fn whole_list(nodes: &[ListedNode]) -> String {
     whole_list_at(nodes, WEIGHT)
 }
 
 /// The same with nodes of another weight.
-pub fn whole_list_at(nodes: &[ListedNode], weight: impl Into<Value> + Copy) -> String {
+pub(super) fn whole_list_at(nodes: &[ListedNode], weight: impl Into<Value> + Copy) -> String {
     let servers: Vec<_> = nodes.iter().map(|node| node.line(weight)).collect();
     json!({"seq": 1, "fleet": {"version": 1, "full": true, "servers": servers}}).to_string()
 }
 
 /// The event in which one node's line has changed.
-pub fn changed_line(nodes: &[ListedNode], number: u64) -> String {
+pub(super) fn changed_line(nodes: &[ListedNode], number: u64) -> String {
     let weight = WEIGHT + (number % 2) as u32;
     changed_line_at(nodes, number, weight)
 }
 
 /// The same with a weight of another size.
-pub fn changed_line_at(nodes: &[ListedNode], number: u64, weight: impl Into<Value>) -> String {
+pub(super) fn changed_line_at(nodes: &[ListedNode], number: u64, weight: impl Into<Value>) -> String {
     let line = nodes[number as usize % nodes.len()].line(weight);
     json!({"seq": number, "fleet": {"version": number, "full": false, "servers": [line]}}).to_string()
 }
 
 /// What a dispatcher is told.
 #[derive(Clone)]
-pub struct Told {
+pub(super) struct Told {
     /// The longest that a client waits.
     pub deadline_s: f64,
     /// Descriptors.
@@ -133,7 +133,7 @@
 
 /// Where one run takes place: an address of its own for all that listens.
 #[derive(Clone)]
-pub struct Place {
+pub(super) struct Place {
     /// The dispatcher's program.
     pub program: PathBuf,
     /// The folder of this run.
@@ -150,17 +150,17 @@
 
 impl Place {
     /// Where the change log listens.
-    pub fn log(&self) -> SocketAddr {
+    pub(super) fn log(&self) -> SocketAddr {
         SocketAddr::new(self.own, 2379)
     }
 
     /// Where clients connect.
-    pub fn listen(&self) -> SocketAddr {
+    pub(super) fn listen(&self) -> SocketAddr {
         SocketAddr::new(self.own, 5050 + self.number)
     }
 
     /// Where a node listens.
-    pub fn node(&self, number: usize) -> SocketAddr {
+    pub(super) fn node(&self, number: usize) -> SocketAddr {
         SocketAddr::new(self.own, 6000 + number as u16)
     }
 
@@ -179,7 +179,7 @@
 }
 
 /// A dispatcher that runs; it ends as this is dropped.
-pub struct Dispatcher {
+pub(super) struct Dispatcher {
     _child: Child,
     pid: u32,
     log: Arc<ChangeLog>,
@@ -187,7 +187,7 @@
 
 /// What a dispatcher used over a window.
 #[derive(Debug, Clone, Copy)]
-pub struct Window {
+pub(super) struct Window {
     /// Processor time, in seconds a second.
     pub core: f64,
     /// Bytes that the change log told, a second.
@@ -202,7 +202,7 @@
 
 impl Dispatcher {
     /// Starts one and waits until it serves.
-    pub async fn start(
+    pub(super) async fn start(
         place: &Place,
         told: &Told,
         list: &str,
@@ -225,17 +225,17 @@
     }
 
     /// What it has used so far.
-    pub fn usage(&self) -> Result<Usage, String> {
+    pub(super) fn usage(&self) -> Result<Usage, String> {
         usage(self.pid).ok_or_else(|| "the dispatcher has ended".to_string())
     }
 
     /// The most memory that it has had resident so far, in MB.
-    pub fn peak_mb(&self) -> Result<f64, String> {
+    pub(super) fn peak_mb(&self) -> Result<f64, String> {
         peak_mb(self.pid).ok_or_else(|| "the dispatcher has ended".to_string())
     }
 
     /// Waits until it has done what it was given; returns what it has used by then.
-    pub async fn settle(&self) -> Result<Usage, String> {
+    pub(super) async fn settle(&self) -> Result<Usage, String> {
         let begun = Instant::now();
         let mut before = self.usage()?;
         while begun.elapsed() < SETTLES_WITHIN {
@@ -251,7 +251,7 @@
     }
 
     /// What it uses over a window.
-    pub async fn window(&self, length: Duration) -> Result<Window, String> {
+    pub(super) async fn window(&self, length: Duration) -> Result<Window, String> {
         let (before, bytes, begun) = (self.usage()?, self.log.bytes(), Instant::now());
         tokio::time::sleep(length).await;
         let (after, secs) = (self.usage()?, begun.elapsed().as_secs_f64());
@@ -266,6 +266,6 @@
 }
 
 /// The folder of a run.
-pub fn folder(out: &Path, slope: &str, number: usize) -> PathBuf {
+pub(super) fn folder(out: &Path, slope: &str, number: usize) -> PathBuf {
     out.join(format!("slope-{slope}-{number}"))
 }
--- a/crates/testbed/src/slopes/fit.rs
+++ b/crates/testbed/src/slopes/fit.rs
@@ -7,7 +7,7 @@
 
 /// How a cost grows with a size.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Law {
+pub(super) enum Law {
     /// Not at all.
     Flat,
     /// With the size.
@@ -33,7 +33,7 @@
     }
 
     /// The law as a formula, with the size as x.
-    pub fn formula(self) -> &'static str {
+    pub(super) fn formula(self) -> &'static str {
         match self {
             Law::Flat => "",
             Law::Linear => " x",
@@ -43,7 +43,7 @@
     }
 
     /// Its name.
-    pub fn name(self) -> &'static str {
+    pub(super) fn name(self) -> &'static str {
         match self {
             Law::Flat => "flat",
             Law::Linear => "linear",
@@ -55,7 +55,7 @@
 
 /// A measured cost at a size.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Point {
+pub(super) struct Point {
     /// The size.
     pub size: f64,
     /// The cost, the median of runs.
@@ -66,7 +66,7 @@
 
 /// A law with the figures that fit best.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Fit {
+pub(super) struct Fit {
     /// The law.
     pub law: Law,
     /// The cost at size 0.
@@ -79,12 +79,12 @@
 
 impl Fit {
     /// The cost that it gives at a size.
-    pub fn at(&self, size: f64) -> f64 {
+    pub(super) fn at(&self, size: f64) -> f64 {
         self.intercept + self.slope * self.law.shape(size)
     }
 
     /// One law's best figures, by least squares.
-    pub fn of(law: Law, points: &[Point]) -> Fit {
+    pub(super) fn of(law: Law, points: &[Point]) -> Fit {
         let count = points.len().max(1) as f64;
         let mean = |value: &dyn Fn(&Point) -> f64| points.iter().map(value).sum::<f64>() / count;
         let mean_shape = mean(&|point| law.shape(point.size));
@@ -99,7 +99,7 @@
     }
 
     /// The simplest law that fits about as well as any.
-    pub fn best(points: &[Point]) -> Fit {
+    pub(super) fn best(points: &[Point]) -> Fit {
         let flat = Fit::of(Law::Flat, points);
         if is_flat(points) {
             return flat;
--- a/crates/testbed/src/slopes/growth.rs
+++ b/crates/testbed/src/slopes/growth.rs
@@ -31,7 +31,7 @@
 
 /// What is played, and how often.
 #[derive(Args)]
-pub struct Options {
+pub(crate) struct Options {
     /// Cache hosts at the usual size.
     #[arg(long, default_value_t = 200)]
     hosts: usize,
@@ -100,7 +100,7 @@
 }
 
 /// Plays all, one after another; the table, and each bound that was missed.
-pub async fn run(
+pub(crate) async fn run(
     options: &Options,
     program: PathBuf,
     out: &Path,
--- a/crates/testbed/src/slopes/growth_bounds.rs
+++ b/crates/testbed/src/slopes/growth_bounds.rs
@@ -4,7 +4,7 @@
 
 /// What a dispatcher needed over one play.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Needs {
+pub(super) struct Needs {
     /// Processor time from its start on, in seconds.
     pub core_s: f64,
     /// The most memory resident, in MB.
@@ -70,7 +70,7 @@
 }
 
 /// The table of plays by cache hosts, the usual size first, and each bound that the median missed.
-pub fn table(per_s: f64, rows: &[(usize, Vec<Needs>)]) -> (String, Vec<String>) {
+pub(super) fn table(per_s: f64, rows: &[(usize, Vec<Needs>)]) -> (String, Vec<String>) {
     let (mut text, mut missed) = (String::new(), Vec::new());
     let Some((_, usual)) = rows.first() else { return (text, missed) };
     let _ = write!(text, "\n| {per_s} requests a second |");
--- a/crates/testbed/src/slopes/load.rs
+++ b/crates/testbed/src/slopes/load.rs
@@ -20,7 +20,7 @@
 
 /// What clients ask for.
 #[derive(Debug, Clone, Copy)]
-pub struct Load {
+pub(super) struct Load {
     /// Requests a second, all connections together.
     pub per_s: f64,
     /// Connections that ask.
@@ -39,7 +39,7 @@
 
 /// What became of requests.
 #[derive(Debug, Default)]
-pub struct Answers {
+pub(super) struct Answers {
     /// Requests that were sent.
     pub sent: AtomicU64,
     /// Those that were served.
@@ -49,7 +49,7 @@
 }
 
 /// Clients that ask until this is dropped.
-pub struct Clients {
+pub(super) struct Clients {
     tasks: Vec<JoinHandle<()>>,
     /// What became of their requests.
     pub answers: Arc<Answers>,
@@ -63,7 +63,7 @@
 
 impl Clients {
     /// Connects all, and begins.
-    pub async fn start(to: SocketAddr, load: Load) -> Result<Clients, String> {
+    pub(super) async fn start(to: SocketAddr, load: Load) -> Result<Clients, String> {
         let answers = Arc::new(Answers::default());
         let mut clients = Clients { tasks: Vec::new(), answers: answers.clone() };
         for number in 0..load.connections + load.idle {
--- a/crates/testbed/src/slopes/mod.rs
+++ b/crates/testbed/src/slopes/mod.rs
@@ -6,7 +6,7 @@
 mod control;
 mod dispatcher;
 mod fit;
-pub mod growth;
+pub(crate) mod growth;
 mod growth_bounds;
 mod load;
 mod nodes;
@@ -28,7 +28,7 @@
 
 /// What is measured, and how long.
 #[derive(Args)]
-pub struct Options {
+pub(crate) struct Options {
     /// Which slopes; all of control if absent. `list` prints their names.
     names: Vec<String>,
     /// The sizes, in place of the slope's own.
@@ -113,7 +113,7 @@
 }
 
 /// Measures the slopes that are named, and prints a table of each.
-pub async fn run(options: &Options, program: PathBuf, out: &Path, net: u8) -> Result<(), String> {
+pub(crate) async fn run(options: &Options, program: PathBuf, out: &Path, net: u8) -> Result<(), String> {
     if options.names.iter().any(|name| name == "list") {
         SLOPES.iter().for_each(|slope| println!("{}: {}", slope.name, slope.about));
         return Ok(());
--- a/crates/testbed/src/slopes/nodes.rs
+++ b/crates/testbed/src/slopes/nodes.rs
@@ -18,7 +18,7 @@
 
 /// How nodes answer.
 #[derive(Debug, Clone, Copy)]
-pub struct Answering {
+pub(super) struct Answering {
     /// After so long.
     pub delay: Duration,
     /// With so many bytes.
@@ -29,7 +29,7 @@
 
 /// Which lookups find nothing.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Misses {
+pub(super) enum Misses {
     None,
     All,
     /// Those of what no fill has brought to this node.
@@ -41,7 +41,7 @@
 
 /// What nodes have seen.
 #[derive(Debug, Default)]
-pub struct Seen {
+pub(super) struct Seen {
     /// Connections that are open.
     pub connections: AtomicU64,
     /// Connections that were made.
@@ -53,7 +53,7 @@
 }
 
 /// Nodes that listen until this is dropped.
-pub struct Nodes {
+pub(super) struct Nodes {
     serving: Vec<JoinHandle<()>>,
     /// What they have seen.
     pub seen: Arc<Seen>,
@@ -67,7 +67,7 @@
 
 impl Nodes {
     /// Listens at these addresses.
-    pub async fn start(addresses: Vec<SocketAddr>, answering: Answering) -> Result<Nodes, String> {
+    pub(super) async fn start(addresses: Vec<SocketAddr>, answering: Answering) -> Result<Nodes, String> {
         let seen = Arc::new(Seen::default());
         let body: Arc<[u8]> = vec![b'x'; answering.bytes].into();
         let mut serving = Vec::new();
--- a/crates/testbed/src/slopes/requests.rs
+++ b/crates/testbed/src/slopes/requests.rs
@@ -23,7 +23,7 @@
 const UNHURRIED_KB: f64 = 25_000.0;
 
 /// What every window under load is measured in.
-pub const WINDOW: [&str; 5] =
+pub(super) const WINDOW: [&str; 5] =
     ["processor, us a request", "processor, ms a second", "resident, MB", "descriptors", "served, %"];
 
 /// One case: the dispatcher, what is around it, and who asks.
@@ -90,7 +90,7 @@
 }
 
 /// By requests a second.
-pub async fn by_rate(place: Place, per_s: f64) -> Measured {
+pub(super) async fn by_rate(place: Place, per_s: f64) -> Measured {
     let mut case = Case::usual(&place);
     case.load.per_s = per_s;
     // None of them may have more open than it may.
@@ -99,7 +99,7 @@
 }
 
 /// By the time that clients wait, in seconds; what was asked for within it may still be known.
-pub async fn by_timeout(place: Place, secs: f64) -> Measured {
+pub(super) async fn by_timeout(place: Place, secs: f64) -> Measured {
     let mut case = Case::usual(&place);
     case.load.timeout = Duration::from_secs_f64(secs);
     case.warm_up = case.load.timeout + WARM_UP;
@@ -107,7 +107,7 @@
 }
 
 /// By the bytes of an answer, at 200 requests a second.
-pub async fn by_bytes(place: Place, kilobytes: f64) -> Measured {
+pub(super) async fn by_bytes(place: Place, kilobytes: f64) -> Measured {
     let mut case = Case::usual(&place);
     case.load.per_s = 200.0;
     case.load.told_kb = kilobytes;
@@ -127,19 +127,19 @@
 }
 
 /// By requests that are open at once, at 500 a second.
-pub async fn by_open(place: Place, open: f64) -> Measured {
+pub(super) async fn by_open(place: Place, open: f64) -> Measured {
     with_open(&place, open).measure(&place).await
 }
 
 /// The same while 300 purges a second come.
-pub async fn by_open_with_purges(place: Place, open: f64) -> Measured {
+pub(super) async fn by_open_with_purges(place: Place, open: f64) -> Measured {
     let mut case = with_open(&place, open);
     case.purges_per_s = 300.0;
     case.measure(&place).await
 }
 
 /// By purges a second while requests come: those held are searched for each.
-pub async fn by_purges_held(place: Place, per_s: f64) -> Measured {
+pub(super) async fn by_purges_held(place: Place, per_s: f64) -> Measured {
     let mut case = Case::usual(&place);
     case.purges_per_s = per_s;
     // A purge is held for 7 s.
@@ -148,7 +148,7 @@
 }
 
 /// By distinct objects.
-pub async fn by_objects(place: Place, objects: f64) -> Measured {
+pub(super) async fn by_objects(place: Place, objects: f64) -> Measured {
     let mut case = Case::usual(&place);
     case.load.per_s = 5_000.0;
     case.load.objects = objects as u64;
@@ -158,28 +158,28 @@
 }
 
 /// By clients that ask for nothing.
-pub async fn by_idle(place: Place, idle: f64) -> Measured {
+pub(super) async fn by_idle(place: Place, idle: f64) -> Measured {
     let mut case = Case::usual(&place);
     case.load.idle = idle as usize;
     case.measure(&place).await
 }
 
 /// By connections over which the same requests come.
-pub async fn by_connections(place: Place, connections: f64) -> Measured {
+pub(super) async fn by_connections(place: Place, connections: f64) -> Measured {
     let mut case = Case::usual(&place);
     case.load.connections = connections as usize;
     case.measure(&place).await
 }
 
 /// By caches of the own site.
-pub async fn by_own_caches(place: Place, caches: f64) -> Measured {
+pub(super) async fn by_own_caches(place: Place, caches: f64) -> Measured {
     let mut case = Case::usual(&place);
     case.own = caches as usize;
     case.measure(&place).await
 }
 
 /// By caches of the whole fleet, where each request misses and is filled.
-pub async fn by_fleet_with_fills(place: Place, caches: f64) -> Measured {
+pub(super) async fn by_fleet_with_fills(place: Place, caches: f64) -> Measured {
     let mut case = Case::usual(&place);
     case.elsewhere = (caches as usize).saturating_sub(OWN);
     case.answering.misses = Misses::All;
--- a/crates/testbed/src/slopes/several.rs
+++ b/crates/testbed/src/slopes/several.rs
@@ -21,7 +21,7 @@
 const WARM_UP: Duration = Duration::from_secs(3);
 
 /// What is measured at those who are asked.
-pub const BORNE: [&str; 6] = [
+pub(super) const BORNE: [&str; 6] = [
     "connections, a cache host",
     "lookups a second, a cache host",
     "fills a second, a cache host",
@@ -31,7 +31,7 @@
 ];
 
 /// By dispatchers of one site, each under the same load; all requests miss and are filled.
-pub async fn by_dispatchers(place: Place, count: f64) -> Measured {
+pub(super) async fn by_dispatchers(place: Place, count: f64) -> Measured {
     let listed = fleet(OWN, ELSEWHERE, |number| place.node(number));
     let hosts = listed.iter().filter(|node| node.site == 0).map(|node| node.address);
     let answering = Answering { delay: Duration::from_millis(5), bytes: 1_000, misses: Misses::All };
--- a/crates/testbed/src/slopes/table.rs
+++ b/crates/testbed/src/slopes/table.rs
@@ -5,7 +5,7 @@
 use std::fmt::Write as _;
 
 /// All runs of one size.
-pub struct Row {
+pub(super) struct Row {
     /// The size.
     pub size: f64,
     /// One figure for each measure, by run.
@@ -59,7 +59,7 @@
 }
 
 /// The table.
-pub fn markdown(slope: &Slope, rows: &[Row]) -> String {
+pub(super) fn markdown(slope: &Slope, rows: &[Row]) -> String {
     let mut text = format!("### {}: {}\n\n| {} |", slope.name, slope.about, slope.unit);
     text.extend(slope.measures.iter().map(|measure| format!(" {measure} |")));
     text += "\n| ---: |";
--- a/crates/testbed/src/slopes/usage.rs
+++ b/crates/testbed/src/slopes/usage.rs
@@ -4,7 +4,7 @@
 
 /// What a process has used.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Usage {
+pub(super) struct Usage {
     /// Processor time of all its threads.
     pub processor: Duration,
     /// Resident memory in MB (10^6 bytes).
@@ -14,7 +14,7 @@
 }
 
 /// The most memory that a process has had resident, in MB; nothing if it has ended.
-pub fn peak_mb(pid: u32) -> Option<f64> {
+pub(super) fn peak_mb(pid: u32) -> Option<f64> {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
     let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:"))?;
     let kilobytes: f64 = line.trim().strip_suffix(" kB")?.trim().parse().ok()?;
@@ -22,7 +22,7 @@
 }
 
 /// What a process has used; nothing if it has ended.
-pub fn usage(pid: u32) -> Option<Usage> {
+pub(super) fn usage(pid: u32) -> Option<Usage> {
     let mut nanos = 0;
     for thread in std::fs::read_dir(format!("/proc/{pid}/task")).ok()?.flatten() {
         // The first word is the time spent on a processor.
--- a/crates/testbed/src/wall_clock.rs
+++ b/crates/testbed/src/wall_clock.rs
@@ -14,7 +14,7 @@
 /// From a moment on the wall clock is off.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct WallStep {
+pub(crate) struct WallStep {
     /// By so many milliseconds: ahead where over 0, behind where under.
     pub off_ms: i64,
     /// So many seconds after the start of the process, each time that it starts.
@@ -24,7 +24,10 @@
 
 /// What dispatchers' environments have besides, so that their wall clock takes these steps; nothing for none. An error is
 /// one line.
-pub fn variables(steps: &[WallStep], program: &Path) -> Result<[(&'static str, Option<String>); 2], String> {
+pub(crate) fn variables(
+    steps: &[WallStep],
+    program: &Path,
+) -> Result<[(&'static str, Option<String>); 2], String> {
     if steps.is_empty() {
         return Ok([(PLAN, None), (PRELOAD, None)]);
     }
--- a/crates/testbed/src/world.rs
+++ b/crates/testbed/src/world.rs
@@ -12,16 +12,16 @@
 const CLOCKS: Duration = Duration::from_millis(300);
 
 /// Time to heed a drain, as the settings tell.
-pub const DRAIN_GRACE: Duration = Duration::from_millis(1_000);
+pub(crate) const DRAIN_GRACE: Duration = Duration::from_millis(1_000);
 /// Time to heed a purge, as the settings tell.
-pub const PURGE_GRACE: Duration = Duration::from_millis(1_000);
+pub(crate) const PURGE_GRACE: Duration = Duration::from_millis(1_000);
 
 /// What the list service has to tell counts as told after this long, as the operator's file has it.
-pub const TOLD_AFTER: Duration = Duration::from_secs(7);
+pub(crate) const TOLD_AFTER: Duration = Duration::from_secs(7);
 
 /// A breach of a rule.
 #[derive(Debug, Clone, serde::Serialize)]
-pub struct Breach {
+pub(crate) struct Breach {
     /// Seconds from the start.
     pub at_s: f64,
     /// The number of the rule.
@@ -32,7 +32,7 @@
 
 /// What nodes counted in a second, of all of them.
 #[derive(Debug, Clone, Copy, Default, PartialEq, serde::Serialize)]
-pub struct Tally {
+pub(crate) struct Tally {
     /// Connections that came, those turned away, and the most that one node held.
     pub opened: u32,
     pub turned_away: u32,
@@ -48,7 +48,7 @@
 
 /// A version of rules that was issued and is good.
 #[derive(Debug, Clone, Copy)]
-pub struct Issued {
+pub(crate) struct Issued {
     /// When.
     pub at: Instant,
     /// From when it acts.
@@ -59,7 +59,7 @@
 
 /// How well dispatchers kept to versions of rules, by what came to nodes.
 #[derive(Debug, Clone, Default, serde::Serialize)]
-pub struct Agreed {
+pub(crate) struct Agreed {
     /// Versions issued.
     pub versions: usize,
     /// Attempts that the version in force forbade when they came.
@@ -95,7 +95,7 @@
 
 /// What is true.
 #[derive(Debug)]
-pub struct World {
+pub(crate) struct World {
     /// What is played.
     pub scenario: Scenario,
     start: OnceLock<Instant>,
@@ -130,7 +130,7 @@
 
 impl World {
     /// A world in which nothing has happened.
-    pub fn new(scenario: Scenario) -> Self {
+    pub(crate) fn new(scenario: Scenario) -> Self {
         World { scenario, start: OnceLock::new(), truth: Mutex::default() }
     }
 
@@ -139,33 +139,33 @@
     }
 
     /// The clients come: its clock begins.
-    pub fn begin(&self) {
+    pub(crate) fn begin(&self) {
         let _ = self.start.set(Instant::now());
     }
 
     /// When its clock began.
-    pub fn start(&self) -> Instant {
+    pub(crate) fn start(&self) -> Instant {
         *self.start.get_or_init(Instant::now)
     }
 
     /// Seconds from the start.
-    pub fn secs(&self) -> f64 {
+    pub(crate) fn secs(&self) -> f64 {
         self.start().elapsed().as_secs_f64()
     }
 
     /// A rule was broken.
-    pub fn breach(&self, rule: u8, what: String) {
+    pub(crate) fn breach(&self, rule: u8, what: String) {
         let at_s = self.secs();
         self.truth().breaches.push(Breach { at_s, rule, what });
     }
 
     /// All breaches.
-    pub fn breaches(&self) -> Vec<Breach> {
+    pub(crate) fn breaches(&self) -> Vec<Breach> {
         self.truth().breaches.clone()
     }
 
     /// Counts something in the present second.
-    pub fn count(&self, count: impl FnOnce(&mut Tally)) {
+    pub(crate) fn count(&self, count: impl FnOnce(&mut Tally)) {
         let second = self.secs() as usize;
         let seconds = &mut self.truth().seconds;
         if seconds.len() <= second {
@@ -175,14 +175,14 @@
     }
 
     /// What was counted, second by second.
-    pub fn tallies(&self) -> Vec<Tally> {
+    pub(crate) fn tallies(&self) -> Vec<Tally> {
         self.truth().seconds.clone()
     }
 
     // Attempts.
 
     /// An attempt has come to a node, and names a source.
-    pub fn pulled(&self, id: &str, node: &str, source: Option<&str>) {
+    pub(crate) fn pulled(&self, id: &str, node: &str, source: Option<&str>) {
         let now = Instant::now();
         let mut truth = self.truth();
         let count = truth.attempts.entry(id.to_string()).or_default();
@@ -201,36 +201,36 @@
     }
 
     /// A version of rules is issued.
-    pub fn issued(&self, version: Issued) {
+    pub(crate) fn issued(&self, version: Issued) {
         let mut truth = self.truth();
         truth.versions.push(version);
         truth.agreed.versions += 1;
     }
 
     /// How well dispatchers kept to versions of rules.
-    pub fn agreed(&self) -> Agreed {
+    pub(crate) fn agreed(&self) -> Agreed {
         self.truth().agreed.clone()
     }
 
     /// How many attempts came for these tries.
-    pub fn attempts_of(&self, ids: &[String]) -> u32 {
+    pub(crate) fn attempts_of(&self, ids: &[String]) -> u32 {
         let truth = self.truth();
         ids.iter().filter_map(|id| truth.attempts.get(id)).sum()
     }
 
     /// The origin gives out so many bytes.
-    pub fn origin_gave(&self, bytes: usize) {
+    pub(crate) fn origin_gave(&self, bytes: usize) {
         self.truth().origin_bytes += bytes as u64;
     }
 
     /// Bytes that the origin gave out, and attempts that came to nodes.
-    pub fn traffic(&self) -> [u64; 2] {
+    pub(crate) fn traffic(&self) -> [u64; 2] {
         let truth = self.truth();
         [truth.origin_bytes, truth.all_attempts]
     }
 
     /// A post runs at the origin.
-    pub fn ran(&self, object: &str, id: &str) {
+    pub(crate) fn ran(&self, object: &str, id: &str) {
         let times = {
             let mut truth = self.truth();
             let ran = truth.ran.entry(object.to_string()).or_default();
@@ -243,7 +243,7 @@
     }
 
     /// Whether a post ran for this try.
-    pub fn has_run(&self, object: &str, id: &str) -> bool {
+    pub(crate) fn has_run(&self, object: &str, id: &str) -> bool {
         self.truth().ran.get(object).is_some_and(|ids| ids.iter().any(|ran| ran == id))
     }
 
@@ -251,7 +251,7 @@
 
     /// When what the list service has to tell now counts as told: at once, unless a fault keeps dispatchers from
     /// hearing it; then so long after the fault as the operators say it may take.
-    pub fn told(&self) -> Instant {
+    pub(crate) fn told(&self) -> Instant {
         let now = self.secs();
         let deaf = |span: &[f64; 2]| span[0] <= now + 0.1 && now < span[1] + TOLD_AFTER.as_secs_f64();
         let ends = self.scenario.unheard().into_iter().filter(deaf).map(|span| span[1]).fold(0.0, f64::max);
@@ -262,24 +262,24 @@
     }
 
     /// A node is told to drain.
-    pub fn drain(&self, node: &str) {
+    pub(crate) fn drain(&self, node: &str) {
         let told = self.told();
         self.truth().drained.insert(node.to_string(), told);
     }
 
     /// Everything is purged.
-    pub fn purge(&self) {
+    pub(crate) fn purge(&self) {
         let told = self.told();
         self.truth().purges.push(told);
     }
 
     /// The version that a copy made now has.
-    pub fn version(&self) -> u64 {
+    pub(crate) fn version(&self) -> u64 {
         self.truth().purges.len() as u64
     }
 
     /// The oldest version that a request sent at this time may be answered from.
-    pub fn oldest_version(&self, sent: Instant) -> u64 {
+    pub(crate) fn oldest_version(&self, sent: Instant) -> u64 {
         let heeded = |told: &&Instant| **told + PURGE_GRACE + SLACK < sent;
         self.truth().purges.iter().filter(heeded).count() as u64
     }
@@ -287,7 +287,7 @@
     // Objects.
 
     /// The bytes of a part, as the origin makes them.
-    pub fn bytes(object: &str, part: u64, version: u64) -> Vec<u8> {
+    pub(crate) fn bytes(object: &str, part: u64, version: u64) -> Vec<u8> {
         let mut bytes = format!("{object} {part} {version} ").into_bytes();
         let length = 200 + (object.bytes().map(usize::from).sum::<usize>() * 37) % 1800;
         let fill = bytes.clone();
@@ -296,7 +296,7 @@
     }
 
     /// The version of these bytes, if they are those of that part.
-    pub fn version_of(object: &str, part: u64, bytes: &[u8]) -> Option<u64> {
+    pub(crate) fn version_of(object: &str, part: u64, bytes: &[u8]) -> Option<u64> {
         let head = bytes.iter().take(64).map(|byte| char::from(*byte)).collect::<String>();
         let version = head.split(' ').nth(2)?.parse().ok()?;
         (World::bytes(object, part, version) == bytes).then_some(version)
@@ -304,7 +304,7 @@
 }
 
 /// The Unix millisecond.
-pub fn unix_ms() -> u64 {
+pub(crate) fn unix_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64)
 }
 
