--- a/crates/dispatcher/tests/dispatcher/rig.rs
+++ b/crates/dispatcher/tests/dispatcher/rig.rs
@@ -49,8 +49,8 @@
     address
 }
 
-/// So many programs listen at addresses that differ in the third number; the numbers above are other tests'.
-const RIGS_PER_HOST: u32 = 240;
+/// So many programs listen at addresses that differ in the third number; the numbers from here on are other tests'.
+const RIGS_PER_HOST: u32 = 100;
 
 /// A program that serves, with stand-ins all around.
 pub(crate) struct Rig {
