--- a/crates/config-rollout/benches/switch.rs
+++ b/crates/config-rollout/benches/switch.rs
@@ -33,10 +33,10 @@
 }
 
 fn settings() -> Settings {
-    let cold = ColdStart { share: 0.3, warm_after: Nanos(12 * S), fall_multiple: 1.5 };
+    let cold = ColdStart { share: 0.3, warm_after: Nanos(12 * S), overload_multiple: 1.5 };
     let content_type = ContentType {
-        target_time: Nanos(S),
-        target_stretch: 1.0,
+        latency_target: Nanos(S),
+        latency_target_stretch: 1.0,
         repeat: Repeat::Retriable,
         fresh_for: None,
         uncacheable: false,
@@ -50,10 +50,10 @@
         content_types: vec![content_type; TYPES],
         parent_kind: Some(1),
         origin_kind: Some(2),
-        direct: true,
-        joins: false,
-        fills_told: true,
-        sideways: false,
+        direct_to_parents: true,
+        coalesces_fills: false,
+        fill_source_reported: true,
+        fill_from_other_locations: false,
         client_kb_per_s: 0.0,
         link_kb_per_s: 0.0,
         purge_done: Nanos(6 * S),
@@ -61,17 +61,17 @@
         drain_grace: Nanos(S),
         cache_cold: cold,
         parent_cold: cold,
-        fall_for: Nanos(3 * S),
+        overload_window: Nanos(3 * S),
         origin_stop_multiple: 2.5,
-        list_is_asked: false,
+        list_needs_subscription: false,
         cancel: true,
         retry_after: true,
         max_retry_after: Nanos(S),
         max_attempts: 6,
-        sizes_told: true,
-        probes: false,
-        may_probe: false,
-        storms: None,
+        capacities_listed: true,
+        load_probes: false,
+        readiness_probes: false,
+        overload_control: None,
     }
 }
 
--- a/crates/config-rollout/src/rules.rs
+++ b/crates/config-rollout/src/rules.rs
@@ -58,12 +58,12 @@
     "max_pulls" Lower Whole max_attempts count;
     "cold_share" Lower Number cache_cold.share number;
     "cold_s" Higher Number cache_cold.warm_after span;
-    "cold_falls_at" Lower Number cache_cold.fall_multiple number;
+    "cold_falls_at" Lower Number cache_cold.overload_multiple number;
     "parent_cold_share" Lower Number parent_cold.share number;
     "parent_cold_s" Higher Number parent_cold.warm_after span;
-    "parent_falls_at" Lower Number parent_cold.fall_multiple number;
-    "past_caches" Lower Flag direct flag;
-    "from_other_locations" Lower Flag sideways flag;
+    "parent_falls_at" Lower Number parent_cold.overload_multiple number;
+    "past_caches" Lower Flag direct_to_parents flag;
+    "from_other_locations" Lower Flag fill_from_other_locations flag;
     "purge_done_s" Higher Number purge_done span;
     "purge_notice_s" Higher Number purge_notice span;
 };
--- a/crates/config-rollout/tests/agreement/common.rs
+++ b/crates/config-rollout/tests/agreement/common.rs
@@ -21,14 +21,14 @@
 /// What the platform says.
 pub(crate) fn settings() -> Settings {
     let content_type = |repeat| ContentType {
-        target_time: ms(400),
-        target_stretch: 1.0,
+        latency_target: ms(400),
+        latency_target_stretch: 1.0,
         repeat,
         fresh_for: None,
         uncacheable: false,
         benefit: 1.0,
     };
-    let cold = ColdStart { share: 0.3, warm_after: ms(12_000), fall_multiple: 1.5 };
+    let cold = ColdStart { share: 0.3, warm_after: ms(12_000), overload_multiple: 1.5 };
     Settings {
         seed: 1,
         zone: ZoneId(0),
@@ -37,10 +37,10 @@
         content_types: vec![content_type(Repeat::Retriable), content_type(Repeat::NonRetriable)],
         parent_kind: Some(1),
         origin_kind: Some(2),
-        direct: true,
-        joins: false,
-        fills_told: true,
-        sideways: false,
+        direct_to_parents: true,
+        coalesces_fills: false,
+        fill_source_reported: true,
+        fill_from_other_locations: false,
         client_kb_per_s: 0.0,
         link_kb_per_s: 0.0,
         purge_done: ms(6_000),
@@ -48,17 +48,17 @@
         drain_grace: ms(1_000),
         cache_cold: cold,
         parent_cold: cold,
-        fall_for: ms(3_000),
+        overload_window: ms(3_000),
         origin_stop_multiple: 2.5,
-        list_is_asked: false,
+        list_needs_subscription: false,
         cancel: true,
         retry_after: true,
         max_retry_after: ms(1_000),
         max_attempts: 6,
-        sizes_told: true,
-        probes: false,
-        may_probe: false,
-        storms: None,
+        capacities_listed: true,
+        load_probes: false,
+        readiness_probes: false,
+        overload_control: None,
     }
 }
 
--- a/crates/dispatcher/src/config.rs
+++ b/crates/dispatcher/src/config.rs
@@ -111,7 +111,7 @@
         let mut config = Config::read(&self.config)?;
         if let Some(path) = &self.operator {
             let operator = Operator::read(path)?;
-            config.settings.storms = operator.storms(config.settings.max_attempts)?;
+            config.settings.overload_control = operator.storms(config.settings.max_attempts)?;
             config.copies_bytes = operator.copies_bytes()?;
             let most = config.limits.memory_mb / 2;
             if config.copies_bytes as u64 > most * 1_000_000 {
--- a/crates/dispatcher/src/main.rs
+++ b/crates/dispatcher/src/main.rs
@@ -225,7 +225,7 @@
                 config.known.results.len()
             );
             if let Some(path) = sources.operator {
-                let storms = if config.settings.storms.is_some() { "on" } else { "off" };
+                let storms = if config.settings.overload_control.is_some() { "on" } else { "off" };
                 println!("{}: storms {storms}", path.display());
                 if let Some(told) = lists(&config) {
                     println!("{}: lists: {told}", path.display());
--- a/crates/dispatcher/src/reducer/clients.rs
+++ b/crates/dispatcher/src/reducer/clients.rs
@@ -188,7 +188,7 @@
         if self.module.purges_are_doubtful(now) {
             return self.go_on(now, request_id);
         }
-        let target = self.settings.content_types[routing_request.content_type.0 as usize].target_time;
+        let target = self.settings.content_types[routing_request.content_type.0 as usize].latency_target;
         let held = self.request_table.asked_for(request_id).and_then(|asked| asked.2);
         if let Some((facts, _)) = copy {
             self.outside.kept_copy_heard(now, facts.made_ms);
@@ -235,7 +235,7 @@
         }
         let (object, part, held) = self.request_table.asked_for(request_id)?;
         let key = copies::key(routing_request.content_type.0, object, part)?;
-        let target = self.settings.content_types[routing_request.content_type.0 as usize].target_time;
+        let target = self.settings.content_types[routing_request.content_type.0 as usize].latency_target;
         copies.serve(now, self.outside.latest_ms(now), &key, held, target)
     }
 
--- a/crates/routing/src/fleet/overload_control/mod.rs
+++ b/crates/routing/src/fleet/overload_control/mod.rs
@@ -6,7 +6,7 @@
 mod tries;
 
 use crate::fleet::admission_control::{AdmissionControl, LEVELS};
-use crate::interface::{ContentType, Nanos, Repeat, RoutingRequest, StormSettings, TypeId, mix};
+use crate::interface::{ContentType, Nanos, OverloadSettings, Repeat, RoutingRequest, TypeId, mix};
 use crate::state::{RequestState, Reservation, Stage};
 use crate::structures::generational_map::GenerationalMap;
 use crate::structures::random::Random;
@@ -103,7 +103,7 @@
 /// The overload control of one dispatcher.
 #[derive(Debug)]
 pub struct OverloadControl {
-    s: StormSettings,
+    s: OverloadSettings,
     longest: Nanos,
     rows: Vec<Row>,
     /// For requests to the caches and to the origin, see [`Self::backend_of`].
@@ -117,7 +117,7 @@
 
 impl OverloadControl {
     /// Clients honour a retry-after of at most `longest`; nodes are judged by what they are sent in `window`.
-    pub fn new(s: StormSettings, types: &[ContentType], longest: Nanos, window: Nanos, seed: u64) -> Self {
+    pub fn new(s: OverloadSettings, types: &[ContentType], longest: Nanos, window: Nanos, seed: u64) -> Self {
         let row = |told: &ContentType| Row {
             told: told.clone(),
             load_state: LoadState::Calm,
@@ -125,13 +125,13 @@
             seen: RingBuffer::new(SEEN_OVER, BUCKETS),
             let_in: RingBuffer::new(SEEN_OVER, BUCKETS),
         };
-        let admission = |_| AdmissionControl::new(types.len(), longest, window, s.slots, s.newcomers);
+        let admission = |_| AdmissionControl::new(types.len(), longest, window, s.slots, s.unreserved_share);
         OverloadControl {
             longest,
             rows: types.iter().map(row).collect(),
             admission: [0, 1].map(admission),
-            pages: GenerationalMap::new(s.remember, s.most_remembered),
-            once: GenerationalMap::new(s.remember, s.most_remembered),
+            pages: GenerationalMap::new(s.remember_for, s.max_remembered),
+            once: GenerationalMap::new(s.remember_for, s.max_remembered),
             random: Random::new(seed.rotate_left(17)),
             born: None,
             looked: Nanos::ZERO,
@@ -216,10 +216,11 @@
         let print = mix(d.client ^ mix(d.copy_hash ^ mix(u64::from(d.content_type.0) ^ d.body_hash)));
         let mut reservation = Reservation { print, taken: now, level: 0, damped: false, spent: 0 };
         if self.rows[at].is_once() {
-            let repeats = d.repeat || !self.s.clients_mark;
+            let repeats = d.repeat || !self.s.clients_mark_retries;
             // What was in flight before a start, or was dropped early, is unknown: it may have run.
-            let unknown =
-                now.since(born) < self.s.remember || self.once.has_lost_entries(now) || self.s.doubt_unknown;
+            let unknown = now.since(born) < self.s.remember_for
+                || self.once.has_lost_entries(now)
+                || self.s.unknown_retry_may_have_run;
             let may_have_run = match self.once.get(print) {
                 Some(Ran::InHand | Ran::Maybe) => repeats,
                 Some(Ran::Never) => false,
@@ -230,7 +231,7 @@
             }
         }
         let page = self.pages.get(print).cloned();
-        let repeat = d.repeat || (!self.s.clients_mark && page.as_ref().is_some_and(Page::waits));
+        let repeat = d.repeat || (!self.s.clients_mark_retries && page.as_ref().is_some_and(Page::waits));
         let mut page = page.unwrap_or_default();
         let tried = if repeat { page.returns(now) } else { None };
         reservation.spent = tried.map_or(0, |tried| tried.attempts);
--- a/crates/routing/src/interface.rs
+++ b/crates/routing/src/interface.rs
@@ -76,9 +76,9 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct ContentType {
     /// An answer within this time earns the whole benefit.
-    pub target_time: Nanos,
+    pub latency_target: Nanos,
     /// Added to the target time, as a multiple of the request's own sending time.
-    pub target_stretch: f64,
+    pub latency_target_stretch: f64,
     /// Whether it may run again.
     pub repeat: Repeat,
     /// How long a copy is fresh; `None` for no limit.
@@ -97,25 +97,25 @@
     /// When it is warm at the latest.
     pub warm_after: Nanos,
     /// It falls over when sent more than this many times its present capacity.
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
 }
 
 /// What the operators tell of retry storms.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct StormSettings {
+pub struct OverloadSettings {
     /// For how long a try that failed is remembered: as long as clients may retry.
-    pub remember: Nanos,
+    pub remember_for: Nanos,
     /// How many are remembered at most.
-    pub most_remembered: usize,
+    pub max_remembered: usize,
     /// Slots that the longest advice is divided into.
     pub slots: usize,
     /// The part of the pace that is not given away beforehand, in [0, 1).
-    pub newcomers: f64,
+    pub unreserved_share: f64,
     /// Clients mark their repeats; else a repeat is told by what is remembered.
-    pub clients_mark: bool,
+    pub clients_mark_retries: bool,
     /// A marked repeat of what must not run twice counts as one that may have run, though its first try is not
     /// known here.
-    pub doubt_unknown: bool,
+    pub unknown_retry_may_have_run: bool,
     /// The most attempts for one request and its repeats.
     pub max_attempts: u32,
 }
@@ -138,13 +138,13 @@
     /// The kind of node that is the origin.
     pub origin_kind: Option<u32>,
     /// Whether parents and the origin take attempts too.
-    pub direct: bool,
+    pub direct_to_parents: bool,
     /// Whether a request can join a fill that is under way.
-    pub joins: bool,
+    pub coalesces_fills: bool,
     /// Whether answers tell a fill that a parent held from one that went to the origin.
-    pub fills_told: bool,
+    pub fill_source_reported: bool,
     /// Whether a cache may fill from the caches of other locations.
-    pub sideways: bool,
+    pub fill_from_other_locations: bool,
     /// The top pace of one answer in KB a second; 0 if not told.
     pub client_kb_per_s: f64,
     /// What the own location's link for fills carries, in KB a second; 0 if not told.
@@ -160,11 +160,11 @@
     /// How parents start.
     pub parent_cold: ColdStart,
     /// A cold node falls over when sent more than it bears for this long.
-    pub fall_for: Nanos,
+    pub overload_window: Nanos,
     /// The origin stops when asked for this many times what it can do; 0 for never.
     pub origin_stop_multiple: f64,
     /// The list of nodes comes only when followed.
-    pub list_is_asked: bool,
+    pub list_needs_subscription: bool,
     /// Attempts may be called off.
     pub cancel: bool,
     /// Clients are told when to come back.
@@ -174,13 +174,13 @@
     /// The most attempts for one request.
     pub max_attempts: u32,
     /// The list tells the sizes of nodes, exactly or roughly; else it gives every node the same.
-    pub sizes_told: bool,
+    pub capacities_listed: bool,
     /// Nodes may be probed, and say what they are doing.
-    pub probes: bool,
+    pub load_probes: bool,
     /// Nodes may be asked whether they take work.
-    pub may_probe: bool,
+    pub readiness_probes: bool,
     /// What storms are met with; `None` for nothing.
-    pub storms: Option<StormSettings>,
+    pub overload_control: Option<OverloadSettings>,
 }
 
 /// Where a node stands in its life.
--- a/crates/routing/src/policy/ends.rs
+++ b/crates/routing/src/policy/ends.rs
@@ -44,7 +44,8 @@
         request.erred_at = erred.or(request.erred_at);
         request.missed_at = (missed || lacks).then_some(sent.node);
         // Where fills can't be shared, one under way for another request is waited for, not made twice.
-        request.rides = (missed && end.remark == Remark::Joined && !self.s.joins).then_some(sent.node);
+        request.rides =
+            (missed && end.remark == Remark::Joined && !self.s.coalesces_fills).then_some(sent.node);
         let request = request.clone();
         if !sent.is_look() {
             self.fill_ended(now, &request, &sent, end);
@@ -107,7 +108,7 @@
         let filled = matches!(end.remark, Remark::FilledFromCopy | Remark::FilledFromOrigin);
         self.fills.add(now, request.keep.ratio, filled && request.keep.fill_rank > 0);
         // Where fills by way of the origin are not told, the source that was named stands in.
-        let from_origin = Some(sent.source) == self.nodes.origin() && !self.s.fills_told;
+        let from_origin = Some(sent.source) == self.nodes.origin() && !self.s.fill_source_reported;
         // The slot may have been given to another object meanwhile.
         let Some(entry) = self.ghost_cache.get_mut(request.d.object, request.d.copy_hash) else { return };
         match end.remark {
--- a/crates/routing/src/policy/fill.rs
+++ b/crates/routing/src/policy/fill.rs
@@ -19,7 +19,8 @@
         let waited = if end.outcome == Outcome::TimedOut { Some(end.took) } else { end.waited };
         let waited = waited.unwrap_or_default().secs();
         let told = &self.row(&request.d).told;
-        let leeway = told.target_time.secs() + (told.target_stretch - 1.0).max(0.0) * request.work_s;
+        let leeway =
+            told.latency_target.secs() + (told.latency_target_stretch - 1.0).max(0.0) * request.work_s;
         let took = end.took.secs() - waited;
         let fair = request.work_s + FILL_LEEWAY * leeway;
         self.link.saw(now, [took, fair, waited]);
@@ -39,15 +40,16 @@
     /// Where caches may fill from other locations: the first of theirs for the copy, once a request. The
     /// same copy is asked for everywhere, so it is often held there, one hop away; else it is one more look.
     pub(super) fn sibling(&mut self, now: Nanos, request: &RequestState) -> Option<NodeId> {
-        let asked =
-            !self.s.sideways || request.attempts.iter().any(|p| !p.is_look() && !self.nodes.from_above(p));
+        let asked = !self.s.fill_from_other_locations
+            || request.attempts.iter().any(|p| !p.is_look() && !self.nodes.from_above(p));
         let homes = self.nodes.homes_away(request.d.copy_hash, now, self.s.cache_cold.warm_after);
         homes.into_iter().find(|id| !asked && self.open(now, *id))
     }
 
     /// Who fills a miss: where the origin is spared, or no parent bears it, first another location's cache.
     pub(super) fn filler(&mut self, now: Nanos, request: &RequestState) -> Option<NodeId> {
-        let spared = self.s.sideways && !self.may_fetch(now, request, request.keep.fill_rank);
+        let spared =
+            self.s.fill_from_other_locations && !self.may_fetch(now, request, request.keep.fill_rank);
         let first = if spared { self.sibling(now, request) } else { None };
         if first.is_some() || !self.link_has_room(now, request) {
             return first;
--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -98,10 +98,10 @@
     pub fn new(s: Settings) -> Self {
         let row = |told: &ContentType| TypeRow::new(told, DEFAULT_WORK_S);
         let storm =
-            |told| OverloadControl::new(told, &s.content_types, s.max_retry_after, s.fall_for, s.seed);
+            |told| OverloadControl::new(told, &s.content_types, s.max_retry_after, s.overload_window, s.seed);
         Dispatcher {
             types: s.content_types.iter().map(row).collect(),
-            nodes: Nodes::new(s.zone, s.parent_kind, s.origin_kind, s.sizes_told),
+            nodes: Nodes::new(s.zone, s.parent_kind, s.origin_kind, s.capacities_listed),
             requests: Slots::default(),
             ghost_cache: GhostCache::default(),
             fills: Fills::new(FILLS_SEEN, BUCKETS),
@@ -110,7 +110,7 @@
             origin: OriginLimiter::new(),
             further: RingBuffer::new(JUDGED_OVER, BUCKETS),
             purges: Purges::default(),
-            storm: s.storms.map(storm),
+            storm: s.overload_control.map(storm),
             again: Nanos::ZERO,
             knowledge: None,
             probes_leases: false,
@@ -127,16 +127,16 @@
             .iter_mut()
             .for_each(|request| request.pinned = request.pinned.and(s, request.d.content_type));
         self.types.iter_mut().zip(&s.content_types).for_each(|(row, told)| row.told = told.clone());
-        self.s = Settings { seed: self.s.seed, storms: self.s.storms, ..s.clone() };
+        self.s = Settings { seed: self.s.seed, overload_control: self.s.overload_control, ..s.clone() };
     }
 
     /// The dispatcher comes up.
     pub fn start(&mut self, now: Nanos, out: &mut impl Actions) {
         self.nodes.begin(now);
-        if self.s.list_is_asked {
+        if self.s.list_needs_subscription {
             out.follow();
         }
-        if self.s.probes && !self.s.sizes_told {
+        if self.s.load_probes && !self.s.capacities_listed {
             out.arm(PROBE_EVERY, PROBE_DUE);
         }
     }
@@ -166,7 +166,7 @@
 
     fn target_s(&self, request: &RequestState) -> f64 {
         let told = &self.row(&request.d).told;
-        told.target_time.secs() + told.target_stretch * request.work_s
+        told.latency_target.secs() + told.latency_target_stretch * request.work_s
     }
 
     /// The whole list: what is not in it is gone.
@@ -177,7 +177,7 @@
 
     /// Changed entries. A node that drains or is gone leaves every choice at once (rule 3).
     pub fn nodes_changed(&mut self, _now: Nanos, entries: &[NodeEntry], out: &mut impl Actions) {
-        if self.s.probes && !self.s.sizes_told {
+        if self.s.load_probes && !self.s.capacities_listed {
             self.nodes.unmet(entries).into_iter().for_each(|id| out.probe(id));
         }
         self.nodes.relist(entries, |e| Node::new(*e, JUDGED_OVER, BUCKETS));
--- a/crates/routing/src/policy/ordinary.rs
+++ b/crates/routing/src/policy/ordinary.rs
@@ -63,7 +63,7 @@
         let later = now.after(self.s.max_retry_after);
         let z = f64::from(self.s.zone_dispatchers.max(1));
         let caches = [now, later].map(|at| self.nodes.caches().map(|n| bears(n, at)).sum::<f64>() / z);
-        let parents = self.s.direct && self.nodes.parents().any(|n| !n.on_trial);
+        let parents = self.s.direct_to_parents && self.nodes.parents().any(|n| !n.on_trial);
         let past = if parents { self.link.bears() } else { 0.0 };
         let fetches = self.origin.share(now) / f64::from(self.s.dispatchers.max(1));
         let origin = self.nodes.origin().and_then(|id| self.nodes.get(id));
@@ -115,7 +115,7 @@
             .into_iter()
             .flatten()
             .min(),
-            join: self.s.joins && request.attempts.len() < 2,
+            join: self.s.coalesces_fills && request.attempts.len() < 2,
             held_only: by_cache || (by_parent && !self.may_fetch(now, &request, request.keep.fill_rank)),
             no_parent_copy: rank == 3 && by_parent,
             renew: rank >= 2 && self.row(&request.d).told.fresh_for.is_some(),
--- a/crates/routing/src/policy/place.rs
+++ b/crates/routing/src/policy/place.rs
@@ -27,7 +27,8 @@
         if !open.is_empty() && open.iter().all(cold) {
             return None;
         }
-        let origin = self.nodes.origin().filter(|_| self.s.direct && request.may_have_run.is_none())?;
+        let origin =
+            self.nodes.origin().filter(|_| self.s.direct_to_parents && request.may_have_run.is_none())?;
         let parent = self.source(now, request).filter(|id| *id != origin)?;
         self.may_fetch(now, request, request.keep.fill_rank).then_some((parent, origin))
     }
@@ -118,10 +119,10 @@
         if request.may_have_run.is_some() || !self.may_fetch(now, request, 4) {
             return None;
         }
-        if self.s.direct && request.attempts.iter().all(|p| p.node != origin) {
+        if self.s.direct_to_parents && request.attempts.iter().all(|p| p.node != origin) {
             return Some((origin, origin));
         }
-        let parent = self.source(now, request).filter(|id| *id != origin && self.s.direct);
+        let parent = self.source(now, request).filter(|id| *id != origin && self.s.direct_to_parents);
         parent.or_else(|| self.edge(now, request)).map(|node| (node, origin))
     }
 }
--- a/crates/routing/src/policy/rules.rs
+++ b/crates/routing/src/policy/rules.rs
@@ -11,7 +11,8 @@
             return self.nodes.get(id).is_some();
         }
         let bearable = self.nodes.get(id).map_or(0.0, |n| self.bearable(n, now));
-        let rate = Rate::new(bearable, cold.fall_multiple.max(1.0 / COLD_LOAD), self.s.fall_for, sharers);
+        let rate =
+            Rate::new(bearable, cold.overload_multiple.max(1.0 / COLD_LOAD), self.s.overload_window, sharers);
         let Some(n) = self.nodes.get_mut(id) else { return false };
         let chance = n.bucket.spend(now, &rate, work_s);
         self.again = n.bucket.until(&rate, work_s);
@@ -30,9 +31,9 @@
     pub(super) fn bearable(&self, n: &Node, at: Nanos) -> f64 {
         let cold = self.cold_start(n.e.node).0;
         let Some(age) = n.age(at).filter(|age| *age < cold.warm_after) else { return self.can(n) };
-        let risen = age.since(self.s.fall_for).secs() / cold.warm_after.secs();
+        let risen = age.since(self.s.overload_window).secs() / cold.warm_after.secs();
         let present = cold.share + (1.0 - cold.share) * risen;
-        (cold.fall_multiple * COLD_LOAD).min(1.0) * present * self.can(n)
+        (cold.overload_multiple * COLD_LOAD).min(1.0) * present * self.can(n)
     }
 
     /// Rule 2 for a further pull: what may have run goes again only where repeats are harmless.
--- a/crates/routing/src/policy/unheard.rs
+++ b/crates/routing/src/policy/unheard.rs
@@ -93,7 +93,7 @@
         let is_above = self.nodes.is_parent(id) || self.nodes.is_origin(id);
         let sharers = if is_above { self.s.dispatchers } else { self.s.zone_dispatchers };
         let span = self.s.drain_grace.since(LEAVES_WITHIN);
-        LeaseTerms::new(span, self.s.may_probe, sharers, self.nodes.serving_count())
+        LeaseTerms::new(span, self.s.readiness_probes, sharers, self.nodes.serving_count())
     }
 
     /// Until when a node may be sent new work, or named as a source; `None` for as long as the list is known.
@@ -140,7 +140,8 @@
 
     /// Probes begin in time for the first lease that is needed.
     fn plan_probes(&mut self, now: Nanos, out: &mut impl Actions) {
-        let Some(knowledge) = self.knowledge.filter(|_| self.s.may_probe && !self.probes_leases) else {
+        let Some(knowledge) = self.knowledge.filter(|_| self.s.readiness_probes && !self.probes_leases)
+        else {
             return;
         };
         if knowledge.is_current(now, self.s.drain_grace) {
--- a/crates/routing/tests/module/cold_fleet.rs
+++ b/crates/routing/tests/module/cold_fleet.rs
@@ -97,14 +97,14 @@
 
 impl Case {
     fn settings(&self, seed: u64) -> Settings {
-        let cold = ColdStart { share: SHARE, warm_after: WARM_AFTER, fall_multiple: self.multiple };
+        let cold = ColdStart { share: SHARE, warm_after: WARM_AFTER, overload_multiple: self.multiple };
         Settings {
             seed,
             dispatchers: self.told,
             zone_dispatchers: self.told,
             cache_cold: cold,
             parent_cold: cold,
-            fall_for: self.window,
+            overload_window: self.window,
             ..settings()
         }
     }
--- a/crates/routing/tests/module/failures.rs
+++ b/crates/routing/tests/module/failures.rs
@@ -210,7 +210,7 @@
     module.nodes_changed(ms(900), &gone, &mut trace);
     ask(&mut module, ms(1_000), 0, 0, 9, &mut trace);
     let mut s = settings();
-    s.direct = false;
+    s.direct_to_parents = false;
     let (mut module, _) = start(s);
     module.nodes_changed(ms(900), &gone, &mut trace);
     ask(&mut module, ms(1_000), 1, 0, 9, &mut trace);
@@ -272,7 +272,7 @@
     // Found on overloaded days: fills took as much of a full cache as hits, and of link and parents besides.
     let served = [1, 2].map(|load| {
         let mut s = Settings { zone_dispatchers: 20, ..settings() };
-        s.content_types[0].target_stretch = 1.0;
+        s.content_types[0].latency_target_stretch = 1.0;
         s.client_kb_per_s = 2_000.0;
         let (mut module, mut trace) = start(s);
         let busy = AttemptEnd {
--- a/crates/routing/tests/module/largest.rs
+++ b/crates/routing/tests/module/largest.rs
@@ -98,8 +98,8 @@
     fn play(&self, seed: u64) -> Vec<Want> {
         let mut chance = Chance::new(seed);
         let mut s = Settings { seed, dispatchers: DISPATCHERS, zone_dispatchers: DISPATCHERS, ..settings() };
-        s.content_types[0].target_time = ms(self.target.0);
-        s.content_types[0].target_stretch = self.target.1;
+        s.content_types[0].latency_target = ms(self.target.0);
+        s.content_types[0].latency_target_stretch = self.target.1;
         let entries = |started: Nanos| {
             let nodes = [(0, 0), (1, 0), (2, 0), (3, 1), (4, 1), (5, 2)];
             let weight = |kind| if kind == 0 { FITS } else { 4.0 * FITS };
--- a/crates/routing/tests/module/ordinary.rs
+++ b/crates/routing/tests/module/ordinary.rs
@@ -139,8 +139,8 @@
 }
 
 /// A look at object 9 finds a fill of it under way for another request; then what the look after the wait finds.
-fn fill_under_way(joins: bool, again: Outcome, remark: Remark) -> String {
-    let (mut module, mut trace) = start(Settings { joins, ..alone() });
+fn fill_under_way(coalesces_fills: bool, again: Outcome, remark: Remark) -> String {
+    let (mut module, mut trace) = start(Settings { coalesces_fills, ..alone() });
     // A look again is armed under a token whose low half is all ones.
     let waits = |trace: &mut Trace| {
         let armed = trace.1.drain(..).rfind(|(_, token)| *token as u32 == u32::MAX);
@@ -186,8 +186,14 @@
     elsewhere(sideways, true, Nanos::ZERO, outcome, remark)
 }
 
-fn elsewhere(sideways: bool, spared: bool, started: Nanos, outcome: Outcome, remark: Remark) -> String {
-    let (mut module, mut trace) = start(Settings { sideways, ..alone() });
+fn elsewhere(
+    fill_from_other_locations: bool,
+    spared: bool,
+    started: Nanos,
+    outcome: Outcome,
+    remark: Remark,
+) -> String {
+    let (mut module, mut trace) = start(Settings { fill_from_other_locations, ..alone() });
     let away = |id| NodeEntry { zone: ZoneId(1), ..entry(id, 0, Readiness::Ready, started) };
     module.nodes_changed(ms(1), &[away(6), away(7)], &mut trace);
     // The origin has failed lately: it is spared.
--- a/crates/routing/tests/module/sizes.rs
+++ b/crates/routing/tests/module/sizes.rs
@@ -74,7 +74,13 @@
 /// Two dispatchers that ask for much, of which the list gives caches this weight and cache 2 is cold; true sizes are 12.
 /// The most that was sent to the cold one, in parts of what rule 4 bears, and attempts sent to it in all.
 fn cold_cache(told: bool, weight: f64, seed: u64) -> (f64, usize) {
-    let s = |seed| Settings { seed, sizes_told: told, probes: true, link_kb_per_s: 1e6, ..settings() };
+    let s = |seed| Settings {
+        seed,
+        capacities_listed: told,
+        load_probes: true,
+        link_kb_per_s: 1e6,
+        ..settings()
+    };
     let mut fleet = [0, 1].map(|at| (Dispatcher::new(s(seed + at)), Trace::default()));
     let began = ms(20_000);
     for (module, trace) in &mut fleet {
@@ -109,11 +115,12 @@
     // A request's work is 0.1 s; the cache rises from its cold share of 12 in a line.
     let s = settings();
     let worst = sent.iter().map(|from| {
-        let window =
-            sent.iter().filter(|at| **at >= *from && at.since(*from) < s.fall_for).count() as f64 * 0.1;
+        let window = sent.iter().filter(|at| **at >= *from && at.since(*from) < s.overload_window).count()
+            as f64
+            * 0.1;
         let risen = from.since(began).secs() / s.cache_cold.warm_after.secs();
         let present = 12.0 * (s.cache_cold.share + (1.0 - s.cache_cold.share) * risen.min(1.0));
-        window / (s.cache_cold.fall_multiple * present * s.fall_for.secs())
+        window / (s.cache_cold.overload_multiple * present * s.overload_window.secs())
     });
     (worst.fold(0.0, f64::max), sent.len())
 }
@@ -131,7 +138,7 @@
 
 #[test]
 fn nodes_not_met_before_are_asked_at_once_where_sizes_are_not_told() {
-    let (_, trace) = start(Settings { sizes_told: false, probes: true, ..settings() });
+    let (_, trace) = start(Settings { capacities_listed: false, load_probes: true, ..settings() });
     expect![[r#"
         probe 0
         probe 1
@@ -140,6 +147,6 @@
         probe 4
     "#]]
     .assert_eq(&trace.0);
-    let (_, trace) = start(Settings { sizes_told: true, probes: true, ..settings() });
+    let (_, trace) = start(Settings { capacities_listed: true, load_probes: true, ..settings() });
     assert_eq!(trace.0, "");
 }
--- a/crates/routing/tests/module/spared.rs
+++ b/crates/routing/tests/module/spared.rs
@@ -64,8 +64,9 @@
 }
 
 /// A dispatcher with a cache of another location in its list, whose parents have all just started.
-fn parents_cold(sideways: bool) -> (Dispatcher, Trace) {
-    let (mut module, mut trace) = start(Settings { sideways, fall_for: ms(1), ..settings() });
+fn parents_cold(fill_from_other_locations: bool) -> (Dispatcher, Trace) {
+    let (mut module, mut trace) =
+        start(Settings { fill_from_other_locations, overload_window: ms(1), ..settings() });
     let away = NodeEntry { zone: ZoneId(4), ..entry(6, 0, Readiness::Ready, Nanos::ZERO) };
     let parents = [3, 4].map(|id| entry(id, 1, Readiness::Ready, ms(9_999)));
     module.nodes_changed(ms(10_000), &[&parents[..], &[away]].concat(), &mut trace);
--- a/crates/routing/tests/module/storm_day.rs
+++ b/crates/routing/tests/module/storm_day.rs
@@ -9,14 +9,14 @@
 const STEP: Nanos = Nanos(10_000_000);
 
 /// The settings of the day.
-pub(crate) fn told() -> StormSettings {
-    StormSettings {
-        remember: ms(60_000),
-        most_remembered: 20_000,
+pub(crate) fn told() -> OverloadSettings {
+    OverloadSettings {
+        remember_for: ms(60_000),
+        max_remembered: 20_000,
         slots: 50,
-        newcomers: 0.2,
-        clients_mark: true,
-        doubt_unknown: false,
+        unreserved_share: 0.2,
+        clients_mark_retries: true,
+        unknown_retry_may_have_run: false,
         max_attempts: 6,
     }
 }
@@ -90,8 +90,9 @@
 
 impl Day {
     /// A quiet day with all nodes there.
-    pub(crate) fn new(storms: StormSettings) -> Day {
-        let mut s = Settings { storms: Some(storms), zone_dispatchers: 1, dispatchers: 1, ..settings() };
+    pub(crate) fn new(storms: OverloadSettings) -> Day {
+        let mut s =
+            Settings { overload_control: Some(storms), zone_dispatchers: 1, dispatchers: 1, ..settings() };
         // Images, tables, posts.
         (s.content_types[0].benefit, s.content_types[1].benefit, s.content_types[2].benefit) =
             (2.0, 1.0, 3.0);
--- a/crates/routing/tests/module/unheard.rs
+++ b/crates/routing/tests/module/unheard.rs
@@ -17,8 +17,8 @@
 }
 
 /// A dispatcher that may probe, or not, whose log has broken.
-fn unheard(may_probe: bool) -> (copperroute_routing::policy::Dispatcher, Trace) {
-    let (mut module, mut trace) = start(Settings { may_probe, ..settings() });
+fn unheard(readiness_probes: bool) -> (copperroute_routing::policy::Dispatcher, Trace) {
+    let (mut module, mut trace) = start(Settings { readiness_probes, ..settings() });
     module.change_log_known(ms(BROKE_MS), broken(), &mut trace);
     (module, trace)
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -181,8 +181,8 @@
         };
         let fresh: f64 = self.listed_number("family_info.fresh_for_s", at, 0.0)?;
         Ok(ContentType {
-            target_time: self.span(&path("aim_s"))?,
-            target_stretch: self.number_or(&path("aim_stretch"), 0.0)?,
+            latency_target: self.span(&path("aim_s"))?,
+            latency_target_stretch: self.number_or(&path("aim_stretch"), 0.0)?,
             repeat,
             fresh_for: (fresh > 0.0).then(|| Nanos::from_secs(fresh)),
             uncacheable: matches!(self.listed("family_info.pass_on", at), Some("true" | "1")),
@@ -203,10 +203,10 @@
             content_types: (0..types).map(|at| self.content_type(at)).collect::<Read<_>>()?,
             parent_kind: self.kind("family_info.second_tier_kind")?,
             origin_kind: self.kind("family_info.root_kind")?,
-            direct: self.flag("family_info.pass_through_ok")?,
-            joins: self.flag("family_info.shares_fills")?,
-            fills_told: self.raw("family_info.detail") == Some("all"),
-            sideways: self.raw("family_info.sideways") == Some("any"),
+            direct_to_parents: self.flag("family_info.pass_through_ok")?,
+            coalesces_fills: self.flag("family_info.shares_fills")?,
+            fill_source_reported: self.raw("family_info.detail") == Some("all"),
+            fill_from_other_locations: self.raw("family_info.sideways") == Some("any"),
             client_kb_per_s: self.number_or("family_info.client_kb_per_s", 0.0)?,
             link_kb_per_s: self.listed_number("family_info.pipe_kb_per_s", zone as usize, 0.0)?,
             purge_done: self.span_or_zero("family_info.purge_done_s")?,
@@ -215,25 +215,25 @@
             cache_cold: ColdStart {
                 share: self.number("rules.cold_share")?,
                 warm_after: self.span("rules.cold_s")?,
-                fall_multiple: self.number("rules.fall_multiple")?,
+                overload_multiple: self.number("rules.fall_multiple")?,
             },
             parent_cold: ColdStart {
                 share: self.number_or("family_info.parent_cold_from", 1.0)?,
                 warm_after: self.span_or_zero("family_info.parent_cold_s")?,
-                fall_multiple: self.number_or("family_info.parent_breaks_at", 1.0)?,
+                overload_multiple: self.number_or("family_info.parent_breaks_at", 1.0)?,
             },
-            fall_for: self.span("rules.overload_for_s")?,
+            overload_window: self.span("rules.overload_for_s")?,
             origin_stop_multiple: self.number_or("family_info.origin_stops_at", 0.0)?,
-            list_is_asked: self.raw("discovery") == Some("subscribe"),
+            list_needs_subscription: self.raw("discovery") == Some("subscribe"),
             cancel: self.flag("limits.cancel")?,
             retry_after: self.flag("limits.retry_after")?,
             max_retry_after: self.span_or_zero("limits.max_retry_after_s")?,
             max_attempts: self.number("limits.max_attempts")?,
-            sizes_told: self.raw("weights") != Some("none"),
-            probes: self.flag("limits.probing")?
+            capacities_listed: self.raw("weights") != Some("none"),
+            load_probes: self.flag("limits.probing")?
                 && (0..4).any(|at| self.listed("report.fields", at) == Some("cpu_share")),
-            may_probe: self.flag("limits.probing")?,
-            storms: None,
+            readiness_probes: self.flag("limits.probing")?,
+            overload_control: None,
         })
     }
 
--- a/crates/settings/src/operator.rs
+++ b/crates/settings/src/operator.rs
@@ -5,7 +5,7 @@
 use copperroute_config_rollout::terms::Terms;
 use copperroute_routing::calls::CallSettings;
 use copperroute_routing::change_log;
-use copperroute_routing::interface::{Nanos, StormSettings};
+use copperroute_routing::interface::{Nanos, OverloadSettings};
 use schemars::JsonSchema;
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -274,19 +274,19 @@
     }
 
     /// What the decisions are told of storms, where a request and its repeats may take so many attempts.
-    pub fn storms(&self, max_attempts: u32) -> Read<Option<StormSettings>> {
+    pub fn storms(&self, max_attempts: u32) -> Read<Option<OverloadSettings>> {
         let Some(told) = &self.storms else { return Ok(None) };
         let remember = within("storms.remember_s", told.remember_s, "number of seconds", 1.0, 3600.0)?;
         let most =
             within("storms.most_remembered", told.most_remembered, "number of tries", 100, 10_000_000)?;
         let slots = within("storms.slots", told.slots, "number of slots", 1, 1_000_000)?;
-        Ok(Some(StormSettings {
-            remember: Nanos::from_secs(remember),
-            most_remembered: most as usize,
+        Ok(Some(OverloadSettings {
+            remember_for: Nanos::from_secs(remember),
+            max_remembered: most as usize,
             slots: slots as usize,
-            newcomers: within("storms.newcomers", told.newcomers, "part of the pace", 0.0, 0.9)?,
-            clients_mark: told.clients_mark,
-            doubt_unknown: told.unknown_repeats == UnknownRepeats::Abandon,
+            unreserved_share: within("storms.newcomers", told.newcomers, "part of the pace", 0.0, 0.9)?,
+            clients_mark_retries: told.clients_mark,
+            unknown_retry_may_have_run: told.unknown_repeats == UnknownRepeats::Abandon,
             max_attempts,
         }))
     }
--- a/crates/testbed/src/many_rules.rs
+++ b/crates/testbed/src/many_rules.rs
@@ -64,7 +64,7 @@
 
 /// Settings under which versions are agreed on.
 pub(crate) fn settings() -> Settings {
-    let cold = ColdStart { share: 0.3, warm_after: Nanos(12_000_000_000), fall_multiple: 1.5 };
+    let cold = ColdStart { share: 0.3, warm_after: Nanos(12_000_000_000), overload_multiple: 1.5 };
     Settings {
         seed: 1,
         zone: ZoneId(0),
@@ -73,10 +73,10 @@
         content_types: Vec::new(),
         parent_kind: None,
         origin_kind: None,
-        direct: true,
-        joins: false,
-        fills_told: true,
-        sideways: false,
+        direct_to_parents: true,
+        coalesces_fills: false,
+        fill_source_reported: true,
+        fill_from_other_locations: false,
         client_kb_per_s: 0.0,
         link_kb_per_s: 0.0,
         purge_done: Nanos::ZERO,
@@ -84,17 +84,17 @@
         drain_grace: Nanos(1_000_000_000),
         cache_cold: cold,
         parent_cold: cold,
-        fall_for: Nanos(3_000_000_000),
+        overload_window: Nanos(3_000_000_000),
         origin_stop_multiple: 0.0,
-        list_is_asked: false,
+        list_needs_subscription: false,
         cancel: true,
         retry_after: true,
         max_retry_after: Nanos(1_000_000_000),
         max_attempts: 6,
-        sizes_told: true,
-        probes: false,
-        may_probe: false,
-        storms: None,
+        capacities_listed: true,
+        load_probes: false,
+        readiness_probes: false,
+        overload_control: None,
     }
 }
 
