--- a/crates/config-rollout/src/rules.rs
+++ b/crates/config-rollout/src/rules.rs
@@ -4,7 +4,7 @@
 //! nothing. Settings that no stand-in could see another dispatcher break are no rules (docs/agreement.md lists them):
 //! where clients and nodes are, memory, descriptors, connections, seeds, log levels, target times, benefits.
 
-use copperroute_routing::interface::{Nanos, Readiness, Repeat, Settings};
+use copperroute_routing::interface::{Nanos, Readiness, RetrySafety, Settings};
 use serde_json::{Map, Value, json};
 use std::fmt;
 
@@ -132,10 +132,10 @@
     /// What the platform's settings say, with the expiries of the content types.
     pub fn of(s: &Settings, expiries: &[Nanos]) -> RuleSet {
         let of = |(told, expiry): (&copperroute_routing::interface::ContentType, &Nanos)| {
-            let repeat = match told.repeat {
-                Repeat::NonRetriable => 0.0,
-                Repeat::Deduped { .. } => 1.0,
-                Repeat::Retriable => 2.0,
+            let repeat = match told.retry_safety {
+                RetrySafety::NonRetriable => 0.0,
+                RetrySafety::Deduped { .. } => 1.0,
+                RetrySafety::Retriable => 2.0,
             };
             [repeat, expiry.secs(), told.fresh_for.map_or(f64::INFINITY, Nanos::secs)]
         };
@@ -151,7 +151,7 @@
         FLEET.iter().zip(self.fleet).for_each(|(row, value)| (row.set)(&mut s, value));
         for ((told, expiry), of) in s.content_types.iter_mut().zip(&mut expiries).zip(&self.types) {
             if of[REPEAT] == 0.0 {
-                told.repeat = Repeat::NonRetriable;
+                told.retry_safety = RetrySafety::NonRetriable;
             }
             *expiry = Nanos::from_secs(of[EXPIRY]).min(*expiry);
             told.fresh_for = of[FRESH].is_finite().then(|| Nanos::from_secs(of[FRESH]));
--- a/crates/config-rollout/tests/agreement/common.rs
+++ b/crates/config-rollout/tests/agreement/common.rs
@@ -5,7 +5,7 @@
 use copperroute_config_rollout::issue::{Ground, Issue};
 use copperroute_config_rollout::rules::RuleSet;
 use copperroute_config_rollout::terms::Terms;
-use copperroute_routing::interface::{ColdStart, ContentType, Nanos, Repeat, Settings, ZoneId};
+use copperroute_routing::interface::{ColdStart, ContentType, Nanos, RetrySafety, Settings, ZoneId};
 use serde_json::{Map, Value, json};
 
 /// So many milliseconds.
@@ -20,10 +20,10 @@
 
 /// What the platform says.
 pub(crate) fn settings() -> Settings {
-    let content_type = |repeat| ContentType {
+    let content_type = |retry_safety| ContentType {
         latency_target: ms(400),
         latency_target_stretch: 1.0,
-        repeat,
+        retry_safety,
         fresh_for: None,
         uncacheable: false,
         benefit: 1.0,
@@ -34,7 +34,7 @@
         zone: ZoneId(0),
         dispatchers: 4,
         zone_dispatchers: 4,
-        content_types: vec![content_type(Repeat::Retriable), content_type(Repeat::NonRetriable)],
+        content_types: vec![content_type(RetrySafety::Retriable), content_type(RetrySafety::NonRetriable)],
         parent_kind: Some(1),
         origin_kind: Some(2),
         direct_to_parents: true,
--- a/crates/config-rollout/tests/agreement/rules.rs
+++ b/crates/config-rollout/tests/agreement/rules.rs
@@ -3,7 +3,7 @@
 use crate::common::{base, ms, object, saying, settings, types};
 use copperroute_config_rollout::rules::{RuleSet, differences, stricter_state};
 use copperroute_routing::interface::Readiness::{Draining, Gone, Ready};
-use copperroute_routing::interface::Repeat;
+use copperroute_routing::interface::RetrySafety;
 use expect_test::expect;
 use proptest::prelude::*;
 use serde_json::json;
@@ -77,7 +77,7 @@
     let (s, expiries) = rules.apply(&settings(), &[ms(5_000), ms(3_000)]);
     let mut expected = settings();
     expected.max_attempts = 3;
-    expected.content_types[0].repeat = Repeat::NonRetriable;
+    expected.content_types[0].retry_safety = RetrySafety::NonRetriable;
     assert_eq!((s, expiries), (expected, vec![ms(2_000), ms(3_000)]));
 }
 
--- a/crates/dispatcher/src/copies.rs
+++ b/crates/dispatcher/src/copies.rs
@@ -6,7 +6,7 @@
 use copperroute_cache_store::purges::Purges;
 use copperroute_cache_store::record::{Facts, Key};
 use copperroute_protocol::hex::Hex;
-use copperroute_routing::interface::{ContentType, Nanos, Repeat};
+use copperroute_routing::interface::{ContentType, Nanos, RetrySafety};
 use std::collections::HashSet;
 use std::sync::Arc;
 
@@ -105,7 +105,7 @@
     /// Whether copies of this content type may be kept at all.
     pub fn may_keep(&self, content_type: u32) -> bool {
         let told = self.types.get(content_type as usize);
-        told.is_some_and(|told| !told.uncacheable && told.repeat == Repeat::Retriable)
+        told.is_some_and(|told| !told.uncacheable && told.retry_safety == RetrySafety::Retriable)
     }
 
     /// Serves a request from here, if there is a copy that will do and the link has time for it.
--- a/crates/dispatcher/src/reducer/changes.rs
+++ b/crates/dispatcher/src/reducer/changes.rs
@@ -149,7 +149,7 @@
     }
 
     pub(super) fn entry(&mut self, now: Nanos, listed: &Listed, is_live: bool) -> NodeEntry {
-        let place = |names: &[String], name: &str| place(names, name).unwrap_or(UNTOLD);
+        let place = |names: &[String], name: &str| place(names, name).unwrap_or(UNKNOWN_ID);
         let readiness = listed.state.into();
         let start = self.start_of(now, listed, is_live);
         let pool = Pool {
@@ -165,7 +165,7 @@
             hash: stable_hash(listed.id.as_bytes()),
             zone: ZoneId(place(&self.config.names.zones, &listed.zone)),
             kind: place(&self.config.names.kinds, &listed.kind),
-            cell: listed.cell.unwrap_or(UNTOLD),
+            cell: listed.cell.unwrap_or(UNKNOWN_ID),
             readiness,
             weight: listed.weight.unwrap_or(1.0),
             started: start.map_or(Nanos::ZERO, |start| start.at),
--- a/crates/dispatcher/src/reducer/clients.rs
+++ b/crates/dispatcher/src/reducer/clients.rs
@@ -119,13 +119,13 @@
         let most_ms = self.expiries[content_type as usize].0.div_ceil(1_000_000);
         request.timeout_ms = request.timeout_ms.min(most_ms);
         let of_copies = !self.config.offers[content_type as usize].writes;
-        let once = self.settings.content_types[content_type as usize].repeat != Repeat::Retriable;
+        let once = self.settings.content_types[content_type as usize].retry_safety != RetrySafety::Retriable;
         let object_hash = stable_hash(request.object.as_str().as_bytes());
         let (part, group) = (request.part, request.group);
-        let (repeat, size_kb) = (request.repeat, request.size_kb);
+        let (is_retry, size_kb) = (request.repeat, request.size_kb);
         let body_hash = if request.body.is_empty() { 0 } else { stable_hash(&request.body) };
         let from = self.request_table.clients.from(client);
-        let (request_id, object, expires) = self.request_table.open(client, tag, request, of_copies, once);
+        let (request_id, object, deadline) = self.request_table.open(client, tag, request, of_copies, once);
         let routing_request = RoutingRequest {
             request_id,
             content_type: TypeId(content_type),
@@ -133,8 +133,8 @@
             copy_hash: mix(object_hash.wrapping_add(part)),
             object_hash,
             group,
-            expires,
-            repeat,
+            deadline,
+            is_retry,
             size_kb,
             client: from,
             body_hash,
--- a/crates/dispatcher/src/reducer/mod.rs
+++ b/crates/dispatcher/src/reducer/mod.rs
@@ -24,8 +24,8 @@
 use copperroute_routing::fleet::connection_back_off::NodeBackOff;
 use copperroute_routing::fleet::duplicate_filter::{DuplicateFilter, MOST_IDS, Verdict};
 use copperroute_routing::interface::{
-    Actions as _, Nanos, NodeEntry, NodeId, Readiness, Repeat, RequestId, RoutingRequest, Settings, TypeId,
-    UNTOLD, ZoneId, mix, stable_hash,
+    Actions as _, Nanos, NodeEntry, NodeId, Readiness, RequestId, RetrySafety, RoutingRequest, Settings,
+    TypeId, UNKNOWN_ID, ZoneId, mix, stable_hash,
 };
 use copperroute_routing::policy::Dispatcher;
 use copperroute_settings::place;
--- a/crates/routing/src/fleet/overload_control/mod.rs
+++ b/crates/routing/src/fleet/overload_control/mod.rs
@@ -6,7 +6,7 @@
 mod tries;
 
 use crate::fleet::admission_control::{AdmissionControl, LEVELS};
-use crate::interface::{ContentType, Nanos, OverloadSettings, Repeat, RoutingRequest, TypeId, mix};
+use crate::interface::{ContentType, Nanos, OverloadSettings, RetrySafety, RoutingRequest, TypeId, mix};
 use crate::state::{RequestState, Reservation, Stage};
 use crate::structures::generational_map::GenerationalMap;
 use crate::structures::random::Random;
@@ -216,7 +216,7 @@
         let print = mix(d.client ^ mix(d.copy_hash ^ mix(u64::from(d.content_type.0) ^ d.body_hash)));
         let mut reservation = Reservation { print, taken: now, level: 0, damped: false, spent: 0 };
         if self.rows[at].is_once() {
-            let repeats = d.repeat || !self.s.clients_mark_retries;
+            let repeats = d.is_retry || !self.s.clients_mark_retries;
             // What was in flight before a start, or was dropped early, is unknown: it may have run.
             let unknown = now.since(born) < self.s.remember_for
                 || self.once.has_lost_entries(now)
@@ -224,14 +224,14 @@
             let may_have_run = match self.once.get(print) {
                 Some(Ran::InHand | Ran::Maybe) => repeats,
                 Some(Ran::Never) => false,
-                None => d.repeat && unknown,
+                None => d.is_retry && unknown,
             };
             if may_have_run {
                 return Admission::Never(reservation);
             }
         }
         let page = self.pages.get(print).cloned();
-        let repeat = d.repeat || (!self.s.clients_mark_retries && page.as_ref().is_some_and(Page::waits));
+        let repeat = d.is_retry || (!self.s.clients_mark_retries && page.as_ref().is_some_and(Page::waits));
         let mut page = page.unwrap_or_default();
         let tried = if repeat { page.returns(now) } else { None };
         reservation.spent = tried.map_or(0, |tried| tried.attempts);
@@ -364,7 +364,7 @@
     /// Whether it must not run twice, as not every node recognises its retries.
     fn is_once(&self) -> bool {
         use crate::interface::DedupScope::All;
-        !matches!(self.told.repeat, Repeat::Retriable | Repeat::Deduped { scope: All, .. })
+        !matches!(self.told.retry_safety, RetrySafety::Retriable | RetrySafety::Deduped { scope: All, .. })
     }
 }
 
--- a/crates/routing/src/interface.rs
+++ b/crates/routing/src/interface.rs
@@ -4,7 +4,7 @@
 //! [`crate::policy::Dispatcher`] as things happen, and implements [`Actions`], through which the
 //! module sends. Nothing here decides anything.
 
-pub use crate::retry_safety::{DedupScope, Repeat, UNTOLD};
+pub use crate::retry_safety::{DedupScope, RetrySafety, UNKNOWN_ID};
 
 /// A time of the adapter's clock, or a span, in whole nanoseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Hash)]
@@ -80,7 +80,7 @@
     /// Added to the target time, as a multiple of the request's own sending time.
     pub latency_target_stretch: f64,
     /// Whether it may run again.
-    pub repeat: Repeat,
+    pub retry_safety: RetrySafety,
     /// How long a copy is fresh; `None` for no limit.
     pub fresh_for: Option<Nanos>,
     /// Runs at the origin and leaves no copy.
@@ -231,9 +231,9 @@
     /// The group of the object, as a purge may name it.
     pub group: Option<u64>,
     /// When the client stops waiting for this try.
-    pub expires: Nanos,
+    pub deadline: Nanos,
     /// A client's repeat of a request that was not served, where clients mark it.
-    pub repeat: bool,
+    pub is_retry: bool,
     /// Its size, where told.
     pub size_kb: Option<f64>,
     /// A hash that stands for the client, whatever connection it comes on; zero where not known.
--- a/crates/routing/src/pinned_rules.rs
+++ b/crates/routing/src/pinned_rules.rs
@@ -1,11 +1,11 @@
 //! Pinned rules: the rules in force when a request was accepted. Each further attempt obeys them as well as those in force now,
 //! so that nothing runs twice because a rule changed while an attempt was in flight.
 
-use crate::interface::{Nanos, Repeat, Settings, TypeId};
+use crate::interface::{Nanos, RetrySafety, Settings, TypeId};
 
 /// The stricter of two rules on retries.
-pub fn stricter(a: Repeat, b: Repeat) -> Repeat {
-    use Repeat::*;
+pub fn stricter(a: RetrySafety, b: RetrySafety) -> RetrySafety {
+    use RetrySafety::*;
     match (a, b) {
         (NonRetriable, _) | (_, NonRetriable) => NonRetriable,
         (Retriable, other) | (other, Retriable) => other,
@@ -18,14 +18,17 @@
 /// The rules that a request is pinned to.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PinnedRules {
-    repeat: Repeat,
+    repeat: RetrySafety,
     max_attempts: u32,
 }
 
 impl PinnedRules {
     /// The rules of a content type in these settings.
     pub fn new(s: &Settings, content_type: TypeId) -> PinnedRules {
-        PinnedRules { repeat: s.content_types[content_type.0 as usize].repeat, max_attempts: s.max_attempts }
+        PinnedRules {
+            repeat: s.content_types[content_type.0 as usize].retry_safety,
+            max_attempts: s.max_attempts,
+        }
     }
 
     /// The stricter of these and of those in force.
@@ -38,7 +41,7 @@
     }
 
     /// Whether it may run again.
-    pub fn repeat(&self) -> Repeat {
+    pub fn retry_safety(&self) -> RetrySafety {
         self.repeat
     }
 
--- a/crates/routing/src/policy/ends.rs
+++ b/crates/routing/src/policy/ends.rs
@@ -61,7 +61,7 @@
             // Further attempts follow the share of recent ones that worked, so a wide failure brings no storm.
             let [worked, failed] = self.further.sums(now);
             let share = ((worked + 2.0) / (worked + failed + 2.0)).max(FURTHER_FLOOR);
-            let in_time = request.d.expires.since(now).secs() > request.work_s;
+            let in_time = request.d.deadline.since(now).secs() > request.work_s;
             let storm = self.storm.as_ref().map_or(1.0, |storm| storm.further(request.d.content_type));
             let attempts = request.attempts.len() + usize::from(request.reservation.spent);
             let most = request.pinned.max_attempts();
@@ -71,7 +71,7 @@
             // The look after it leaves room for a fill of its own.
             let wait =
                 if request.rides.is_some() { self.fill_usual_s * (0.5 + self.random.share()) } else { 0.0 };
-            let in_time = request.d.expires.since(now).secs() > wait + request.work_s;
+            let in_time = request.d.deadline.since(now).secs() > wait + request.work_s;
             let rides = allowed && request.rides.is_some() && in_time && attempts + 2 <= most;
             self.requests
                 .get_mut(id.0)
@@ -247,7 +247,7 @@
             self.mark(now, silent, false, false, out);
         }
         let aside = self.nodes.get(silent).is_some_and(|n| n.aside_until > now);
-        let retriable = |request: &&RequestState| request.pinned.repeat() == Repeat::Retriable;
+        let retriable = |request: &&RequestState| request.pinned.retry_safety() == RetrySafety::Retriable;
         let stuck = self
             .requests
             .iter()
--- a/crates/routing/src/policy/ordinary.rs
+++ b/crates/routing/src/policy/ordinary.rs
@@ -108,7 +108,7 @@
             rank,
             max_age: self.max_age(now, &request.d),
             send_by: [
-                request.may_have_run.and_then(|(first, _)| request.pinned.repeat().send_by(first)),
+                request.may_have_run.and_then(|(first, _)| request.pinned.retry_safety().send_by(first)),
                 self.may_send_until(now, node),
                 self.may_send_until(now, source),
             ]
@@ -143,7 +143,7 @@
             // A client's repeat is no request more: else a jam would have all that it refuses kept, scans
             // too, and feed itself.
             let counted = GhostEntry { gap_s: Some(0.5 * gap + 0.5 * old), last: now, ..*known };
-            entry = if d.repeat { *known } else { counted };
+            entry = if d.is_retry { *known } else { counted };
         }
         let dropped = self.ghost_cache.put(d.object, entry, TABLE);
         dropped.into_iter().for_each(|old| out.release_object(old));
--- a/crates/routing/src/policy/place.rs
+++ b/crates/routing/src/policy/place.rs
@@ -109,7 +109,7 @@
             return true;
         }
         let is_large = request.work_s > LARGE * self.row(&request.d).mean_work_s;
-        let only_late = load < most(request.d.expires.since(now).secs());
+        let only_late = load < most(request.d.deadline.since(now).secs());
         is_large && only_late && self.random.share() < LATE_SHARE
     }
 
--- a/crates/routing/src/policy/rules.rs
+++ b/crates/routing/src/policy/rules.rs
@@ -40,10 +40,10 @@
     pub(super) fn may_repeat_at(&self, now: Nanos, request: &RequestState, id: NodeId) -> bool {
         let Some((sent, first)) = request.may_have_run else { return true };
         let (Some(a), Some(b)) = (self.nodes.get(first), self.nodes.get(id)) else { return false };
-        match request.pinned.repeat() {
-            Repeat::Retriable => true,
-            Repeat::NonRetriable => false,
-            rule @ Repeat::Deduped { scope, .. } => {
+        match request.pinned.retry_safety() {
+            RetrySafety::Retriable => true,
+            RetrySafety::NonRetriable => false,
+            rule @ RetrySafety::Deduped { scope, .. } => {
                 rule.send_by(sent) > Some(now) && scope.holds_both(&a.e, &b.e)
             }
         }
@@ -62,11 +62,11 @@
     /// Gives up at once: throttled where trying again is harmless, else abandoned.
     pub(super) fn give_up(&mut self, now: Nanos, id: RequestId, out: &mut impl Actions) {
         let Some(request) = self.requests.get(id.0) else { return };
-        let harmless = match request.pinned.repeat() {
-            Repeat::Retriable | Repeat::Deduped { scope: DedupScope::All, .. } => true,
+        let harmless = match request.pinned.retry_safety() {
+            RetrySafety::Retriable | RetrySafety::Deduped { scope: DedupScope::All, .. } => true,
             _ => request.may_have_run.is_none(),
         };
-        let to = if harmless && request.d.expires > now { Stage::Rejected } else { Stage::Failed };
+        let to = if harmless && request.d.deadline > now { Stage::Rejected } else { Stage::Failed };
         self.end(now, id, to, out);
     }
 
--- a/crates/routing/src/retry_safety.rs
+++ b/crates/routing/src/retry_safety.rs
@@ -3,14 +3,14 @@
 use crate::interface::{Nanos, NodeEntry};
 
 /// Stands for a zone, or a cell, that is not told.
-pub const UNTOLD: u32 = u32::MAX;
+pub const UNKNOWN_ID: u32 = u32::MAX;
 /// A repeat is written so long before the time ends in which it is known: between the decision and the write lies a turn
 /// of the loop. Guards against a repeat that comes a moment too late; harms nothing but those last moments.
 const LEEWAY: Nanos = Nanos(25_000_000);
 
 /// Whether a request may run again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Repeat {
+pub enum RetrySafety {
     /// It may run any number of times.
     Retriable,
     /// A repeat is known and dropped within a group of caches, for a time from the first attempt.
@@ -41,20 +41,20 @@
     pub fn holds_both(self, a: &NodeEntry, b: &NodeEntry) -> bool {
         let alike = match self {
             DedupScope::All => true,
-            DedupScope::Zone => a.zone == b.zone && a.zone.0 != UNTOLD,
-            DedupScope::Cell => a.cell == b.cell && a.cell != UNTOLD,
+            DedupScope::Zone => a.zone == b.zone && a.zone.0 != UNKNOWN_ID,
+            DedupScope::Cell => a.cell == b.cell && a.cell != UNKNOWN_ID,
         };
         alike || a.node == b.node
     }
 }
 
-impl Repeat {
+impl RetrySafety {
     /// Until when a further attempt may be sent, of a request whose first attempt that may have run was ordered at `first`;
     /// `None` where time sets no limit.
     pub fn send_by(self, first: Nanos) -> Option<Nanos> {
         match self {
-            Repeat::Deduped { window, .. } => Some(first.after(window.since(LEEWAY))),
-            Repeat::Retriable | Repeat::NonRetriable => None,
+            RetrySafety::Deduped { window, .. } => Some(first.after(window.since(LEEWAY))),
+            RetrySafety::Retriable | RetrySafety::NonRetriable => None,
         }
     }
 }
--- a/crates/routing/tests/module/changed.rs
+++ b/crates/routing/tests/module/changed.rs
@@ -31,7 +31,7 @@
 #[test]
 fn a_type_that_becomes_non_retriable_is_not_repeated_nor_offered_for_it() {
     let (loose, mut tight) = (settings(), settings());
-    tight.content_types[0].repeat = Repeat::NonRetriable;
+    tight.content_types[0].retry_safety = RetrySafety::NonRetriable;
     let mut said = String::new();
     for (name, before, after) in [("tightened", &loose, &tight), ("loosened", &tight, &loose)] {
         let (mut module, mut trace) = start(before.clone());
@@ -79,8 +79,8 @@
         copy_hash: stable_hash(b"object-1"),
         object_hash: stable_hash(b"object-1"),
         group: None,
-        expires: ms(9_000),
-        repeat: false,
+        deadline: ms(9_000),
+        is_retry: false,
         size_kb: None,
         client: 0,
         body_hash: 0,
--- a/crates/routing/tests/module/common.rs
+++ b/crates/routing/tests/module/common.rs
@@ -66,10 +66,10 @@
 
 /// Three content types: retriable (0), retriable and fresh for 8 s (1), non-retriable at the origin (2).
 pub(crate) fn settings() -> Settings {
-    let row = |repeat, fresh: Option<u64>, uncacheable| ContentType {
+    let row = |retry_safety, fresh: Option<u64>, uncacheable| ContentType {
         latency_target: ms(400),
         latency_target_stretch: 2.0,
-        repeat,
+        retry_safety,
         fresh_for: fresh.map(ms),
         uncacheable,
         benefit: 1.0,
@@ -80,9 +80,9 @@
         dispatchers: 4,
         zone_dispatchers: 2,
         content_types: vec![
-            row(Repeat::Retriable, None, false),
-            row(Repeat::Retriable, Some(8_000), false),
-            row(Repeat::NonRetriable, None, true),
+            row(RetrySafety::Retriable, None, false),
+            row(RetrySafety::Retriable, Some(8_000), false),
+            row(RetrySafety::NonRetriable, None, true),
         ],
         parent_kind: Some(1),
         origin_kind: Some(2),
@@ -138,8 +138,8 @@
         copy_hash: hash,
         object_hash: hash,
         group: None,
-        expires: now.after(ms(3_000)),
-        repeat: false,
+        deadline: now.after(ms(3_000)),
+        is_retry: false,
         size_kb: Some(size_kb),
         client: 0,
         body_hash: 0,
@@ -159,7 +159,7 @@
     let d = RoutingRequest {
         content_type: TypeId(kind % 10),
         group: Some(u64::from(object % 4)),
-        repeat: kind >= 10,
+        is_retry: kind >= 10,
         ..sized(now, request_id, object, 1_000.0)
     };
     module.request_arrived(now, &d, trace);
--- a/crates/routing/tests/module/largest.rs
+++ b/crates/routing/tests/module/largest.rs
@@ -157,11 +157,11 @@
                 let Want { object, work_s, .. } = wants[want];
                 wants[want].tries += 1;
                 let d = RoutingRequest {
-                    expires: now.after(EXPIRY),
-                    repeat: wants[want].tries > 1,
+                    deadline: now.after(EXPIRY),
+                    is_retry: wants[want].tries > 1,
                     ..sized(now, count % 16_384, object, work_s * 10_000.0)
                 };
-                open.insert((at, d.request_id.0), (want, d.expires));
+                open.insert((at, d.request_id.0), (want, d.deadline));
                 fleet[at].request_arrived(now, &d, &mut outs[at]);
             }
             // Transfers go on, each node's at its own pace.
--- a/crates/routing/tests/module/repeats.rs
+++ b/crates/routing/tests/module/repeats.rs
@@ -11,7 +11,7 @@
         ..entry(id, 0, Readiness::Ready, Nanos::ZERO)
     };
     let (a, b) = (node(1, 2, 3), node(2, 2, 3));
-    let (c, d) = (node(3, UNTOLD, UNTOLD), node(4, UNTOLD, UNTOLD));
+    let (c, d) = (node(3, UNKNOWN_ID, UNKNOWN_ID), node(4, UNKNOWN_ID, UNKNOWN_ID));
     for scope in [DedupScope::Zone, DedupScope::Cell] {
         assert!(scope.holds_both(&a, &b) && scope.holds_both(&c, &c));
         assert!(!scope.holds_both(&c, &d) && !scope.holds_both(&a, &c));
@@ -21,10 +21,13 @@
 
 #[test]
 fn a_repeat_is_written_a_little_before_its_time_ends() {
-    let deduped = Repeat::Deduped { scope: DedupScope::All, window: ms(400) };
+    let deduped = RetrySafety::Deduped { scope: DedupScope::All, window: ms(400) };
     assert_eq!(deduped.send_by(ms(1_000)), Some(ms(1_375)));
     // A window shorter than that leaves no time at all.
-    let short = Repeat::Deduped { scope: DedupScope::All, window: ms(10) };
+    let short = RetrySafety::Deduped { scope: DedupScope::All, window: ms(10) };
     assert_eq!(short.send_by(ms(1_000)), Some(ms(1_000)));
-    assert_eq!((Repeat::Retriable.send_by(ms(1)), Repeat::NonRetriable.send_by(ms(1))), (None, None));
+    assert_eq!(
+        (RetrySafety::Retriable.send_by(ms(1)), RetrySafety::NonRetriable.send_by(ms(1))),
+        (None, None)
+    );
 }
--- a/crates/routing/tests/module/rules.rs
+++ b/crates/routing/tests/module/rules.rs
@@ -47,8 +47,8 @@
 fn deduped_downloads_keep_to_their_group_and_window() {
     let mut s = settings();
     let window = ms(500);
-    s.content_types[0].repeat = Repeat::Deduped { scope: DedupScope::Cell, window };
-    s.content_types[1].repeat = Repeat::Deduped { scope: DedupScope::All, window };
+    s.content_types[0].retry_safety = RetrySafety::Deduped { scope: DedupScope::Cell, window };
+    s.content_types[1].retry_safety = RetrySafety::Deduped { scope: DedupScope::All, window };
     let (mut module, mut trace) = start(s);
     let mut other = entry(0, 0, Readiness::Ready, Nanos::ZERO);
     other.cell = 9;
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -4,7 +4,9 @@
 pub mod operator;
 
 use copperroute_routing::calls::CallSettings;
-use copperroute_routing::interface::{ColdStart, ContentType, DedupScope, Nanos, Repeat, Settings, ZoneId};
+use copperroute_routing::interface::{
+    ColdStart, ContentType, DedupScope, Nanos, RetrySafety, Settings, ZoneId,
+};
 use serde_json::Value;
 use std::collections::HashMap;
 use std::str::FromStr;
@@ -173,17 +175,17 @@
             Some("zone") => DedupScope::Zone,
             _ => DedupScope::All,
         };
-        let repeat = match self.text(&path("effect"))? {
-            "safe" => Repeat::Retriable,
-            "keyed" => Repeat::Deduped { scope, window: self.span(&path("window_s"))? },
-            "unsafe" => Repeat::NonRetriable,
+        let retry_safety = match self.text(&path("effect"))? {
+            "safe" => RetrySafety::Retriable,
+            "keyed" => RetrySafety::Deduped { scope, window: self.span(&path("window_s"))? },
+            "unsafe" => RetrySafety::NonRetriable,
             other => return Err(format!("options: {}: unknown effect '{other}'", path("effect"))),
         };
         let fresh: f64 = self.listed_number("family_info.fresh_for_s", at, 0.0)?;
         Ok(ContentType {
             latency_target: self.span(&path("aim_s"))?,
             latency_target_stretch: self.number_or(&path("aim_stretch"), 0.0)?,
-            repeat,
+            retry_safety,
             fresh_for: (fresh > 0.0).then(|| Nanos::from_secs(fresh)),
             uncacheable: matches!(self.listed("family_info.pass_on", at), Some("true" | "1")),
             benefit: self.number_or(&path("value"), 1.0)?,
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -2,8 +2,8 @@
 
 use crate::stdio_transport::StdioTransport;
 use copperroute_routing::interface::{
-    AttemptEnd, Nanos, NodeEntry, Outcome, Readiness, Remark, Report, RoutingRequest, TypeId, UNTOLD, ZoneId,
-    mix, stable_hash,
+    AttemptEnd, Nanos, NodeEntry, Outcome, Readiness, Remark, Report, RoutingRequest, TypeId, UNKNOWN_ID,
+    ZoneId, mix, stable_hash,
 };
 use copperroute_routing::policy::Dispatcher;
 use copperroute_settings::Options;
@@ -144,7 +144,7 @@
         hash: stable_hash(address.as_bytes()),
         zone: ZoneId(fields.number("campus")?),
         kind: fields.number("family_type")?,
-        cell: fields.maybe("pack")?.unwrap_or(UNTOLD),
+        cell: fields.maybe("pack")?.unwrap_or(UNKNOWN_ID),
         readiness: match fields.number::<u32>("readiness")? {
             0 => Readiness::Gone,
             1 => Readiness::Ready,
@@ -207,8 +207,8 @@
                 copy_hash: mix(object_hash.wrapping_add(part)),
                 object_hash,
                 group,
-                expires,
-                repeat: bits & 2 != 0,
+                deadline: expires,
+                is_retry: bits & 2 != 0,
                 size_kb: size.filter(|kb| *kb > 0.0),
                 client: 0,
                 body_hash: 0,
