--- a/crates/config-rollout/benches/switch.rs
+++ b/crates/config-rollout/benches/switch.rs
@@ -24,10 +24,10 @@
     fn cancel(&mut self, _: RequestId, _: u32) {}
     fn reject(&mut self, _: RequestId, _: Option<Nanos>) {}
     fn fail(&mut self, _: RequestId) {}
-    fn arm(&mut self, _: Nanos, _: u64) {}
-    fn probe(&mut self, _node: NodeId) {}
-    fn follow(&mut self) {}
-    fn note(&mut self, _: &str) {}
+    fn arm_timer(&mut self, _: Nanos, _: u64) {}
+    fn probe_load(&mut self, _node: NodeId) {}
+    fn subscribe_to_list(&mut self) {}
+    fn log_line(&mut self, _: &str) {}
     fn release(&mut self, _: RequestId) {}
     fn release_object(&mut self, _: ObjectId) {}
 }
--- a/crates/dispatcher/src/request_table/actions.rs
+++ b/crates/dispatcher/src/request_table/actions.rs
@@ -42,21 +42,21 @@
         self.answer(request_id, Answer::Failed);
     }
 
-    fn arm(&mut self, span: Nanos, token: u64) {
+    fn arm_timer(&mut self, span: Nanos, token: u64) {
         self.effects.push(Effect::Arm(self.now.after(span), Due::Module(token)));
     }
 
-    fn probe(&mut self, _node: NodeId) {}
+    fn probe_load(&mut self, _node: NodeId) {}
 
-    fn ask_alive(&mut self, node: NodeId) {
+    fn probe_readiness(&mut self, node: NodeId) {
         self.nodes.ask_alive(node, self.now, &mut self.effects);
     }
 
-    fn follow(&mut self) {
+    fn subscribe_to_list(&mut self) {
         // The change log is followed from the start.
     }
 
-    fn note(&mut self, line: &str) {
+    fn log_line(&mut self, line: &str) {
         log::info!("{line}");
     }
 
--- a/crates/dispatcher/src/request_table/attempts.rs
+++ b/crates/dispatcher/src/request_table/attempts.rs
@@ -10,21 +10,21 @@
             return;
         };
         ended.out = false;
-        let took = self.now.since(ended.at);
-        let closed = outcome == Outcome::Served;
+        let duration = self.now.since(ended.at);
+        let completes_request = outcome == Outcome::Served;
         let why = told.map_or(Remark::None, |told| told.remark);
         let (id, node) = (pending.request.id, self.nodes.id(ended.attempt.node));
         let bytes = told.map_or(0, |told| told.body.len());
         let size = pending.request.size_kb.unwrap_or_default();
-        let (number, us) = (attempt.number, took.0 / 1_000);
+        let (number, us) = (attempt.number, duration.0 / 1_000);
         log::debug!(target: TRACE, "{id} pull {number} at {node} {outcome:?} {why:?} in {us} us, {bytes} bytes for {size} KB");
         let client = pending.client;
         let made_ms = told.and_then(|told| told.copy).map(|(_, made_ms)| made_ms);
         self.latest_made_ms = self.latest_made_ms.max(made_ms);
-        if self.keeps_copies && closed {
+        if self.keeps_copies && completes_request {
             self.offered.extend(told.and_then(|told| pending.offer(told)));
         }
-        if let Some(told) = told.filter(|_| closed) {
+        if let Some(told) = told.filter(|_| completes_request) {
             let short = self.is_short_for(client);
             self.answer(
                 attempt.request_id,
@@ -36,10 +36,13 @@
                 },
             );
         }
-        let waited = told.and_then(|told| told.waited);
+        let first_byte_wait = told.and_then(|told| told.waited);
         let remark = told.map_or(Remark::None, |told| told.remark);
-        let report = told.map_or(Report::default(), |told| told.report);
-        self.ended.push_back((attempt, AttemptEnd { outcome, took, closed, waited, remark, report }));
+        let report = told.map_or(LoadReport::default(), |told| told.report);
+        self.ended.push_back((
+            attempt,
+            AttemptEnd { outcome, duration, completes_request, first_byte_wait, remark, report },
+        ));
     }
 
     /// Gives up an attempt that is out. One that was not sent when its time was up never ran.
--- a/crates/dispatcher/src/request_table/mod.rs
+++ b/crates/dispatcher/src/request_table/mod.rs
@@ -12,7 +12,7 @@
 use copperroute_protocol::hex::Hex;
 use copperroute_protocol::nodes::{self, Fetch};
 use copperroute_routing::interface::{
-    Actions, Attempt, AttemptEnd, Nanos, NodeId, ObjectId, Outcome, Readiness, Remark, Report, RequestId,
+    Actions, Attempt, AttemptEnd, LoadReport, Nanos, NodeId, ObjectId, Outcome, Readiness, Remark, RequestId,
     RoutingRequest,
 };
 use copperroute_routing::state::Slots;
@@ -50,7 +50,7 @@
 impl InFlightAttempt {
     /// Until when its answer is of use.
     fn until(&self, pending: &PendingRequest) -> Nanos {
-        self.attempt.try_for.map_or(pending.expires, |span| self.at.after(span).min(pending.expires))
+        self.attempt.time_limit.map_or(pending.expires, |span| self.at.after(span).min(pending.expires))
     }
 }
 
--- a/crates/protocol/src/nodes.rs
+++ b/crates/protocol/src/nodes.rs
@@ -2,7 +2,7 @@
 
 use crate::hex::Hex;
 use crate::incoming::{Incoming, Unreadable, digits, fields};
-use copperroute_routing::interface::{Attempt, Nanos, Outcome, Remark, Report};
+use copperroute_routing::interface::{Attempt, LoadReport, Nanos, Outcome, Remark};
 use std::fmt::Write as _;
 
 const LONGEST_LINE: usize = 1024;
@@ -50,7 +50,7 @@
     /// The time waited for the source.
     pub waited: Option<Nanos>,
     /// The load report.
-    pub report: Report,
+    pub report: LoadReport,
     /// The bytes.
     pub body: Vec<u8>,
 }
@@ -140,13 +140,13 @@
 }
 
 /// A load report; values that are not read, or are no numbers, are passed over.
-fn report(pairs: &str) -> Report {
+fn report(pairs: &str) -> LoadReport {
     let pairs = pairs.split(';').filter_map(|pair| pair.split_once(':'));
     let value = |name: &str| {
         let found = pairs.clone().find(|pair| pair.0 == name).and_then(|pair| pair.1.parse().ok());
         found.filter(|value: &f64| value.is_finite() && *value >= 0.0)
     };
-    Report { in_hand: value("inflight"), busy: value("util") }
+    LoadReport { in_flight: value("inflight"), busy: value("util") }
 }
 
 /// The head of a message and the length of its bytes.
@@ -174,7 +174,7 @@
         copy: None,
         remark: Remark::None,
         waited: None,
-        report: Report::default(),
+        report: LoadReport::default(),
         body: Vec::new(),
     };
     let (mut tag, mut made) = (None, None);
--- a/crates/protocol/tests/codecs.rs
+++ b/crates/protocol/tests/codecs.rs
@@ -165,7 +165,7 @@
         order: Attempt {
             node: NodeId(0),
             source: NodeId(0),
-            try_for: None,
+            time_limit: None,
             rank: 0,
             max_age: None,
             send_by: None,
--- a/crates/routing/src/interface.rs
+++ b/crates/routing/src/interface.rs
@@ -298,22 +298,22 @@
     /// How it ended.
     pub outcome: Outcome,
     /// How long it took.
-    pub took: Nanos,
+    pub duration: Nanos,
     /// Nothing more is owed for the request.
-    pub closed: bool,
+    pub completes_request: bool,
     /// Time to the source's first byte or to the fill's failure, where told.
-    pub waited: Option<Nanos>,
+    pub first_byte_wait: Option<Nanos>,
     /// How the answer came about, where told.
     pub remark: Remark,
     /// The node's load report, where answers carry one.
-    pub report: Report,
+    pub report: LoadReport,
 }
 
 /// What a node says of its load: some time old, and not exact.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct Report {
+pub struct LoadReport {
     /// Requests in hand.
-    pub in_hand: Option<f64>,
+    pub in_flight: Option<f64>,
     /// The part of the node that is busy, 0 to 1.
     pub busy: Option<f64>,
 }
@@ -326,7 +326,7 @@
     /// Who supplies a miss; the node itself for no fill.
     pub source: NodeId,
     /// Given up after this long; `None` for as long as the client waits.
-    pub try_for: Option<Nanos>,
+    pub time_limit: Option<Nanos>,
     /// 0 keeps no copy, 1 to 3 keep it at that rank.
     pub rank: u8,
     /// The oldest copy that will do; `None` for the content type's own limit.
@@ -354,16 +354,16 @@
     /// Final answer: not served, and nothing is promised.
     fn fail(&mut self, request_id: RequestId);
     /// Asks for [`crate::policy::Dispatcher::timer`] with `token` after `span`.
-    fn arm(&mut self, span: Nanos, token: u64);
+    fn arm_timer(&mut self, span: Nanos, token: u64);
     /// Asks a node what it is doing; the answer comes by [`crate::policy::Dispatcher::probed`].
-    fn probe(&mut self, node: NodeId);
+    fn probe_load(&mut self, node: NodeId);
     /// Asks a node whether it takes work; the answer comes by [`crate::policy::Dispatcher::probe_answered`]. Only where the
     /// adapter tells what is known of the change log.
-    fn ask_alive(&mut self, _node: NodeId) {}
+    fn probe_readiness(&mut self, _node: NodeId) {}
     /// Opens the standing subscription to the list of nodes.
-    fn follow(&mut self);
+    fn subscribe_to_list(&mut self);
     /// Writes a line for on-call staff.
-    fn note(&mut self, line: &str);
+    fn log_line(&mut self, line: &str);
     /// The module holds nothing more of this request.
     fn release(&mut self, request_id: RequestId);
     /// The module holds nothing more of this object.
--- a/crates/routing/src/nodes.rs
+++ b/crates/routing/src/nodes.rs
@@ -1,7 +1,7 @@
 //! What a dispatcher keeps of its nodes. State only: nothing here decides.
 
 use crate::fleet::slow_start::TokenBucket;
-use crate::interface::{Nanos, NodeEntry, NodeId, Readiness, Report, ZoneId};
+use crate::interface::{LoadReport, Nanos, NodeEntry, NodeId, Readiness, ZoneId};
 use crate::listed::{Listed, Role};
 use crate::node_lease::NodeLease;
 use crate::size::{PROBE_PARENTS, Size, Sizes};
@@ -148,11 +148,13 @@
     }
 
     /// A node that is warm so long after its start has said what it is doing: tells whether that may show its size.
-    pub fn reported(&mut self, now: Nanos, id: NodeId, warm_after: Nanos, report: Report) -> bool {
+    pub fn reported(&mut self, now: Nanos, id: NodeId, warm_after: Nanos, report: LoadReport) -> bool {
         let cold = self.is_cold(now, id, warm_after);
         self.get_mut(id).into_iter().for_each(|n| n.heard = now);
         let node = self.slots.get_mut(id.0).filter(|_| !cold);
-        let (Some(n), Some(in_hand), Some(busy)) = (node, report.in_hand, report.busy) else { return false };
+        let (Some(n), Some(in_hand), Some(busy)) = (node, report.in_flight, report.busy) else {
+            return false;
+        };
         let sends = if Some(n.e.kind) == self.parent_kind { None } else { Some(now) };
         self.sizes.reported(sends, &mut n.size, (n.e.kind, n.e.weight), in_hand, busy);
         true
--- a/crates/routing/src/policy/ends.rs
+++ b/crates/routing/src/policy/ends.rs
@@ -55,7 +55,7 @@
         if again {
             self.further.add(now, usize::from(!worked), 1.0);
         }
-        if end.closed {
+        if end.completes_request {
             self.move_to(now, id, if worked { Stage::Served } else { Stage::Left }, out);
         } else if request.stage == Stage::Attempting && request.attempts.iter().all(|p| !p.out) {
             // Further attempts follow the share of recent ones that worked, so a wide failure brings no storm.
@@ -79,7 +79,7 @@
                 .into_iter()
                 .for_each(|request| request.rides = None);
             if rides {
-                out.arm(Nanos::from_secs(wait), u64::from(id.0) << 32 | u64::from(LOOK_AGAIN));
+                out.arm_timer(Nanos::from_secs(wait), u64::from(id.0) << 32 | u64::from(LOOK_AGAIN));
             } else if allowed && !nowhere && (missed || lacks || self.random.share() < share * storm) {
                 self.attempt(now, id, out);
             } else {
@@ -94,12 +94,12 @@
         let told = request.d.size_kb.is_some() && self.s.client_kb_per_s > 0.0;
         let own_s = match end.remark {
             _ if told => Some(request.work_s),
-            Remark::Hit => Some(end.took.secs()),
+            Remark::Hit => Some(end.duration.secs()),
             _ => None,
         };
         self.types[request.d.content_type.0 as usize].saw(own_s);
         // A hit shows how slow its cache is; of a fill only what was sent is known, by cache and source.
-        let hit_s = (end.remark == Remark::Hit).then_some(end.took.secs());
+        let hit_s = (end.remark == Remark::Hit).then_some(end.duration.secs());
         for id in [Some(sent.node), (!sent.is_look()).then_some(sent.source)].into_iter().flatten() {
             let (cold, sharers) = self.cold_start(id);
             let warm = !self.nodes.is_cold(now, id, cold.warm_after);
@@ -145,12 +145,12 @@
         }
         let answered = !matches!(end.outcome, TimedOut | Unreachable | Cancelled | NotSent);
         let mean = self.row(&request.d).mean_work_s;
-        self.nodes.held(now, end.took.secs(), if end.outcome == Served { request.work_s } else { 0.0 });
+        self.nodes.held(now, end.duration.secs(), if end.outcome == Served { request.work_s } else { 0.0 });
         let can = self.nodes.get(sent.node).map_or(0.0, |n| self.can(n));
         if let Some(n) = self.nodes.get_mut(sent.node).filter(|_| answered) {
             n.heard = now;
             // A load report counts as a hit of mean size that took so many times as long.
-            if let Some(in_hand) = end.report.in_hand {
+            if let Some(in_hand) = end.report.in_flight {
                 n.saw_pace(now, mean * (in_hand / can.max(0.1)).max(1.0), mean);
             }
         }
@@ -162,7 +162,7 @@
                     self.mark(now, sent.source, true, false, out);
                     if let Some(origin) = origin.filter(|_| end.remark == Remark::FilledFromOrigin) {
                         self.mark(now, origin, true, false, out);
-                        let waited_s = end.waited.unwrap_or_default().secs();
+                        let waited_s = end.first_byte_wait.unwrap_or_default().secs();
                         self.origin.answered(now, waited_s, self.target_s(request));
                     }
                 }
@@ -206,14 +206,14 @@
         if died {
             (n.started, n.bucket) = (n.aside_until, Default::default());
         }
-        out.note(&format!("node {} set aside for {:.1} s", id.0, aside.secs()));
+        out.log_line(&format!("node {} set aside for {:.1} s", id.0, aside.secs()));
     }
 
     /// An attempt is overdue. If its node, or its source, answered nothing since it was sent, that is silent: it
     /// is set aside, and what is out there is called off to go elsewhere.
     pub fn timer(&mut self, now: Nanos, token: u64, out: &mut impl Actions) {
         match token {
-            FOLLOW_DUE => return out.follow(),
+            FOLLOW_DUE => return out.subscribe_to_list(),
             PROBE_DUE => return self.probe(out),
             LEASES_DUE => return self.renew_leases(now, out),
             _ => {}
--- a/crates/routing/src/policy/fill.rs
+++ b/crates/routing/src/policy/fill.rs
@@ -16,12 +16,12 @@
             return;
         }
         // What ran out of time mostly waited, as for a slow origin or parent: it says nothing of the link.
-        let waited = if end.outcome == Outcome::TimedOut { Some(end.took) } else { end.waited };
+        let waited = if end.outcome == Outcome::TimedOut { Some(end.duration) } else { end.first_byte_wait };
         let waited = waited.unwrap_or_default().secs();
         let told = &self.row(&request.d).told;
         let leeway =
             told.latency_target.secs() + (told.latency_target_stretch - 1.0).max(0.0) * request.work_s;
-        let took = end.took.secs() - waited;
+        let took = end.duration.secs() - waited;
         let fair = request.work_s + FILL_LEEWAY * leeway;
         self.link.saw(now, [took, fair, waited]);
         // A parent may be quick to begin and slow to send: what its fills take over the leeway counts as part
@@ -33,7 +33,7 @@
             n.saw_first_byte(now, own + (took - fair).max(0.0), SMOOTH, FADES);
         }
         if end.outcome == Outcome::Served {
-            self.fill_usual_s += SMOOTH * (end.took.secs() - self.fill_usual_s);
+            self.fill_usual_s += SMOOTH * (end.duration.secs() - self.fill_usual_s);
         }
     }
 
--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -134,10 +134,10 @@
     pub fn start(&mut self, now: Nanos, out: &mut impl Actions) {
         self.nodes.begin(now);
         if self.s.list_needs_subscription {
-            out.follow();
+            out.subscribe_to_list();
         }
         if self.s.load_probes && !self.s.capacities_listed {
-            out.arm(PROBE_EVERY, PROBE_DUE);
+            out.arm_timer(PROBE_EVERY, PROBE_DUE);
         }
     }
 
@@ -149,12 +149,12 @@
     /// Asks a node at random what it is doing.
     fn probe(&mut self, out: &mut impl Actions) {
         let asked = self.nodes.drawn([self.random.share(), self.random.share()]);
-        asked.into_iter().for_each(|id| out.probe(id));
-        out.arm(PROBE_EVERY, PROBE_DUE);
+        asked.into_iter().for_each(|id| out.probe_load(id));
+        out.arm_timer(PROBE_EVERY, PROBE_DUE);
     }
 
     /// A node has said what it is doing.
-    pub fn probed(&mut self, now: Nanos, id: NodeId, report: Report) {
+    pub fn probed(&mut self, now: Nanos, id: NodeId, report: LoadReport) {
         if self.nodes.reported(now, id, self.cold_start(id).0.warm_after, report) {
             self.link.listed(&self.s, self.nodes.caches_can(self.s.zone_dispatchers));
         }
@@ -178,7 +178,7 @@
     /// Changed entries. A node that drains or is gone leaves every choice at once (rule 3).
     pub fn nodes_changed(&mut self, _now: Nanos, entries: &[NodeEntry], out: &mut impl Actions) {
         if self.s.load_probes && !self.s.capacities_listed {
-            self.nodes.unmet(entries).into_iter().for_each(|id| out.probe(id));
+            self.nodes.unmet(entries).into_iter().for_each(|id| out.probe_load(id));
         }
         self.nodes.relist(entries, |e| Node::new(*e, JUDGED_OVER, BUCKETS));
         self.link.listed(&self.s, self.nodes.caches_can(self.s.zone_dispatchers));
@@ -206,7 +206,7 @@
 
     /// A call to discovery failed: the old list stands, and the subscription is asked for again.
     pub fn list_failed(&mut self, _now: Nanos, out: &mut impl Actions) {
-        out.arm(ASK_AGAIN, FOLLOW_DUE);
+        out.arm_timer(ASK_AGAIN, FOLLOW_DUE);
     }
 
     /// An object was purged `age` ago.
--- a/crates/routing/src/policy/ordinary.rs
+++ b/crates/routing/src/policy/ordinary.rs
@@ -40,7 +40,7 @@
         let Some(mut storm) = self.storm.take() else { return self.attempt(now, d.request_id, out) };
         let changed = if storm.is_due(now) { storm.look(now, self.supply(now)) } else { None };
         if let Some((of, from, to)) = changed {
-            out.note(&format!("content type {}: {to:?} after {from:?}", of.0));
+            out.log_line(&format!("content type {}: {to:?} after {from:?}", of.0));
         }
         let admission = storm.arrives(now, d, work_s);
         self.storm = Some(storm);
@@ -104,7 +104,7 @@
         let attempt = Attempt {
             node,
             source,
-            try_for: None,
+            time_limit: None,
             rank,
             max_age: self.max_age(now, &request.d),
             send_by: [
@@ -130,7 +130,7 @@
         }
         out.attempt(id, &attempt);
         let look = Nanos::from_secs(request.work_s * OVERDUE_STRETCH).after(OVERDUE_SLACK);
-        out.arm(look, u64::from(id.0) << 32 | u64::from(sent.serial));
+        out.arm_timer(look, u64::from(id.0) << 32 | u64::from(sent.serial));
     }
 
     /// Counts a request in the ghost cache and returns the entry.
--- a/crates/routing/src/policy/unheard.rs
+++ b/crates/routing/src/policy/unheard.rs
@@ -151,7 +151,7 @@
         let ahead = Nanos(ROUNDS_AHEAD * every.0);
         let from = knowledge.doubtful_from(now, self.s.drain_grace).since(ahead);
         self.probes_leases = true;
-        out.arm(from.since(now), LEASES_DUE);
+        out.arm_timer(from.since(now), LEASES_DUE);
     }
 
     /// Leases that are about to be needed are renewed, for as long as the change log is not heard.
@@ -174,11 +174,11 @@
             // Where leases are not kept, no connection is made for a probe alone.
             let is_asked = |node: &Node| terms.is_strict || node.lease.has_shown();
             if self.nodes.get(id).is_some_and(|node| is_asked(node) && (is_due(node) || refused(node))) {
-                out.ask_alive(id);
+                out.probe_readiness(id);
             }
         }
         self.probes_leases = true;
-        out.arm(every, LEASES_DUE);
+        out.arm_timer(every, LEASES_DUE);
     }
 
     /// How often nodes are probed: as often as the slowest of them bears.
--- a/crates/routing/tests/module/cold.rs
+++ b/crates/routing/tests/module/cold.rs
@@ -188,10 +188,10 @@
         self.0.extend(retry_after);
     }
     fn fail(&mut self, _dl: RequestId) {}
-    fn arm(&mut self, _span: Nanos, _token: u64) {}
-    fn probe(&mut self, _node: NodeId) {}
-    fn follow(&mut self) {}
-    fn note(&mut self, _line: &str) {}
+    fn arm_timer(&mut self, _span: Nanos, _token: u64) {}
+    fn probe_load(&mut self, _node: NodeId) {}
+    fn subscribe_to_list(&mut self) {}
+    fn log_line(&mut self, _line: &str) {}
     fn release(&mut self, _dl: RequestId) {}
     fn release_object(&mut self, _object: ObjectId) {}
 }
--- a/crates/routing/tests/module/cold_fleet.rs
+++ b/crates/routing/tests/module/cold_fleet.rs
@@ -85,10 +85,10 @@
     fn cancel(&mut self, _dl: RequestId, _number: u32) {}
     fn reject(&mut self, _dl: RequestId, _come_back: Option<Nanos>) {}
     fn fail(&mut self, _dl: RequestId) {}
-    fn arm(&mut self, _span: Nanos, _token: u64) {}
-    fn probe(&mut self, _node: NodeId) {}
-    fn follow(&mut self) {}
-    fn note(&mut self, _line: &str) {}
+    fn arm_timer(&mut self, _span: Nanos, _token: u64) {}
+    fn probe_load(&mut self, _node: NodeId) {}
+    fn subscribe_to_list(&mut self) {}
+    fn log_line(&mut self, _line: &str) {}
     fn release(&mut self, request_id: RequestId) {
         self.counts.remove(&request_id.0);
     }
--- a/crates/routing/tests/module/common.rs
+++ b/crates/routing/tests/module/common.rs
@@ -40,19 +40,19 @@
     fn fail(&mut self, request_id: RequestId) {
         say!(self, "dl {}: abandoned", request_id.0);
     }
-    fn arm(&mut self, span: Nanos, token: u64) {
+    fn arm_timer(&mut self, span: Nanos, token: u64) {
         self.1.push((span, token));
     }
-    fn probe(&mut self, node: NodeId) {
+    fn probe_load(&mut self, node: NodeId) {
         say!(self, "probe {}", node.0);
     }
-    fn ask_alive(&mut self, node: NodeId) {
+    fn probe_readiness(&mut self, node: NodeId) {
         say!(self, "alive {}", node.0);
     }
-    fn follow(&mut self) {
+    fn subscribe_to_list(&mut self) {
         say!(self, "follow");
     }
-    fn note(&mut self, line: &str) {
+    fn log_line(&mut self, line: &str) {
         say!(self, "note: {}", line.split(" for ").next().unwrap_or(line));
     }
     fn release(&mut self, _dl: RequestId) {}
@@ -167,8 +167,15 @@
 
 /// The end of an attempt with this outcome and remark.
 pub(crate) fn end(outcome: Outcome, remark: Remark) -> AttemptEnd {
-    let closed = outcome == Outcome::Served;
-    AttemptEnd { outcome, took: ms(120), closed, waited: Some(ms(20)), remark, report: Report::default() }
+    let completes_request = outcome == Outcome::Served;
+    AttemptEnd {
+        outcome,
+        duration: ms(120),
+        completes_request,
+        first_byte_wait: Some(ms(20)),
+        remark,
+        report: LoadReport::default(),
+    }
 }
 
 /// The look of request `request_id` finds nothing.
--- a/crates/routing/tests/module/failures.rs
+++ b/crates/routing/tests/module/failures.rs
@@ -183,8 +183,9 @@
         ask(&mut module, now, request_id, 0, 9, &mut trace);
         miss(&mut module, now, request_id, &mut trace);
         let slow = trace.0.lines().last().is_some_and(|line| line.contains("from 3"));
-        let (took, waited) = if slow { (ms(900), Some(ms(10))) } else { (ms(130), Some(ms(30))) };
-        let ended = AttemptEnd { took, waited, ..end(Outcome::Served, Remark::FilledFromCopy) };
+        let (duration, first_byte_wait) =
+            if slow { (ms(900), Some(ms(10))) } else { (ms(130), Some(ms(30))) };
+        let ended = AttemptEnd { duration, first_byte_wait, ..end(Outcome::Served, Remark::FilledFromCopy) };
         module.attempt_ended(now.after(ms(90)), RequestId(request_id), 1, &ended, &mut trace);
     }
     counts(&trace, &["from 3", "from 4", "from 5"])
@@ -245,7 +246,7 @@
     // than its hash says; without them an overloaded cache did not show.
     let (mut module, mut trace) = start(Settings { zone_dispatchers: 20, ..settings() });
     (0..4).for_each(|request_id| ask(&mut module, ms(1_000), request_id, 0, 9, &mut trace));
-    let slow = AttemptEnd { took: ms(1_500), ..end(Outcome::Served, Remark::Hit) };
+    let slow = AttemptEnd { duration: ms(1_500), ..end(Outcome::Served, Remark::Hit) };
     (0..4)
         .for_each(|request_id| module.attempt_ended(ms(2_500), RequestId(request_id), 0, &slow, &mut trace));
     for request_id in 10..16 {
@@ -276,7 +277,7 @@
         s.client_kb_per_s = 2_000.0;
         let (mut module, mut trace) = start(s);
         let busy = AttemptEnd {
-            report: Report { in_hand: Some(12.0 * f64::from(load)), busy: None },
+            report: LoadReport { in_flight: Some(12.0 * f64::from(load)), busy: None },
             ..end(Outcome::Served, Remark::Hit)
         };
         for request_id in 0..60 {
--- a/crates/routing/tests/module/largest.rs
+++ b/crates/routing/tests/module/largest.rs
@@ -72,12 +72,12 @@
         self.throttled.push(request_id);
     }
     fn fail(&mut self, _dl: RequestId) {}
-    fn arm(&mut self, span: Nanos, token: u64) {
+    fn arm_timer(&mut self, span: Nanos, token: u64) {
         self.timers.push((span, token));
     }
-    fn probe(&mut self, _node: NodeId) {}
-    fn follow(&mut self) {}
-    fn note(&mut self, _line: &str) {}
+    fn probe_load(&mut self, _node: NodeId) {}
+    fn subscribe_to_list(&mut self) {}
+    fn log_line(&mut self, _line: &str) {}
     fn release(&mut self, request_id: RequestId) {
         self.counts.remove(&request_id.0);
     }
@@ -186,16 +186,17 @@
                     (true, false) => (Outcome::Served, Remark::FilledFromCopy),
                     (false, _) => (Outcome::Missed, Remark::None),
                 };
-                let closed = how.0 == Outcome::Served;
+                let completes_request = how.0 == Outcome::Served;
                 let end = AttemptEnd {
                     outcome: how.0,
-                    took: now.since(one.begun),
-                    closed,
-                    waited: Some(one.begins.since(one.begun)),
+                    duration: now.since(one.begun),
+                    completes_request,
+                    first_byte_wait: Some(one.begins.since(one.begun)),
                     remark: how.1,
-                    report: Report::default(),
+                    report: LoadReport::default(),
                 };
-                if closed && let Some((want, _)) = open.remove(&(one.dispatcher, one.request_id.0)) {
+                if completes_request && let Some((want, _)) = open.remove(&(one.dispatcher, one.request_id.0))
+                {
                     wants[want].answered = true;
                 }
                 fleet[one.dispatcher].attempt_ended(
@@ -215,7 +216,7 @@
                     .collect::<Vec<_>>();
                 for one in ended {
                     let end =
-                        AttemptEnd { took: now.since(one.begun), ..end(Outcome::TimedOut, Remark::None) };
+                        AttemptEnd { duration: now.since(one.begun), ..end(Outcome::TimedOut, Remark::None) };
                     fleet[at].attempt_ended(now, one.request_id, one.number, &end, &mut outs[at]);
                 }
             }
@@ -238,7 +239,7 @@
                     let gone: Vec<_> = gone.collect();
                     for one in gone {
                         let end = AttemptEnd {
-                            took: now.since(one.begun),
+                            duration: now.since(one.begun),
                             ..end(Outcome::Cancelled, Remark::None)
                         };
                         fleet[at].attempt_ended(now, one.request_id, one.number, &end, out);
--- a/crates/routing/tests/module/sizes.rs
+++ b/crates/routing/tests/module/sizes.rs
@@ -90,7 +90,7 @@
         module.nodes_listed(ms(1), &list, trace);
         // Warm caches say what they do.
         for at in 0..200_u64 {
-            let report = Report { in_hand: Some(6.0), busy: Some(0.5) };
+            let report = LoadReport { in_flight: Some(6.0), busy: Some(0.5) };
             module.probed(ms(50 * at), NodeId(at as u32 % 3), report);
         }
         let again = NodeEntry { weight, ..entry(2, 0, Readiness::Ready, began) };
@@ -107,7 +107,7 @@
                 sent.push(now);
             }
             if last.contains("pull") {
-                let end = AttemptEnd { took: ms(100), ..end(Outcome::Served, Remark::Hit) };
+                let end = AttemptEnd { duration: ms(100), ..end(Outcome::Served, Remark::Hit) };
                 module.attempt_ended(now, RequestId(request_id), 0, &end, trace);
             }
         }
--- a/crates/routing/tests/module/spared.rs
+++ b/crates/routing/tests/module/spared.rs
@@ -13,7 +13,7 @@
     for request_id in 0..8 {
         ask(&mut module, now, request_id, 2, request_id, &mut trace);
         now = now.after(ms(5));
-        let end = AttemptEnd { closed: false, ..end(outcome, Remark::SourceLost) };
+        let end = AttemptEnd { completes_request: false, ..end(outcome, Remark::SourceLost) };
         module.attempt_ended(now, RequestId(request_id), 0, &end, &mut trace);
     }
     trace.0.clear();
@@ -101,8 +101,12 @@
         let now = ms(20 * u64::from(request_id));
         ask(&mut module, now, request_id, 0, request_id, &mut trace);
         miss(&mut module, now, request_id, &mut trace);
-        let waited = Some(ms(290));
-        let end = AttemptEnd { waited, took: ms(390), ..end(Outcome::Served, Remark::FilledFromOrigin) };
+        let first_byte_wait = Some(ms(290));
+        let end = AttemptEnd {
+            first_byte_wait,
+            duration: ms(390),
+            ..end(Outcome::Served, Remark::FilledFromOrigin)
+        };
         module.attempt_ended(now.after(ms(10)), RequestId(request_id), 1, &end, &mut trace);
     }
     trace.0.clear();
--- a/crates/routing/tests/module/storm_day.rs
+++ b/crates/routing/tests/module/storm_day.rs
@@ -52,10 +52,10 @@
     fn fail(&mut self, request_id: RequestId) {
         self.never.push(request_id);
     }
-    fn arm(&mut self, _span: Nanos, _token: u64) {}
-    fn probe(&mut self, _node: NodeId) {}
-    fn follow(&mut self) {}
-    fn note(&mut self, line: &str) {
+    fn arm_timer(&mut self, _span: Nanos, _token: u64) {}
+    fn probe_load(&mut self, _node: NodeId) {}
+    fn subscribe_to_list(&mut self) {}
+    fn log_line(&mut self, line: &str) {
         self.notes.push(line.to_string());
     }
     fn release(&mut self, request_id: RequestId) {
@@ -205,12 +205,18 @@
             self.now = self.now.after(STEP);
             let due: Vec<_> = self.ending.range(..=self.now.0).map(|(at, _)| *at).collect();
             let ends: Vec<_> = due.iter().flat_map(|at| self.ending.remove(at)).flatten().collect();
-            for (request_id, number, outcome, took) in ends {
+            for (request_id, number, outcome, duration) in ends {
                 let remark = if outcome == Outcome::Served { Remark::Hit } else { Remark::None };
-                let closed = outcome == Outcome::Served;
-                let end =
-                    AttemptEnd { outcome, took, closed, waited: None, remark, report: Report::default() };
-                if let Some((tried, _)) = self.held.get(&request_id).filter(|_| closed) {
+                let completes_request = outcome == Outcome::Served;
+                let end = AttemptEnd {
+                    outcome,
+                    duration,
+                    completes_request,
+                    first_byte_wait: None,
+                    remark,
+                    report: LoadReport::default(),
+                };
+                if let Some((tried, _)) = self.held.get(&request_id).filter(|_| completes_request) {
                     self.ok[tried.kind as usize] += 1;
                     self.heeded[usize::from(tried.heeds)] += 1;
                 }
--- a/crates/simulator-adapter/src/stdio_transport.rs
+++ b/crates/simulator-adapter/src/stdio_transport.rs
@@ -74,7 +74,7 @@
             "pull_via\t{}\t{}\t{}\t{manner}\t{}\t{}\t{}\t{}",
             self.instance,
             self.request_ids.key(request_id.0),
-            Secs(attempt.try_for),
+            Secs(attempt.time_limit),
             self.nodes.key(attempt.source.0),
             self.nodes.key(attempt.node.0),
             attempt.rank,
@@ -100,19 +100,19 @@
         say!(self, "abort\t{}\t{}", self.instance, self.request_ids.key(request_id.0));
     }
 
-    fn arm(&mut self, span: Nanos, token: u64) {
+    fn arm_timer(&mut self, span: Nanos, token: u64) {
         say!(self, "arm\t{}\t{}\t{token}", self.instance, Secs(Some(span)));
     }
 
-    fn probe(&mut self, node: NodeId) {
+    fn probe_load(&mut self, node: NodeId) {
         say!(self, "poll\t{}\t{}", self.instance, self.nodes.key(node.0));
     }
 
-    fn follow(&mut self) {
+    fn subscribe_to_list(&mut self) {
         say!(self, "follow\t{}\t1", self.instance);
     }
 
-    fn note(&mut self, line: &str) {
+    fn log_line(&mut self, line: &str) {
         say!(self, "note_down\t{}\t{line}", self.instance);
     }
 
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -2,7 +2,7 @@
 
 use crate::stdio_transport::StdioTransport;
 use copperroute_routing::interface::{
-    AttemptEnd, Nanos, NodeEntry, Outcome, Readiness, Remark, Report, RoutingRequest, TypeId, UNKNOWN_ID,
+    AttemptEnd, LoadReport, Nanos, NodeEntry, Outcome, Readiness, Remark, RoutingRequest, TypeId, UNKNOWN_ID,
     ZoneId, mix, stable_hash,
 };
 use copperroute_routing::policy::Dispatcher;
@@ -125,12 +125,12 @@
 }
 
 /// A load report; values that are not read, or are no numbers, are passed over.
-fn report(pairs: &str) -> Report {
+fn report(pairs: &str) -> LoadReport {
     let value = |name: &str| {
         let pair = pairs.split(',').filter_map(|pair| pair.split_once(':')).find(|pair| pair.0 == name)?;
         pair.1.parse().ok().filter(|value: &f64| value.is_finite() && *value >= 0.0)
     };
-    Report { in_hand: value("busy_reqs"), busy: value("cpu_share") }
+    LoadReport { in_flight: value("busy_reqs"), busy: value("cpu_share") }
 }
 
 fn entry(fields: &mut Fields<'_>, transport: &mut StdioTransport) -> Result<NodeEntry, String> {
@@ -233,7 +233,14 @@
             let remark = remark(fields.maybe("remark")?.unwrap_or(0));
             let report = report(fields.text("health_info")?);
             if let Some(request_id) = request_id {
-                let end = AttemptEnd { outcome, took, closed, waited, remark, report };
+                let end = AttemptEnd {
+                    outcome,
+                    duration: took,
+                    completes_request: closed,
+                    first_byte_wait: waited,
+                    remark,
+                    report,
+                };
                 module.attempt_ended(now, request_id, number, &end, transport);
             }
         }
