--- a/crates/config-rollout/benches/switch.rs
+++ b/crates/config-rollout/benches/switch.rs
@@ -120,7 +120,7 @@
         weight: 1e6,
         started: Nanos::ZERO,
     };
-    module.nodes_listed(Nanos(S), &[entry(0, 0), entry(1, 0), entry(2, 1), entry(3, 2)], &mut Nobody);
+    module.node_list_replaced(Nanos(S), &[entry(0, 0), entry(1, 0), entry(2, 1), entry(3, 2)], &mut Nobody);
     for request_id in 0..in_hand {
         let hash = mix(u64::from(request_id));
         let routing_request = RoutingRequest {
--- a/crates/dispatcher/src/reducer/changes.rs
+++ b/crates/dispatcher/src/reducer/changes.rs
@@ -136,7 +136,7 @@
         if fleet.full {
             withdrawn
                 .extend(self.request_table.unlisted(&named).into_iter().map(|node| (node, Readiness::Gone)));
-            self.module.nodes_listed(now, &entries, &mut self.request_table);
+            self.module.node_list_replaced(now, &entries, &mut self.request_table);
         } else {
             self.module.nodes_changed(now, &entries, &mut self.request_table);
         }
--- a/crates/dispatcher/src/reducer/clients.rs
+++ b/crates/dispatcher/src/reducer/clients.rs
@@ -157,7 +157,7 @@
 
     /// Answers a request from an own copy.
     pub(super) fn serve(&mut self, now: Nanos, routing_request: &RoutingRequest, own: Own) {
-        self.module.served_here(now, routing_request, &mut self.request_table);
+        self.module.served_from_own_copy(now, routing_request, &mut self.request_table);
         match own {
             Own::Bytes(body) => self.request_table.answer(routing_request.request_id, Answer::Served(&body)),
             Own::Current => self.request_table.answer(routing_request.request_id, Answer::Current),
@@ -167,7 +167,7 @@
 
     /// The key of a copy that the disk is to be asked for.
     pub(super) fn asks_disk(&self, now: Nanos, routing_request: &RoutingRequest) -> Option<Key> {
-        let copies = self.copies.as_ref().filter(|_| !self.module.purges_are_doubtful(now))?;
+        let copies = self.copies.as_ref().filter(|_| !self.module.may_miss_purges(now))?;
         let content_type = self.settings.content_types.get(routing_request.content_type.0 as usize)?;
         // How old they are after a restart no wall clock can tell by itself.
         if content_type.fresh_for.is_some() && !self.outside.is_answered() {
@@ -185,7 +185,7 @@
         let (Some(Reading { routing_request, key, .. }), Some(copies)) = (asked, &mut self.copies) else {
             return;
         };
-        if self.module.purges_are_doubtful(now) {
+        if self.module.may_miss_purges(now) {
             return self.go_on(now, request_id);
         }
         let target = self.settings.content_types[routing_request.content_type.0 as usize].latency_target;
@@ -197,7 +197,7 @@
         let Some(own) = own else { return self.go_on(now, request_id) };
         let (routing_request, key) = (*routing_request, *key);
         self.reading.remove(&request_id.0);
-        if let (Some((facts, body)), Some((rate, hops))) = (copy, self.module.known(&routing_request)) {
+        if let (Some((facts, body)), Some((rate, hops))) = (copy, self.module.copy_demand(&routing_request)) {
             let offered = Offered { key, facts, body: body.into() };
             if let Some(copies) = &mut self.copies {
                 copies.offer(offered, rate, hops);
@@ -229,7 +229,7 @@
     ) -> Option<Own> {
         let copies = self.copies.as_mut()?;
         // A purge that was not heard may be of any copy.
-        if self.module.purges_are_doubtful(now) {
+        if self.module.may_miss_purges(now) {
             self.doubt.own_copies_withheld += 1;
             return None;
         }
--- a/crates/dispatcher/src/reducer/doubt.rs
+++ b/crates/dispatcher/src/reducer/doubt.rs
@@ -2,7 +2,7 @@
 //! because of it. Lines come with each change, and each [`REPORT_EVERY`] while doubt lasts.
 
 use super::*;
-use copperroute_routing::policy::UnheardCounts;
+use copperroute_routing::policy::StalenessCounts;
 
 /// While doubt lasts a line says so as often as this.
 const REPORT_EVERY: Nanos = Nanos(10_000_000_000);
@@ -23,14 +23,14 @@
 #[derive(Debug, Clone, Copy, Default)]
 struct Counts {
     own_copies_withheld: u64,
-    policy: UnheardCounts,
+    policy: StalenessCounts,
     probes: ProbeCounts,
 }
 
 impl Reducer {
     /// Says what has changed of doubt.
     pub(super) fn report_doubt(&mut self, now: Nanos) {
-        let (purges, drains) = (self.module.purges_are_doubtful(now), self.module.drains_are_doubtful(now));
+        let (purges, drains) = (self.module.may_miss_purges(now), self.module.may_miss_drains(now));
         let (was, is) = (self.doubt.purges || self.doubt.drains, purges || drains);
         let changed = (purges, drains) != (self.doubt.purges, self.doubt.drains);
         if !changed && (!is || now.since(self.doubt.said) < REPORT_EVERY) {
@@ -38,7 +38,7 @@
         }
         let counts = Counts {
             own_copies_withheld: self.doubt.own_copies_withheld,
-            policy: self.module.unheard_counts(),
+            policy: self.module.staleness_counts(),
             probes: self.request_table.probe_counts(),
         };
         if !was {
@@ -52,9 +52,9 @@
             known_age_ms = self.log.knowledge().age(now).0 / 1_000_000,
             for_ms = now.since(self.doubt.since).0 / 1_000_000,
             own_copies_withheld = counts.own_copies_withheld - before.own_copies_withheld,
-            newer_copies_asked = counts.policy.newer_copies - before.policy.newer_copies,
-            nodes_refused = counts.policy.refused - before.policy.refused,
-            leases_ended = counts.policy.lease_ended - before.policy.lease_ended,
+            newer_copies_asked = counts.policy.age_limited_attempts - before.policy.age_limited_attempts,
+            nodes_refused = counts.policy.refused_nodes - before.policy.refused_nodes,
+            leases_ended = counts.policy.expired_leases - before.policy.expired_leases,
             probes = counts.probes.asked - before.probes.asked,
             probes_yes = counts.probes.takes_work - before.probes.takes_work,
             probes_no = counts.probes.takes_none - before.probes.takes_none;
--- a/crates/dispatcher/src/reducer/handing_on.rs
+++ b/crates/dispatcher/src/reducer/handing_on.rs
@@ -7,7 +7,7 @@
     pub(super) fn hand_on_knowledge(&mut self, now: Nanos) {
         let knowledge = *self.log.knowledge();
         if self.known.replace(knowledge) != Some(knowledge) {
-            self.module.change_log_known(now, knowledge, &mut self.request_table);
+            self.module.change_log_changed(now, knowledge, &mut self.request_table);
         }
     }
 
@@ -17,16 +17,16 @@
             self.outside.copy_heard(now, made_ms);
         }
         for (node, asked, takes_work) in std::mem::take(&mut self.request_table.alive) {
-            self.module.probe_answered(node, asked, takes_work);
+            self.module.readiness_probe_answered(node, asked, takes_work);
         }
         for (node, until) in self.request_table.turned_away() {
-            self.module.node_turns_away(node, until);
+            self.module.node_refuses_connections(node, until);
         }
         while let Some((attempt, end)) = self.request_table.ended.pop_front() {
             self.module.attempt_ended(now, attempt.request_id, attempt.number, &end, &mut self.request_table);
         }
         for (routing_request, offered) in std::mem::take(&mut self.request_table.offered) {
-            let known = self.module.known(&routing_request);
+            let known = self.module.copy_demand(&routing_request);
             if let (Some(copies), Some((rate, hops))) = (&mut self.copies, known) {
                 if let Some(rank) = copies.to_disk(&offered, rate, hops) {
                     let (key, facts, body) = (offered.key, offered.facts, offered.body.clone());
--- a/crates/dispatcher/src/reducer/mod.rs
+++ b/crates/dispatcher/src/reducer/mod.rs
@@ -180,7 +180,7 @@
     /// What is out at each node: as the decisions believe, and as it is.
     pub fn out(&self) -> Vec<(u32, u32)> {
         let nodes = (0..self.nodes_kept()).map(NodeId);
-        nodes.map(|node| (self.module.out_at(node), self.request_table.out_at(node))).collect()
+        nodes.map(|node| (self.module.in_flight_at(node), self.request_table.out_at(node))).collect()
     }
 
     /// Changes the state as the event asks, and returns what is to be done.
--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -24,7 +24,7 @@
 mod rules;
 mod unheard;
 
-pub use unheard::UnheardCounts;
+pub use unheard::StalenessCounts;
 
 // MC3's open choices, and the starting values of the design page.
 const TABLE: usize = 20_000; // shadow entries
@@ -88,7 +88,7 @@
     again: Nanos,                   // when the cold node that was asked last bears an attempt of this one's
     knowledge: Option<Knowledge>,   // of the change log, where the adapter tells
     probes_leases: bool,            // a timer is set for that
-    unheard: Cell<UnheardCounts>,   // counted where choices are only read
+    unheard: Cell<StalenessCounts>, // counted where choices are only read
     random: Random,
     serial: u32,
 }
@@ -154,7 +154,7 @@
     }
 
     /// A node has said what it is doing.
-    pub fn probed(&mut self, now: Nanos, id: NodeId, report: LoadReport) {
+    pub fn load_probe_answered(&mut self, now: Nanos, id: NodeId, report: LoadReport) {
         if self.nodes.reported(now, id, self.cold_start(id).0.warm_after, report) {
             self.link.listed(&self.s, self.nodes.caches_can(self.s.zone_dispatchers));
         }
@@ -170,7 +170,7 @@
     }
 
     /// The whole list: what is not in it is gone.
-    pub fn nodes_listed(&mut self, now: Nanos, entries: &[NodeEntry], out: &mut impl Actions) {
+    pub fn node_list_replaced(&mut self, now: Nanos, entries: &[NodeEntry], out: &mut impl Actions) {
         self.nodes.unlist_all();
         self.nodes_changed(now, entries, out);
     }
@@ -185,7 +185,7 @@
     }
 
     /// Attempts and fills believed to be out at a node.
-    pub fn out_at(&self, id: NodeId) -> u32 {
+    pub fn in_flight_at(&self, id: NodeId) -> u32 {
         self.nodes.get(id).map_or(0, |n| n.out)
     }
 
@@ -195,7 +195,7 @@
     }
 
     /// A node takes no connection of this dispatcher's before then: it is left out, and has not died.
-    pub fn node_turns_away(&mut self, id: NodeId, until: Nanos) {
+    pub fn node_refuses_connections(&mut self, id: NodeId, until: Nanos) {
         self.nodes.get_mut(id).into_iter().for_each(|n| n.aside_until = n.aside_until.max(until));
     }
 
@@ -205,7 +205,7 @@
     }
 
     /// A call to discovery failed: the old list stands, and the subscription is asked for again.
-    pub fn list_failed(&mut self, _now: Nanos, out: &mut impl Actions) {
+    pub fn subscription_failed(&mut self, _now: Nanos, out: &mut impl Actions) {
         out.arm_timer(ASK_AGAIN, FOLLOW_DUE);
     }
 
--- a/crates/routing/src/policy/ordinary.rs
+++ b/crates/routing/src/policy/ordinary.rs
@@ -24,12 +24,12 @@
     }
 
     /// A request that was answered from an own copy: counted in the ghost cache as any other.
-    pub fn served_here(&mut self, now: Nanos, d: &RoutingRequest, out: &mut impl Actions) {
+    pub fn served_from_own_copy(&mut self, now: Nanos, d: &RoutingRequest, out: &mut impl Actions) {
         self.count(now, d, out);
     }
 
     /// What the ghost cache knows of a copy: own requests a second, and hops to the closest copy.
-    pub fn known(&self, d: &RoutingRequest) -> Option<(Option<f64>, f64)> {
+    pub fn copy_demand(&self, d: &RoutingRequest) -> Option<(Option<f64>, f64)> {
         let ghost_entry =
             self.ghost_cache.get(d.object).filter(|ghost_entry| ghost_entry.copy_hash == d.copy_hash)?;
         Some((ghost_entry.gap_s.map(|gap| 1.0 / gap), ghost_entry.hops))
--- a/crates/routing/src/policy/unheard.rs
+++ b/crates/routing/src/policy/unheard.rs
@@ -15,40 +15,40 @@
 
 /// What was done since the start because the change log was not heard.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct UnheardCounts {
+pub struct StalenessCounts {
     /// Attempts that asked for copies that no purge can forbid that was not heard.
-    pub newer_copies: u64,
+    pub age_limited_attempts: u64,
     /// Nodes left out of a choice as they had refused.
-    pub refused: u64,
+    pub refused_nodes: u64,
     /// Nodes left out of a choice as their lease had ended.
-    pub lease_ended: u64,
+    pub expired_leases: u64,
 }
 
 impl Dispatcher {
     /// What was done since the start because the change log was not heard.
-    pub fn unheard_counts(&self) -> UnheardCounts {
+    pub fn staleness_counts(&self) -> StalenessCounts {
         self.unheard.get()
     }
 
-    fn count_unheard(&self, count: impl FnOnce(&mut UnheardCounts)) {
+    fn count_unheard(&self, count: impl FnOnce(&mut StalenessCounts)) {
         let mut counts = self.unheard.get();
         count(&mut counts);
         self.unheard.set(counts);
     }
 
     /// Whether nodes may drain that the list does not say so of: they are sent work under leases.
-    pub fn drains_are_doubtful(&self, now: Nanos) -> bool {
+    pub fn may_miss_drains(&self, now: Nanos) -> bool {
         self.knowledge.is_some_and(|knowledge| knowledge.is_doubtful(now, self.s.drain_grace))
     }
 
     /// What is known of the change log now.
-    pub fn change_log_known(&mut self, now: Nanos, knowledge: Knowledge, out: &mut impl Actions) {
+    pub fn change_log_changed(&mut self, now: Nanos, knowledge: Knowledge, out: &mut impl Actions) {
         self.knowledge = Some(knowledge);
         self.plan_probes(now, out);
     }
 
     /// A node that was probed at `sent` says whether it takes work.
-    pub fn probe_answered(&mut self, id: NodeId, sent: Nanos, takes_work: bool) {
+    pub fn readiness_probe_answered(&mut self, id: NodeId, sent: Nanos, takes_work: bool) {
         let Some(node) = self.nodes.get_mut(id) else { return };
         match takes_work {
             true => node.lease.took(sent),
@@ -57,17 +57,17 @@
     }
 
     /// Whether copies that may have been purged are to be left alone.
-    pub fn purges_are_doubtful(&self, now: Nanos) -> bool {
+    pub fn may_miss_purges(&self, now: Nanos) -> bool {
         self.knowledge.is_some_and(|knowledge| knowledge.is_doubtful(now, self.s.purge_notice))
     }
 
     /// The oldest copy that no purge can forbid that was not heard, whenever that was: one that is younger than the time to
     /// heed it. `None` while all are heard.
     pub(super) fn max_age_unheard(&self, now: Nanos) -> Option<Nanos> {
-        if !self.purges_are_doubtful(now) {
+        if !self.may_miss_purges(now) {
             return None;
         }
-        self.count_unheard(|counts| counts.newer_copies += 1);
+        self.count_unheard(|counts| counts.age_limited_attempts += 1);
         Some(self.s.purge_notice.since(LEAVES_WITHIN))
     }
 
@@ -84,7 +84,7 @@
             _ => [None, None],
         };
         for (id, took) in shown.into_iter().flatten() {
-            self.probe_answered(id, sent.at, took);
+            self.readiness_probe_answered(id, sent.at, took);
         }
     }
 
@@ -113,8 +113,8 @@
         let Some(until) = self.may_send_until(now, id) else { return true };
         if now >= until {
             self.count_unheard(|counts| match until {
-                Nanos::ZERO => counts.refused += 1,
-                _ => counts.lease_ended += 1,
+                Nanos::ZERO => counts.refused_nodes += 1,
+                _ => counts.expired_leases += 1,
             });
         }
         now < until
--- a/crates/routing/tests/module/changed.rs
+++ b/crates/routing/tests/module/changed.rs
@@ -85,12 +85,12 @@
         client: 0,
         body_hash: 0,
     };
-    let known = module.known(&d);
+    let known = module.copy_demand(&d);
     let mut tight = settings();
     (tight.max_attempts, tight.cache_cold.share) = (2, 0.1);
     module.settings_changed(&tight);
     assert!(known.is_some_and(|known| known.0.is_some()));
-    assert_eq!(module.known(&d), known);
+    assert_eq!(module.copy_demand(&d), known);
     ask(&mut module, ms(4_000), 1, 0, 1, &mut trace);
     assert!(trace.0.contains("dl 1: pull"), "{}", trace.0);
 }
--- a/crates/routing/tests/module/cold_fleet.rs
+++ b/crates/routing/tests/module/cold_fleet.rs
@@ -122,7 +122,7 @@
         let mut module = Dispatcher::new(self.settings(seed));
         let mut out = Calls::default();
         module.start(now, &mut out);
-        module.nodes_listed(now, &self.list(started), &mut out);
+        module.node_list_replaced(now, &self.list(started), &mut out);
         module
     }
 
--- a/crates/routing/tests/module/common.rs
+++ b/crates/routing/tests/module/common.rs
@@ -124,7 +124,7 @@
     module.start(ms(1), &mut trace);
     let nodes = [(0, 0), (1, 0), (2, 0), (3, 1), (4, 1), (5, 2)];
     let list = nodes.map(|(id, kind)| entry(id, kind, Readiness::Ready, Nanos::ZERO));
-    module.nodes_listed(ms(1), &list, &mut trace);
+    module.node_list_replaced(ms(1), &list, &mut trace);
     (module, trace)
 }
 
--- a/crates/routing/tests/module/largest.rs
+++ b/crates/routing/tests/module/largest.rs
@@ -114,7 +114,7 @@
         let mut outs: Vec<_> = fleet.iter().map(|_| Out::default()).collect();
         for (module, out) in fleet.iter_mut().zip(&mut outs) {
             module.start(ms(1), out);
-            module.nodes_listed(ms(1), &entries(Nanos::ZERO), out);
+            module.node_list_replaced(ms(1), &entries(Nanos::ZERO), out);
         }
         let mut wants: Vec<Want> = Vec::new();
         let mut open: BTreeMap<(usize, u32), (usize, Nanos)> = BTreeMap::new();
--- a/crates/routing/tests/module/rules.rs
+++ b/crates/routing/tests/module/rules.rs
@@ -83,7 +83,7 @@
     // A whole list: what it leaves out is gone.
     let kinds = [(2, 0), (4, 1), (5, 2)];
     let list = kinds.map(|(id, kind)| entry(id, kind, Readiness::Ready, Nanos::ZERO));
-    module.nodes_listed(ms(1_100), &list, &mut trace);
+    module.node_list_replaced(ms(1_100), &list, &mut trace);
     ask(&mut module, ms(1_200), 9, 0, 0, &mut trace);
     miss(&mut module, ms(1_201), 9, &mut trace);
     expect![[r#"
--- a/crates/routing/tests/module/sizes.rs
+++ b/crates/routing/tests/module/sizes.rs
@@ -87,11 +87,11 @@
         let nodes = [(0, 0), (1, 0), (2, 0), (3, 1), (4, 1), (5, 2)];
         let list =
             nodes.map(|(id, kind)| NodeEntry { weight, ..entry(id, kind, Readiness::Ready, Nanos::ZERO) });
-        module.nodes_listed(ms(1), &list, trace);
+        module.node_list_replaced(ms(1), &list, trace);
         // Warm caches say what they do.
         for at in 0..200_u64 {
             let report = LoadReport { in_flight: Some(6.0), busy: Some(0.5) };
-            module.probed(ms(50 * at), NodeId(at as u32 % 3), report);
+            module.load_probe_answered(ms(50 * at), NodeId(at as u32 % 3), report);
         }
         let again = NodeEntry { weight, ..entry(2, 0, Readiness::Ready, began) };
         module.nodes_changed(began, &[again], trace);
--- a/crates/routing/tests/module/unheard.rs
+++ b/crates/routing/tests/module/unheard.rs
@@ -19,7 +19,7 @@
 /// A dispatcher that may probe, or not, whose log has broken.
 fn unheard(readiness_probes: bool) -> (copperroute_routing::policy::Dispatcher, Trace) {
     let (mut module, mut trace) = start(Settings { readiness_probes, ..settings() });
-    module.change_log_known(ms(BROKE_MS), broken(), &mut trace);
+    module.change_log_changed(ms(BROKE_MS), broken(), &mut trace);
     (module, trace)
 }
 
@@ -53,7 +53,7 @@
     assert!(trace.0.contains("age<=0.400"), "{}", trace.0);
     let mut knowledge = broken();
     knowledge.vouched(ms(BROKE_MS + 3_000), Nanos::ZERO);
-    module.change_log_known(ms(BROKE_MS + 3_000), knowledge, &mut trace);
+    module.change_log_changed(ms(BROKE_MS + 3_000), knowledge, &mut trace);
     trace.0.clear();
     ask(&mut module, ms(BROKE_MS + 3_000), 3, 0, 3, &mut trace);
     assert!(!trace.0.contains("age<="), "{}", trace.0);
@@ -64,8 +64,8 @@
     let (mut module, mut trace) = unheard(true);
     assert_eq!(asked_at(&mut module, ms(BROKE_MS + 2_800)), [0, 1, 2]);
     assert_eq!(asked_at(&mut module, ms(BROKE_MS + 2_900)), [] as [u32; 0]);
-    module.probe_answered(NodeId(1), ms(BROKE_MS + 2_850), true);
-    module.probe_answered(NodeId(2), ms(BROKE_MS + 2_850), false);
+    module.readiness_probe_answered(NodeId(1), ms(BROKE_MS + 2_850), true);
+    module.readiness_probe_answered(NodeId(2), ms(BROKE_MS + 2_850), false);
     assert_eq!(asked_at(&mut module, ms(BROKE_MS + 2_900)), [1]);
     // A lease is over 0.9 s after the probe was sent.
     assert_eq!(asked_at(&mut module, ms(BROKE_MS + 3_749)), [1]);
@@ -86,7 +86,7 @@
     assert!(span <= ms(300), "{span:?}");
     let mut knowledge = broken();
     knowledge.vouched(first, Nanos::ZERO);
-    module.change_log_known(first, knowledge, &mut trace);
+    module.change_log_changed(first, knowledge, &mut trace);
     trace.0.clear();
     trace.1.clear();
     module.timer(first.after(span), token, &mut trace);
@@ -97,20 +97,20 @@
 fn without_probes_a_node_that_refused_is_left_out_until_the_log_is_heard() {
     let (mut module, mut trace) = unheard(false);
     let refusing = asked_at(&mut module, ms(BROKE_MS + 100))[0];
-    module.probe_answered(NodeId(refusing), ms(BROKE_MS + 200), false);
+    module.readiness_probe_answered(NodeId(refusing), ms(BROKE_MS + 200), false);
     let others: Vec<u32> = [0, 1, 2].into_iter().filter(|node| *node != refusing).collect();
     assert_eq!(asked_at(&mut module, ms(BROKE_MS + 300)), others);
     assert_eq!(asked_at(&mut module, ms(BROKE_MS + 60_000)), others);
     let mut knowledge = broken();
     knowledge.vouched(ms(BROKE_MS + 60_001), Nanos::ZERO);
-    module.change_log_known(ms(BROKE_MS + 60_001), knowledge, &mut trace);
+    module.change_log_changed(ms(BROKE_MS + 60_001), knowledge, &mut trace);
     assert_eq!(asked_at(&mut module, ms(BROKE_MS + 60_002)), [0, 1, 2]);
 }
 
 #[test]
 fn without_probes_caches_that_all_refuse_are_full_and_stay_in_use() {
     let (mut module, _) = unheard(false);
-    (0..3).for_each(|node| module.probe_answered(NodeId(node), ms(BROKE_MS + 200), false));
+    (0..3).for_each(|node| module.readiness_probe_answered(NodeId(node), ms(BROKE_MS + 200), false));
     assert_eq!(asked_at(&mut module, ms(BROKE_MS + 5_000)), [0, 1, 2]);
 }
 
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -179,8 +179,8 @@
             }
             match how {
                 0 => module.nodes_changed(now, &nodes, transport),
-                1 | 2 => module.nodes_listed(now, &nodes, transport),
-                3 => module.list_failed(now, transport),
+                1 | 2 => module.node_list_replaced(now, &nodes, transport),
+                3 => module.subscription_failed(now, transport),
                 other => return Err(format!("backends_changed: how: expected 0 to 3, found '{other}'")),
             }
         }
@@ -261,7 +261,7 @@
             let passed = outcome(fields.text("state_code")?)? == Outcome::Served;
             let report = report(fields.text("health_info")?);
             if let Some(node) = transport.held_node(host).filter(|_| passed) {
-                module.probed(now, node, report);
+                module.load_probe_answered(now, node, report);
             }
         }
         "voided" => {
