--- a/crates/dispatcher/src/nodes/list.rs
+++ b/crates/dispatcher/src/nodes/list.rs
@@ -105,7 +105,7 @@
             (0..self.ids.count()).filter(|at| self.pools.get(*at).is_some_and(old)).collect();
         for at in &forgotten {
             self.set_address(NodeId(*at), None);
-            self.pools.clear(*at);
+            self.pools.remove(*at);
             self.ids.release(*at);
         }
         forgotten.into_iter().map(NodeId).collect()
--- a/crates/dispatcher/src/request_table/actions.rs
+++ b/crates/dispatcher/src/request_table/actions.rs
@@ -64,7 +64,7 @@
         if let Some(pending) = self.pending.get(request_id.0) {
             self.asked.remove(&pending.request.id);
         }
-        self.pending.clear(request_id.0);
+        self.pending.remove(request_id.0);
         self.request_ids.release(request_id.0);
     }
 
--- a/crates/routing/src/fleet/overload_control/mod.rs
+++ b/crates/routing/src/fleet/overload_control/mod.rs
@@ -213,15 +213,21 @@
     pub fn arrives(&mut self, now: Nanos, d: &RoutingRequest, work_s: f64) -> Admission {
         let born = *self.born.get_or_insert(now);
         let at = d.content_type.0 as usize;
-        let print = mix(d.client ^ mix(d.copy_hash ^ mix(u64::from(d.content_type.0) ^ d.body_hash)));
-        let mut reservation = Reservation { print, taken: now, level: 0, damped: false, spent: 0 };
+        let fingerprint = mix(d.client ^ mix(d.copy_hash ^ mix(u64::from(d.content_type.0) ^ d.body_hash)));
+        let mut reservation = Reservation {
+            fingerprint,
+            arrived_at: now,
+            priority_level: 0,
+            admitted_under_overload: false,
+            earlier_attempts: 0,
+        };
         if self.rows[at].is_once() {
             let repeats = d.is_retry || !self.s.clients_mark_retries;
             // What was in flight before a start, or was dropped early, is unknown: it may have run.
             let unknown = now.since(born) < self.s.remember_for
                 || self.once.has_lost_entries(now)
                 || self.s.unknown_retry_may_have_run;
-            let may_have_run = match self.once.get(print) {
+            let may_have_run = match self.once.get(fingerprint) {
                 Some(Ran::InHand | Ran::Maybe) => repeats,
                 Some(Ran::Never) => false,
                 None => d.is_retry && unknown,
@@ -230,11 +236,11 @@
                 return Admission::Never(reservation);
             }
         }
-        let page = self.pages.get(print).cloned();
+        let page = self.pages.get(fingerprint).cloned();
         let repeat = d.is_retry || (!self.s.clients_mark_retries && page.as_ref().is_some_and(Page::waits));
         let mut page = page.unwrap_or_default();
         let tried = if repeat { page.returns(now) } else { None };
-        reservation.spent = tried.map_or(0, |tried| tried.attempts);
+        reservation.earlier_attempts = tried.map_or(0, |tried| tried.attempts);
         let row = &mut self.rows[at];
         if !repeat {
             row.seen.add(now, 0, 1.0);
@@ -248,29 +254,32 @@
         // A retry before its retry-after gets the same retry-after again and no new slot.
         if let Some(early) = told.filter(|tried| damped && tried.back > now.after(EARLY)) {
             page.put(early);
-            self.pages.insert(now, print, page);
-            return Admission::Later(Reservation { level: Reservation::EARLY, ..reservation });
+            self.pages.insert(now, fingerprint, page);
+            return Admission::Later(Reservation {
+                priority_level: Reservation::EARLY_RETRY_LEVEL,
+                ..reservation
+            });
         }
         if repeat {
-            self.pages.insert(now, print, page);
+            self.pages.insert(now, fingerprint, page);
         }
-        if u32::from(reservation.spent) >= self.s.max_attempts {
+        if u32::from(reservation.earlier_attempts) >= self.s.max_attempts {
             return Admission::Never(reservation);
         }
         let in_time = told.is_some_and(|tried| tried.reserved && now <= tried.back.after(LATE));
-        reservation.level =
+        reservation.priority_level =
             if in_time { AdmissionControl::RESERVED } else { AdmissionControl::level(benefit, work_s) };
         let backend = self.backend_of(d.content_type);
-        self.admission[backend].asked(now, reservation.level, work_s);
+        self.admission[backend].asked(now, reservation.priority_level, work_s);
         if damped {
             let draw = self.random.share();
-            if !self.admission[backend].lets_in(at, reservation.level, work_s, draw) {
+            if !self.admission[backend].lets_in(at, reservation.priority_level, work_s, draw) {
                 return Admission::Later(reservation);
             }
-            reservation.damped = true;
+            reservation.admitted_under_overload = true;
         }
         if self.rows[at].is_once() {
-            self.once.insert(now, print, Ran::InHand);
+            self.once.insert(now, fingerprint, Ran::InHand);
         }
         Admission::Take(reservation)
     }
@@ -284,16 +293,16 @@
         to: Stage,
         target_s: f64,
     ) -> Option<Nanos> {
-        let (at, reservation) = (request_id.d.content_type.0 as usize, request_id.reservation);
+        let (at, reservation) = (request_id.routing_request.content_type.0 as usize, request_id.reservation);
         let served = to == Stage::Served;
-        let ended = to != Stage::Left;
+        let ended = to != Stage::ClientGone;
         let row = &mut self.rows[at];
-        if ended && reservation.level != Reservation::EARLY {
+        if ended && reservation.priority_level != Reservation::EARLY_RETRY_LEVEL {
             row.seen.add(now, if served { 2 } else { 3 }, 1.0);
         }
         let backend = usize::from(row.told.uncacheable);
-        if reservation.damped && ended {
-            let in_time = served && now.since(reservation.taken).secs() <= target_s;
+        if reservation.admitted_under_overload && ended {
+            let in_time = served && now.since(reservation.arrived_at).secs() <= target_s;
             if to == Stage::Rejected && request_id.missed_at.is_some() {
                 self.admission[backend].came_to_nothing(request_id.work_s);
             } else {
@@ -302,27 +311,31 @@
             }
         }
         let attempts = reservation
-            .spent
+            .earlier_attempts
             .saturating_add(request_id.attempts.iter().filter(|attempt| attempt.reached).count() as u8);
         if to != Stage::Rejected {
             if to == Stage::Failed && attempts > 0 && !row.is_once() {
-                self.remember(now, reservation.print, Tried { attempts, back: Nanos::ZERO, reserved: false });
+                self.remember(
+                    now,
+                    reservation.fingerprint,
+                    Tried { attempts, back: Nanos::ZERO, reserved: false },
+                );
             }
             return None;
         }
         if row.is_once() {
             // It is rejected with retry-after only if no attempt has run.
-            self.once.insert(now, reservation.print, Ran::Never);
+            self.once.insert(now, reservation.fingerprint, Ran::Never);
         }
-        if reservation.level == Reservation::EARLY {
-            let back = self.pages.get(reservation.print).and_then(Page::next_back);
+        if reservation.priority_level == Reservation::EARLY_RETRY_LEVEL {
+            let back = self.pages.get(reservation.fingerprint).and_then(Page::next_back);
             return Some(back.map_or(self.longest, |back| back.since(now)));
         }
         let (back, reserved) = match row.load_state {
             LoadState::Calm => (Nanos::ZERO, false),
-            _ => self.slot(now, backend, reservation.level, request_id.work_s),
+            _ => self.slot(now, backend, reservation.priority_level, request_id.work_s),
         };
-        self.remember(now, reservation.print, Tried { attempts, back, reserved });
+        self.remember(now, reservation.fingerprint, Tried { attempts, back, reserved });
         (back > Nanos::ZERO).then(|| back.since(now))
     }
 
@@ -346,10 +359,14 @@
 
     /// All attempts of an answered request have ended: whether it may have run is now final.
     pub fn settled(&mut self, now: Nanos, request_id: &RequestState) {
-        let row = &self.rows[request_id.d.content_type.0 as usize];
-        if row.is_once() && self.once.get(request_id.reservation.print) == Some(&Ran::InHand) {
+        let row = &self.rows[request_id.routing_request.content_type.0 as usize];
+        if row.is_once() && self.once.get(request_id.reservation.fingerprint) == Some(&Ran::InHand) {
             let ran = request_id.may_have_run.is_some() || request_id.stage == Stage::Served;
-            self.once.insert(now, request_id.reservation.print, if ran { Ran::Maybe } else { Ran::Never });
+            self.once.insert(
+                now,
+                request_id.reservation.fingerprint,
+                if ran { Ran::Maybe } else { Ran::Never },
+            );
         }
     }
 }
@@ -368,4 +385,4 @@
     }
 }
 
-const _: () = assert!((Reservation::EARLY as usize) >= LEVELS);
+const _: () = assert!((Reservation::EARLY_RETRY_LEVEL as usize) >= LEVELS);
--- a/crates/routing/src/nodes.rs
+++ b/crates/routing/src/nodes.rs
@@ -202,7 +202,7 @@
     /// Lets go of a node that has left the list.
     pub fn forget(&mut self, id: NodeId) {
         self.slots.get(id.0).into_iter().for_each(|n| self.in_use.remove(&n.e));
-        self.slots.clear(id.0);
+        self.slots.remove(id.0);
     }
 
     /// Takes every node off the list.
--- a/crates/routing/src/policy/ends.rs
+++ b/crates/routing/src/policy/ends.rs
@@ -56,14 +56,15 @@
             self.further.add(now, usize::from(!worked), 1.0);
         }
         if end.completes_request {
-            self.move_to(now, id, if worked { Stage::Served } else { Stage::Left }, out);
+            self.move_to(now, id, if worked { Stage::Served } else { Stage::ClientGone }, out);
         } else if request.stage == Stage::Attempting && request.attempts.iter().all(|p| !p.out) {
             // Further attempts follow the share of recent ones that worked, so a wide failure brings no storm.
             let [worked, failed] = self.further.sums(now);
             let share = ((worked + 2.0) / (worked + failed + 2.0)).max(FURTHER_FLOOR);
-            let in_time = request.d.deadline.since(now).secs() > request.work_s;
-            let storm = self.storm.as_ref().map_or(1.0, |storm| storm.further(request.d.content_type));
-            let attempts = request.attempts.len() + usize::from(request.reservation.spent);
+            let in_time = request.routing_request.deadline.since(now).secs() > request.work_s;
+            let storm =
+                self.storm.as_ref().map_or(1.0, |storm| storm.further(request.routing_request.content_type));
+            let attempts = request.attempts.len() + usize::from(request.reservation.earlier_attempts);
             let most = request.pinned.max_attempts();
             let allowed = in_time && attempts < most;
             // What a parent lacks, or the origin refused or failed, is to be had nowhere else.
@@ -71,7 +72,7 @@
             // The look after it leaves room for a fill of its own.
             let wait =
                 if request.rides.is_some() { self.fill_usual_s * (0.5 + self.random.share()) } else { 0.0 };
-            let in_time = request.d.deadline.since(now).secs() > wait + request.work_s;
+            let in_time = request.routing_request.deadline.since(now).secs() > wait + request.work_s;
             let rides = allowed && request.rides.is_some() && in_time && attempts + 2 <= most;
             self.requests
                 .get_mut(id.0)
@@ -91,13 +92,13 @@
 
     /// The answer tells how far the closest held copy was; a hit keeps the hops of the last fill.
     pub(super) fn learn(&mut self, now: Nanos, request: &RequestState, sent: &Sent, end: &AttemptEnd) {
-        let told = request.d.size_kb.is_some() && self.s.client_kb_per_s > 0.0;
+        let told = request.routing_request.size_kb.is_some() && self.s.client_kb_per_s > 0.0;
         let own_s = match end.remark {
             _ if told => Some(request.work_s),
             Remark::Hit => Some(end.duration.secs()),
             _ => None,
         };
-        self.types[request.d.content_type.0 as usize].saw(own_s);
+        self.types[request.routing_request.content_type.0 as usize].saw(own_s);
         // A hit shows how slow its cache is; of a fill only what was sent is known, by cache and source.
         let hit_s = (end.remark == Remark::Hit).then_some(end.duration.secs());
         for id in [Some(sent.node), (!sent.is_look()).then_some(sent.source)].into_iter().flatten() {
@@ -110,7 +111,11 @@
         // Where fills by way of the origin are not told, the source that was named stands in.
         let from_origin = Some(sent.source) == self.nodes.origin() && !self.s.fill_source_reported;
         // The slot may have been given to another object meanwhile.
-        let Some(entry) = self.ghost_cache.get_mut(request.d.object, request.d.copy_hash) else { return };
+        let Some(entry) =
+            self.ghost_cache.get_mut(request.routing_request.object, request.routing_request.copy_hash)
+        else {
+            return;
+        };
         match end.remark {
             Remark::FilledFromCopy if !from_origin => entry.hops = 1.0,
             Remark::FilledFromCopy | Remark::FilledFromOrigin => entry.hops = 2.0,
@@ -144,7 +149,7 @@
             self.origin.refused(now);
         }
         let answered = !matches!(end.outcome, TimedOut | Unreachable | Cancelled | NotSent);
-        let mean = self.row(&request.d).mean_work_s;
+        let mean = self.row(&request.routing_request).mean_work_s;
         self.nodes.held(now, end.duration.secs(), if end.outcome == Served { request.work_s } else { 0.0 });
         let can = self.nodes.get(sent.node).map_or(0.0, |n| self.can(n));
         if let Some(n) = self.nodes.get_mut(sent.node).filter(|_| answered) {
@@ -223,7 +228,7 @@
             && request.rides.is_some()
             && request.attempts.iter().all(|p| !p.out);
         if token as u32 == LOOK_AGAIN && waits {
-            return self.attempt(now, request.d.request_id, out);
+            return self.attempt(now, request.routing_request.request_id, out);
         }
         let found = request.attempts.iter().position(|p| p.out && p.serial == token as u32);
         let Some((number, sent)) = found.map(|at| (at, request.attempts[at])) else { return };
@@ -253,7 +258,7 @@
             .iter()
             .filter(|request| aside && request.stage == Stage::Attempting)
             .filter(retriable);
-        for id in stuck.map(|request| request.d.request_id).collect::<Vec<_>>() {
+        for id in stuck.map(|request| request.routing_request.request_id).collect::<Vec<_>>() {
             self.cancel(id, Some(silent), out);
         }
     }
--- a/crates/routing/src/policy/fill.rs
+++ b/crates/routing/src/policy/fill.rs
@@ -5,7 +5,8 @@
 impl Dispatcher {
     /// Whether the location's link has room for a fill of this.
     pub(super) fn link_has_room(&mut self, now: Nanos, request: &RequestState) -> bool {
-        let (size, draw) = (request.work_s / self.row(&request.d).mean_work_s, self.random.share());
+        let (size, draw) =
+            (request.work_s / self.row(&request.routing_request).mean_work_s, self.random.share());
         self.link.has_room(now, self.s.zone_dispatchers, size, draw)
     }
 
@@ -18,7 +19,7 @@
         // What ran out of time mostly waited, as for a slow origin or parent: it says nothing of the link.
         let waited = if end.outcome == Outcome::TimedOut { Some(end.duration) } else { end.first_byte_wait };
         let waited = waited.unwrap_or_default().secs();
-        let told = &self.row(&request.d).told;
+        let told = &self.row(&request.routing_request).told;
         let leeway =
             told.latency_target.secs() + (told.latency_target_stretch - 1.0).max(0.0) * request.work_s;
         let took = end.duration.secs() - waited;
@@ -42,7 +43,8 @@
     pub(super) fn sibling(&mut self, now: Nanos, request: &RequestState) -> Option<NodeId> {
         let asked = !self.s.fill_from_other_locations
             || request.attempts.iter().any(|p| !p.is_look() && !self.nodes.from_above(p));
-        let homes = self.nodes.homes_away(request.d.copy_hash, now, self.s.cache_cold.warm_after);
+        let homes =
+            self.nodes.homes_away(request.routing_request.copy_hash, now, self.s.cache_cold.warm_after);
         homes.into_iter().find(|id| !asked && self.open(now, *id))
     }
 
@@ -63,10 +65,13 @@
     }
 
     fn parent_for(&mut self, now: Nanos, request: &RequestState) -> Option<NodeId> {
-        let mut parents: Vec<_> =
-            self.nodes.parents().map(|n| (mix(request.d.copy_hash ^ n.e.hash), n.e.node)).collect();
+        let mut parents: Vec<_> = self
+            .nodes
+            .parents()
+            .map(|n| (mix(request.routing_request.copy_hash ^ n.e.hash), n.e.node))
+            .collect();
         parents.sort();
-        let mean = self.row(&request.d).mean_work_s;
+        let mean = self.row(&request.routing_request).mean_work_s;
         parents.retain(|(_, id)| self.open(now, *id));
         let failed = |id: NodeId| request.attempts.iter().any(|p| !p.is_look() && p.source == id);
         let first_byte = |id: NodeId| self.nodes.get(id).map_or(0.0, |n| n.first_byte_s(now, FADES));
@@ -94,6 +99,7 @@
         // locations the first in the copy's order fetch it, and the others ask those.
         let power = [4.0, 2.0, 1.0, 0.5, 0.0][usize::from(rank.min(4))];
         !closed
-            && self.nodes.turn(request.d.copy_hash, self.random.share()) < self.origin.share(now).powf(power)
+            && self.nodes.turn(request.routing_request.copy_hash, self.random.share())
+                < self.origin.share(now).powf(power)
     }
 }
--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -125,7 +125,7 @@
     pub fn settings_changed(&mut self, s: &Settings) {
         self.requests
             .iter_mut()
-            .for_each(|request| request.pinned = request.pinned.and(s, request.d.content_type));
+            .for_each(|request| request.pinned = request.pinned.and(s, request.routing_request.content_type));
         self.types.iter_mut().zip(&s.content_types).for_each(|(row, told)| row.told = told.clone());
         self.s = Settings { seed: self.s.seed, overload_control: self.s.overload_control, ..s.clone() };
     }
@@ -165,7 +165,7 @@
     }
 
     fn target_s(&self, request: &RequestState) -> f64 {
-        let told = &self.row(&request.d).told;
+        let told = &self.row(&request.routing_request).told;
         told.latency_target.secs() + told.latency_target_stretch * request.work_s
     }
 
--- a/crates/routing/src/policy/ordinary.rs
+++ b/crates/routing/src/policy/ordinary.rs
@@ -79,9 +79,9 @@
         let (rides, request) = (request.rides.take(), request.clone());
         self.again = Nanos::ZERO;
         let chosen = match request.missed_at.filter(|id| self.nodes.get(*id).is_some_and(|n| n.listed)) {
-            _ if self.row(&request.d).told.uncacheable => self.runs_at(now, &request),
+            _ if self.row(&request.routing_request).told.uncacheable => self.runs_at(now, &request),
             Some(node) if !self.takes_work(now, node) => None,
-            Some(node) if !self.bears(now, node, self.row(&request.d).mean_work_s) => None,
+            Some(node) if !self.bears(now, node, self.row(&request.routing_request).mean_work_s) => None,
             Some(node) if rides == Some(node) && self.open(now, node) => Some((node, node)),
             Some(node) if self.too_full(now, &request, node) => None,
             Some(node) => self.filler(now, &request).map(|from| (node, from)),
@@ -106,7 +106,7 @@
             source,
             time_limit: None,
             rank,
-            max_age: self.max_age(now, &request.d),
+            max_age: self.max_age(now, &request.routing_request),
             send_by: [
                 request.may_have_run.and_then(|(first, _)| request.pinned.retry_safety().send_by(first)),
                 self.may_send_until(now, node),
@@ -118,7 +118,7 @@
             join: self.s.coalesces_fills && request.attempts.len() < 2,
             held_only: by_cache || (by_parent && !self.may_fetch(now, &request, request.keep.fill_rank)),
             no_parent_copy: rank == 3 && by_parent,
-            renew: rank >= 2 && self.row(&request.d).told.fresh_for.is_some(),
+            renew: rank >= 2 && self.row(&request.routing_request).told.fresh_for.is_some(),
         };
         self.nodes.count_out(&sent, 1);
         if !sent.is_look() {
--- a/crates/routing/src/policy/place.rs
+++ b/crates/routing/src/policy/place.rs
@@ -38,7 +38,7 @@
     /// over their sending time, which shows the load of all, is a prior for its count, the stronger the more
     /// dispatchers there are.
     fn load(&self, request: &RequestState, all: &[[f64; 2]]) -> impl Fn(&Node, [f64; 2]) -> f64 + '_ {
-        let mean = self.row(&request.d).mean_work_s;
+        let mean = self.row(&request.routing_request).mean_work_s;
         let z = f64::from(self.s.zone_dispatchers.max(1));
         let prior = PRIOR_COUNT * (1.0 - 1.0 / z);
         let (took, work) = all.iter().fold((mean, mean), |sum, n| (sum.0 + n[0], sum.1 + n[1]));
@@ -58,7 +58,7 @@
         let paces = self.paces(now);
         let load = self.load(request, &paces);
         let placed = |(n, pace): (&Node, &[f64; 2])| {
-            let key = key_of(share_of(request.d.copy_hash, n.e.hash), counted(n.e.weight));
+            let key = key_of(share_of(request.routing_request.copy_hash, n.e.hash), counted(n.e.weight));
             PlacedCache { key, node: n.e.node, load: load(n, *pace) }
         };
         let mut caches: Vec<_> = self.nodes.caches().zip(&paces).map(placed).collect();
@@ -79,7 +79,7 @@
 
     /// The first in hash order; the next takes over where it is not open, full, cold, or was tried.
     pub(super) fn edge(&mut self, now: Nanos, request: &RequestState) -> Option<NodeId> {
-        let mean = self.row(&request.d).mean_work_s;
+        let mean = self.row(&request.routing_request).mean_work_s;
         let mut caches = self.caches(now, request);
         // Where all fail at times and none is open, those that still answer are better than none.
         let none_open = !caches.iter().any(|c| self.open(now, c.node));
@@ -108,8 +108,8 @@
         if load < most(self.target_s(request)) {
             return true;
         }
-        let is_large = request.work_s > LARGE * self.row(&request.d).mean_work_s;
-        let only_late = load < most(request.d.deadline.since(now).secs());
+        let is_large = request.work_s > LARGE * self.row(&request.routing_request).mean_work_s;
+        let only_late = load < most(request.routing_request.deadline.since(now).secs());
         is_large && only_late && self.random.share() < LATE_SHARE
     }
 
--- a/crates/routing/src/policy/rules.rs
+++ b/crates/routing/src/policy/rules.rs
@@ -66,7 +66,8 @@
             RetrySafety::Retriable | RetrySafety::Deduped { scope: DedupScope::All, .. } => true,
             _ => request.may_have_run.is_none(),
         };
-        let to = if harmless && request.d.deadline > now { Stage::Rejected } else { Stage::Failed };
+        let to =
+            if harmless && request.routing_request.deadline > now { Stage::Rejected } else { Stage::Failed };
         self.end(now, id, to, out);
     }
 
@@ -80,10 +81,10 @@
         use Stage::*;
         let Some(request) = self.requests.get_mut(id.0) else { return false };
         let allowed = match request.stage {
-            Taken => matches!(to, Attempting | Rejected | Failed | Left),
-            Attempting => to != Taken,
-            Streaming => matches!(to, Served | Left),
-            Served | Rejected | Failed | Left => false,
+            Accepted => matches!(to, Attempting | Rejected | Failed | ClientGone),
+            Attempting => to != Accepted,
+            Streaming => matches!(to, Served | ClientGone),
+            Served | Rejected | Failed | ClientGone => false,
         };
         if !allowed {
             return false;
@@ -102,7 +103,7 @@
 
     /// The storm module hears of a final answer, and says when a throttled request is to come back.
     pub(super) fn answered(&mut self, now: Nanos, id: RequestId, to: Stage) -> Option<Nanos> {
-        let final_one = !matches!(to, Stage::Taken | Stage::Attempting | Stage::Streaming);
+        let final_one = !matches!(to, Stage::Accepted | Stage::Attempting | Stage::Streaming);
         let request = self.requests.get(id.0).filter(|_| final_one)?;
         let target_s = self.target_s(request);
         self.storm.as_mut()?.answered(now, request, to, target_s)
@@ -111,17 +112,17 @@
     /// Lets go of an answered request once all its attempts are in.
     pub(super) fn settle(&mut self, now: Nanos, id: RequestId, out: &mut impl Actions) {
         let Some(request) = self.requests.get(id.0) else { return };
-        let open = matches!(request.stage, Stage::Taken | Stage::Attempting | Stage::Streaming);
+        let open = matches!(request.stage, Stage::Accepted | Stage::Attempting | Stage::Streaming);
         if !open && request.attempts.iter().all(|p| !p.out) {
             self.storm.iter_mut().for_each(|storm| storm.settled(now, request));
-            self.requests.clear(id.0);
+            self.requests.remove(id.0);
             out.release(id);
         }
     }
 
     /// Nobody waits for this request any more.
     pub fn client_gone(&mut self, now: Nanos, id: RequestId, out: &mut impl Actions) {
-        if self.move_to(now, id, Stage::Left, out) {
+        if self.move_to(now, id, Stage::ClientGone, out) {
             self.cancel(id, None, out);
             self.settle(now, id, out);
         }
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -36,7 +36,7 @@
     }
 
     /// Removes the value at `index`.
-    pub fn clear(&mut self, index: u32) {
+    pub fn remove(&mut self, index: u32) {
         if let Some(slot) = self.0.get_mut(index as usize) {
             *slot = None;
         }
@@ -57,7 +57,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stage {
     /// Taken, nothing sent.
-    Taken,
+    Accepted,
     /// An attempt is out, or about to be.
     Attempting,
     /// Bound to a stream that has begun.
@@ -69,7 +69,7 @@
     /// Answered: nothing is promised.
     Failed,
     /// Nobody waits any more.
-    Left,
+    ClientGone,
 }
 
 /// An attempt of a request.
@@ -123,27 +123,27 @@
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Reservation {
     /// The fingerprint of the request and its retries.
-    pub print: u64,
+    pub fingerprint: u64,
     /// When it came.
-    pub taken: Nanos,
+    pub arrived_at: Nanos,
     /// Its priority level.
-    pub level: u8,
+    pub priority_level: u8,
     /// It was admitted under overload.
-    pub damped: bool,
+    pub admitted_under_overload: bool,
     /// Attempts that its earlier tries used.
-    pub spent: u8,
+    pub earlier_attempts: u8,
 }
 
 impl Reservation {
     /// The level of a retry that came before its retry-after.
-    pub const EARLY: u8 = u8::MAX;
+    pub const EARLY_RETRY_LEVEL: u8 = u8::MAX;
 }
 
 /// A request in hand.
 #[derive(Debug, Clone)]
 pub struct RequestState {
     /// As it came.
-    pub d: RoutingRequest,
+    pub routing_request: RoutingRequest,
     /// Where it stands.
     pub stage: Stage,
     /// Its sending time, told or judged.
@@ -168,12 +168,12 @@
 
 impl RequestState {
     /// A request just taken, with its sending time, what MC3 says, and the rules that it is taken under.
-    pub fn new(d: RoutingRequest, work_s: f64, keep: Keep, pinned: PinnedRules) -> Self {
-        let (attempts, stage) = (Vec::new(), Stage::Taken);
+    pub fn new(routing_request: RoutingRequest, work_s: f64, keep: Keep, pinned: PinnedRules) -> Self {
+        let (attempts, stage) = (Vec::new(), Stage::Accepted);
         let reservation = Reservation::default();
         let (missed_at, rides, may_have_run, erred_at) = (None, None, None, None);
         RequestState {
-            d,
+            routing_request,
             stage,
             work_s,
             keep,
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -189,7 +189,7 @@
             let id = fields.number("id")?;
             let content_type = TypeId(fields.number("priority")?);
             let name = fields.text("resource")?;
-            let expires = fields.secs("drop_dead_s")?;
+            let deadline = fields.secs("drop_dead_s")?;
             let bits: u32 = fields.maybe("state_bits")?.unwrap_or(0);
             let size: Option<f64> = fields.maybe("kbytes")?;
             let part: u64 = fields.maybe("chunk")?.unwrap_or(0);
@@ -207,7 +207,7 @@
                 copy_hash: mix(object_hash.wrapping_add(part)),
                 object_hash,
                 group,
-                deadline: expires,
+                deadline,
                 is_retry: bits & 2 != 0,
                 size_kb: size.filter(|kb| *kb > 0.0),
                 client: 0,
@@ -225,22 +225,16 @@
             fields.expect(10)?;
             let request_id = transport.held(fields.number("id")?);
             let outcome = outcome(fields.text("state_code")?)?;
-            let took = fields.secs("rtt_s")?;
-            let closed = fields.number::<u32>("no_more")? == 1;
+            let duration = fields.secs("rtt_s")?;
+            let completes_request = fields.number::<u32>("no_more")? == 1;
             let number = fields.number("n")?;
             let _host = fields.text("host")?;
-            let waited = Some(fields.secs("waited_s")?).filter(|span| span.0 > 0);
+            let first_byte_wait = Some(fields.secs("waited_s")?).filter(|span| span.0 > 0);
             let remark = remark(fields.maybe("remark")?.unwrap_or(0));
             let report = report(fields.text("health_info")?);
             if let Some(request_id) = request_id {
-                let end = AttemptEnd {
-                    outcome,
-                    duration: took,
-                    completes_request: closed,
-                    first_byte_wait: waited,
-                    remark,
-                    report,
-                };
+                let end =
+                    AttemptEnd { outcome, duration, completes_request, first_byte_wait, remark, report };
                 module.attempt_ended(now, request_id, number, &end, transport);
             }
         }
