--- a/crates/change-log-replica/src/core.rs
+++ b/crates/change-log-replica/src/core.rs
@@ -17,7 +17,7 @@
 use crate::sources::Sources;
 use crate::sparse::Sparse;
 use copperroute_protocol::changes::encode_since;
-use copperroute_routing::calls::{CallSettings, Calls};
+use copperroute_routing::calls::{ReconnectSchedule, ReconnectSettings};
 use copperroute_routing::interface::Nanos;
 use std::net::SocketAddr;
 
@@ -90,7 +90,7 @@
     name: String,
     phase: Phase,
     sources: Sources,
-    calls: Calls,
+    calls: ReconnectSchedule,
     started: bool,
     stream: StreamId,
     decoder: Decoder,
@@ -114,13 +114,18 @@
 impl Core {
     /// Not started; `unix_zero` is the Unix time in nanoseconds at which the clock shows zero.
     pub fn new(config: &Config, seed: u64, unix_zero: u64) -> Self {
-        let told_after = Nanos::from_secs(7.0);
-        let blind = CallSettings { dispatchers: 1, calls_per_s: None, told_after, part: [0.0, 1.0] };
+        let delivered_after = Nanos::from_secs(7.0);
+        let blind = ReconnectSettings {
+            dispatchers: 1,
+            calls_per_s: None,
+            delivered_after,
+            window_range: [0.0, 1.0],
+        };
         Core {
             name: config.name.clone(),
             phase: Phase::Waiting,
             sources: Sources::new(config.sources.clone()),
-            calls: Calls::new(blind, seed, unix_zero),
+            calls: ReconnectSchedule::new(blind, seed, unix_zero),
             started: false,
             stream: StreamId(0),
             decoder: Decoder::default(),
@@ -207,7 +212,7 @@
         if !self.heartbeats.is_current(now) && !self.faults.is(Fault::SkipLapse) {
             self.lapse(now);
         }
-        if self.phase != Phase::Waiting && self.calls.has_run_out(now, self.sources.count()) {
+        if self.phase != Phase::Waiting && self.calls.has_timed_out(now, self.sources.count()) {
             self.lose(now, "silent");
         }
         self.retention.forget(now);
@@ -254,7 +259,7 @@
             self.end_followers("another replica is called");
             self.heartbeats.forget();
         }
-        self.calls.called(now);
+        self.calls.connect_started(now);
         self.stream.0 += 1;
         self.decoder = Decoder::default();
         self.move_to(Phase::Calling);
--- a/crates/change-log-replica/src/core/stream.rs
+++ b/crates/change-log-replica/src/core/stream.rs
@@ -32,7 +32,7 @@
 
     /// A whole line has come.
     fn heard(&mut self, now: Nanos) {
-        if let Some(away) = self.calls.heard(now) {
+        if let Some(away) = self.calls.line_received(now) {
             let address = self.sources.present().address;
             log::info!("{}: source {address}: steady after {:.1} s", self.name, away.secs());
         }
--- a/crates/dispatcher/src/changes/mod.rs
+++ b/crates/dispatcher/src/changes/mod.rs
@@ -10,7 +10,7 @@
 use crate::effects::{Due, Effect};
 use crate::logs::Sparse;
 use copperroute_protocol::changes::{Change, Line};
-use copperroute_routing::calls::{CallSettings, Calls};
+use copperroute_routing::calls::{ReconnectSchedule, ReconnectSettings};
 use copperroute_routing::change_log::{Arrival, Content, Heartbeat, Knowledge, Merge, Reason, Step};
 use copperroute_routing::interface::{Nanos, mix, stable_hash};
 use std::net::SocketAddr;
@@ -67,7 +67,8 @@
             true => 0,
             false => mix(stable_hash(address.to_string().as_bytes())),
         };
-        let calls = Calls::new(self.settings.calls, self.settings.seed ^ own, self.settings.unix_zero);
+        let calls =
+            ReconnectSchedule::new(self.settings.calls, self.settings.seed ^ own, self.settings.unix_zero);
         self.streams.push(Stream::new(address, calls, false));
         self.merge.add_source();
     }
@@ -167,7 +168,7 @@
     }
 
     /// What the operators tell of calls has changed.
-    pub fn told(&mut self, calls: CallSettings) {
+    pub fn told(&mut self, calls: ReconnectSettings) {
         self.settings.calls = calls;
         self.streams.iter_mut().for_each(|stream| stream.told(calls));
     }
--- a/crates/dispatcher/src/changes/stream.rs
+++ b/crates/dispatcher/src/changes/stream.rs
@@ -9,7 +9,7 @@
 use crate::logs::Sparse;
 use copperroute_protocol::changes::{Line, encode_since};
 use copperroute_protocol::incoming::Unreadable;
-use copperroute_routing::calls::{CallSettings, Calls, Line as CallState};
+use copperroute_routing::calls::{ConnectionState as CallState, ReconnectSchedule, ReconnectSettings};
 use copperroute_routing::interface::Nanos;
 use std::fmt;
 use std::net::SocketAddr;
@@ -41,7 +41,7 @@
     links: Vec<Link>,
     /// The connection whose heartbeats count: the newest that came up, until another one is in time.
     leading: Option<u32>,
-    calls: Calls,
+    calls: ReconnectSchedule,
     /// It is one of several: lines name it.
     pub(super) named: bool,
     ends: Sparse,
@@ -58,7 +58,7 @@
 
 impl Stream {
     /// Not called yet.
-    pub(super) fn new(address: SocketAddr, calls: Calls, named: bool) -> Self {
+    pub(super) fn new(address: SocketAddr, calls: ReconnectSchedule, named: bool) -> Self {
         Stream { address, links: Vec::new(), leading: None, calls, named, ends: Sparse::default() }
     }
 
@@ -89,7 +89,7 @@
 
     /// Connects under a new number, if it is to be called now; tells whether it does.
     pub(super) fn connect(&mut self, connection: u32, now: Nanos, effects: &mut Vec<Effect>) -> bool {
-        if let Some(at) = self.calls.overslept(now) {
+        if let Some(at) = self.calls.skip_missed_turn(now) {
             effects.push(Effect::Arm(at, Due::ChangeLog));
             return false;
         }
@@ -97,7 +97,7 @@
             return false;
         }
         self.make_room(now, effects);
-        self.calls.called(now);
+        self.calls.connect_started(now);
         self.links.push(Link::new(connection, now));
         log::debug!(target: "copperroute::trace", "{self}: call begins, connection {connection}");
         effects.push(Effect::Connect(Peer::ChangeLog(connection), self.address));
@@ -141,7 +141,7 @@
 
     /// It is to be called at an address that is new to it; returns when.
     pub(super) fn moved(&mut self, now: Nanos) -> Nanos {
-        self.calls.moved(now)
+        self.calls.address_changed(now)
     }
 
     /// Closes all connections.
@@ -163,8 +163,8 @@
     }
 
     /// What the operators tell of calls has changed.
-    pub(super) fn told(&mut self, calls: CallSettings) {
-        self.calls.told(calls);
+    pub(super) fn told(&mut self, calls: ReconnectSettings) {
+        self.calls.settings_changed(calls);
     }
 
     /// A connection is over, or could not be made.
@@ -188,7 +188,7 @@
     /// The present call brings nothing, and is not waited for: another one begins, in its time. The service may be away for
     /// long, and is called often: one line tells of it.
     fn call_again(&mut self, now: Nanos, why: &str, effects: &mut Vec<Effect>) {
-        if matches!(self.calls.line(), CallState::Waiting(_)) {
+        if matches!(self.calls.state(), CallState::Waiting(_)) {
             return;
         }
         let (at, news) = self.calls.ended(now);
@@ -201,7 +201,7 @@
     /// The connection could not be made for want of this machine's own: it is tried again.
     pub(super) fn unopened(&mut self, connection: u32, now: Nanos, effects: &mut Vec<Effect>) {
         self.links.retain(|link| link.connection != connection);
-        effects.push(Effect::Arm(self.calls.unopened(now), Due::ChangeLog));
+        effects.push(Effect::Arm(self.calls.local_failure(now), Due::ChangeLog));
     }
 
     /// Where it has been silent for too long the next call is made beside those that are open.
@@ -244,8 +244,8 @@
         let mut is_leading = was_leading;
         if self.links[at].is_prompt() && (was_leading || !leader_is_prompt) {
             (self.leading, is_leading) = (Some(connection), true);
-            self.calls.answered_late(called);
-            if let Some(away) = self.calls.heard(now) {
+            self.calls.answered_after_timeout(called);
+            if let Some(away) = self.calls.line_received(now) {
                 log::info!("{self}: heard again after {:.1} s", away.secs());
             }
             let others: Vec<_> =
--- a/crates/dispatcher/src/changes/told.rs
+++ b/crates/dispatcher/src/changes/told.rs
@@ -1,7 +1,7 @@
 //! What the change log is started with, what it tells, and an event in the form that the merge takes.
 
 use copperroute_protocol::changes::Change;
-use copperroute_routing::calls::CallSettings;
+use copperroute_routing::calls::ReconnectSettings;
 use copperroute_routing::change_log::{Arrival, Content};
 use copperroute_routing::interface::{Nanos, stable_hash};
 use std::net::SocketAddr;
@@ -36,7 +36,7 @@
     /// The number of the last event that is known.
     pub applied: u64,
     /// What is known of those who are called.
-    pub calls: CallSettings,
+    pub calls: ReconnectSettings,
     /// What settles when they are called.
     pub seed: u64,
     /// The Unix time, in nanoseconds, at which the dispatcher's clock shows zero.
--- a/crates/dispatcher/src/config.rs
+++ b/crates/dispatcher/src/config.rs
@@ -4,7 +4,7 @@
 use copperroute_config_rollout::issue::{Ground, Issue};
 use copperroute_config_rollout::rules::RuleSet;
 use copperroute_protocol::changes::Known;
-use copperroute_routing::calls::CallSettings;
+use copperroute_routing::calls::ReconnectSettings;
 use copperroute_routing::change_log::{Replica, followed};
 use copperroute_routing::interface::{Settings, stable_hash};
 use copperroute_settings::operator::{DiskTier, LastList, Operator};
@@ -78,7 +78,7 @@
     /// The replicas of the change log; empty where its own address is followed.
     pub replicas: Vec<Replica>,
     /// What is known of the list service.
-    pub calls: CallSettings,
+    pub calls: ReconnectSettings,
     /// Where the last good list outlives a restart.
     pub last_list: Option<LastList>,
     /// How dispatchers agree on versions of their rules; `None` if they don't.
--- a/crates/dispatcher/src/main.rs
+++ b/crates/dispatcher/src/main.rs
@@ -172,7 +172,7 @@
 
 /// What the operators tell of the list service, and which replicas of it this dispatcher follows.
 fn lists(config: &Config) -> Option<String> {
-    let (bears, longest) = (config.calls.calls_per_s?, config.calls.within().ok()?.secs());
+    let (bears, longest) = (config.calls.calls_per_s?, config.calls.max_wait().ok()?.secs());
     let dispatchers = config.calls.dispatchers;
     let waits = format!("{bears} calls a second, none waits longer than {longest:.1} s");
     let Some(two) = change_log::followed(&config.replicas, &config.name) else {
--- a/crates/dispatcher/tests/dispatcher/two_streams_sum.rs
+++ b/crates/dispatcher/tests/dispatcher/two_streams_sum.rs
@@ -2,7 +2,7 @@
 
 use copperroute_dispatcher::changes::{ChangeLog, ChangeLogSettings};
 use copperroute_dispatcher::effects::{Due, Effect, Peer};
-use copperroute_routing::calls::CallSettings;
+use copperroute_routing::calls::ReconnectSettings;
 use copperroute_routing::change_log::{Replica, followed};
 use copperroute_routing::interface::{Nanos, stable_hash};
 use copperroute_settings::operator::Operator;
@@ -39,7 +39,7 @@
 }
 
 impl Follower {
-    fn new(name: &str, replicas: &[Replica], calls: CallSettings, unix_zero: u64) -> Follower {
+    fn new(name: &str, replicas: &[Replica], calls: ReconnectSettings, unix_zero: u64) -> Follower {
         let two = followed(replicas, name).expect("two or more");
         let settings = ChangeLogSettings {
             addresses: two.map(|replica| replica.address).to_vec(),
@@ -112,7 +112,12 @@
 
 fn followers(deployment: u64) -> Vec<Follower> {
     let operator = operator();
-    let known = CallSettings { dispatchers: 1, calls_per_s: None, told_after: Nanos::ZERO, part: [0.0, 1.0] };
+    let known = ReconnectSettings {
+        dispatchers: 1,
+        calls_per_s: None,
+        delivered_after: Nanos::ZERO,
+        window_range: [0.0, 1.0],
+    };
     let (replicas, calls) = (operator.replicas().expect("good"), operator.calls(known).expect("good"));
     let unix_zero = 1_764_576_000_000_000_000 + deployment * 377_000_000;
     let follower = |at| Follower::new(&format!("d{deployment}-{at}"), &replicas, calls, unix_zero);
--- a/crates/routing/src/calls.rs
+++ b/crates/routing/src/calls.rs
@@ -41,18 +41,18 @@
 
 /// What the operators tell of the list service.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct CallSettings {
+pub struct ReconnectSettings {
     /// How many dispatchers call it.
     pub dispatchers: u32,
     /// Calls a second that it bears; `None` if not told.
     pub calls_per_s: Option<f64>,
     /// What it has to tell counts as told after this long, whether it was heard or not.
-    pub told_after: Nanos,
+    pub delivered_after: Nanos,
     /// The part of each round in which this dispatcher's location calls, from and to, in [0, 1].
-    pub part: [f64; 2],
+    pub window_range: [f64; 2],
 }
 
-impl CallSettings {
+impl ReconnectSettings {
     /// The shortest round in which all can call.
     fn round(&self) -> Nanos {
         self.calls_per_s.map_or(BLIND, |bears| Nanos::from_secs(f64::from(self.dispatchers) / (LOAD * bears)))
@@ -60,7 +60,7 @@
 
     /// The longest round after which one has still heard in time.
     fn longest(&self) -> Nanos {
-        let heard = Nanos(self.told_after.0.saturating_sub(ANSWER.0));
+        let heard = Nanos(self.delivered_after.0.saturating_sub(ANSWER.0));
         if self.calls_per_s.is_some() {
             return heard;
         }
@@ -70,7 +70,7 @@
 
     /// The longest that a dispatcher goes without a call, or the least that the service would have to bear, in calls
     /// a second, where so many dispatchers can't all be heard in time.
-    pub fn within(&self) -> Result<Nanos, f64> {
+    pub fn max_wait(&self) -> Result<Nanos, f64> {
         let longest = self.longest();
         if self.round() > longest {
             return Err(f64::from(self.dispatchers) / (LOAD * longest.secs().max(1e-3)));
@@ -81,23 +81,23 @@
 
 /// Where a dispatcher stands with the list service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Line {
+pub enum ConnectionState {
     /// It calls next at this time.
     Waiting(Nanos),
     /// It has called at this time, and has heard nothing yet.
-    Calling(Nanos),
+    Connecting(Nanos),
     /// It hears: since the call at this time.
     Following(Nanos),
 }
 
 /// When one dispatcher calls.
 #[derive(Debug)]
-pub struct Calls {
-    s: CallSettings,
+pub struct ReconnectSchedule {
+    s: ReconnectSettings,
     chance: Chance,
     /// The Unix time, in nanoseconds, at which this dispatcher's clock shows zero; wraps.
     unix_zero: u64,
-    line: Line,
+    line: ConnectionState,
     /// The place in a round, in [0, 1).
     place: f64,
     /// It calls in one round of so many, and in which of them.
@@ -111,14 +111,14 @@
     lost: Option<Nanos>,
 }
 
-impl Calls {
+impl ReconnectSchedule {
     /// A dispatcher that has not called yet, whose clock shows zero at a Unix time in nanoseconds.
-    pub fn new(s: CallSettings, seed: u64, unix_zero: u64) -> Self {
-        let mut calls = Calls {
+    pub fn new(s: ReconnectSettings, seed: u64, unix_zero: u64) -> Self {
+        let mut calls = ReconnectSchedule {
             s,
             chance: Chance::new(mix(seed)),
             unix_zero,
-            line: Line::Waiting(Nanos::ZERO),
+            line: ConnectionState::Waiting(Nanos::ZERO),
             place: 0.0,
             one_in: 1,
             which: 0,
@@ -131,16 +131,16 @@
     }
 
     /// Where it stands.
-    pub fn line(&self) -> Line {
+    pub fn state(&self) -> ConnectionState {
         self.line
     }
 
     /// The one place where it changes where it stands.
-    fn move_to(&mut self, to: Line) -> bool {
-        use Line::*;
+    fn move_to(&mut self, to: ConnectionState) -> bool {
+        use ConnectionState::*;
         let allowed = matches!(
             (self.line, to),
-            (Waiting(_), Calling(_)) | (Waiting(_) | Calling(_), Following(_)) | (_, Waiting(_))
+            (Waiting(_), Connecting(_)) | (Waiting(_) | Connecting(_), Following(_)) | (_, Waiting(_))
         );
         if allowed {
             self.line = to;
@@ -150,7 +150,7 @@
 
     /// From now on it calls in one round of so many, another one, at another place.
     fn draw(&mut self, one_in: u64) {
-        let [from, to] = self.s.part;
+        let [from, to] = self.s.window_range;
         self.place = from + (to - from) * self.chance.share();
         self.pass_over(one_in);
     }
@@ -176,26 +176,26 @@
     /// its round begins as late as it may and still be heard in time, so that no moment has more than its calls.
     pub fn started(&mut self, now: Nanos, has_list: bool) -> Nanos {
         if self.s.calls_per_s.is_none() {
-            self.move_to(Line::Waiting(now));
+            self.move_to(ConnectionState::Waiting(now));
             return now;
         }
         let spare = Nanos(self.s.longest().0.saturating_sub(self.s.round().0));
         let at = self.next(if has_list { now.after(spare) } else { now });
-        self.move_to(Line::Waiting(at));
+        self.move_to(ConnectionState::Waiting(at));
         at
     }
 
     /// The service is to be called elsewhere: all dispatchers hear that at one moment.
-    pub fn moved(&mut self, now: Nanos) -> Nanos {
+    pub fn address_changed(&mut self, now: Nanos) -> Nanos {
         self.in_vain = 0;
         self.draw(self.one_in);
         let at = if self.s.calls_per_s.is_some() { self.next(now) } else { now };
-        self.move_to(Line::Waiting(at));
+        self.move_to(ConnectionState::Waiting(at));
         at
     }
 
     /// What the operators tell of the service, or how many call it, has changed: it holds from the next call.
-    pub fn told(&mut self, s: CallSettings) {
+    pub fn settings_changed(&mut self, s: ReconnectSettings) {
         if std::mem::replace(&mut self.s, s) != s {
             self.in_vain = 0;
             self.draw(1);
@@ -204,42 +204,42 @@
 
     /// Its own moment went by while nobody looked, as in a process that was stopped, with others that were stopped
     /// alike: it takes the next one instead of calling with all of them. Returns that.
-    pub fn overslept(&mut self, now: Nanos) -> Option<Nanos> {
-        let late = matches!(self.line, Line::Waiting(at) if now.since(at) > OVERSLEPT);
+    pub fn skip_missed_turn(&mut self, now: Nanos) -> Option<Nanos> {
+        let late = matches!(self.line, ConnectionState::Waiting(at) if now.since(at) > OVERSLEPT);
         if !late || self.s.calls_per_s.is_none() {
             return None;
         }
         let at = self.next(now);
-        self.move_to(Line::Waiting(at));
+        self.move_to(ConnectionState::Waiting(at));
         Some(at)
     }
 
     /// Whether it is to call now.
     pub fn is_due(&self, now: Nanos) -> bool {
-        matches!(self.line, Line::Waiting(at) if at <= now)
+        matches!(self.line, ConnectionState::Waiting(at) if at <= now)
     }
 
     /// It calls.
-    pub fn called(&mut self, now: Nanos) {
-        if self.move_to(Line::Calling(now)) {
+    pub fn connect_started(&mut self, now: Nanos) {
+        if self.move_to(ConnectionState::Connecting(now)) {
             self.heard = now;
         }
     }
 
     /// A call made at this time, which was not waited for any more, is answered after all.
-    pub fn answered_late(&mut self, called: Nanos) {
-        if matches!(self.line, Line::Waiting(_) | Line::Calling(_)) {
-            self.move_to(Line::Following(called));
+    pub fn answered_after_timeout(&mut self, called: Nanos) {
+        if matches!(self.line, ConnectionState::Waiting(_) | ConnectionState::Connecting(_)) {
+            self.move_to(ConnectionState::Following(called));
         }
     }
 
     /// A whole line was heard; returns for how long nothing steady was, where staff were told that.
-    pub fn heard(&mut self, now: Nanos) -> Option<Nanos> {
+    pub fn line_received(&mut self, now: Nanos) -> Option<Nanos> {
         self.heard = now;
-        if let Line::Calling(at) = self.line {
-            self.move_to(Line::Following(at));
+        if let ConnectionState::Connecting(at) = self.line {
+            self.move_to(ConnectionState::Following(at));
         }
-        let Line::Following(at) = self.line else { return None };
+        let ConnectionState::Following(at) = self.line else { return None };
         if now.since(at) < STEADY {
             return None;
         }
@@ -252,33 +252,35 @@
 
     /// Whether the call, or the stream, brings nothing any more.
     pub fn is_silent(&self, now: Nanos) -> bool {
-        !matches!(self.line, Line::Waiting(_)) && now.since(self.heard) > SILENT_AFTER
+        !matches!(self.line, ConnectionState::Waiting(_)) && now.since(self.heard) > SILENT_AFTER
     }
 
     /// Whether one who has a single call at a time, to so many sources in turn, is to end it: a stream that is silent, or a call
     /// that was waited for twice as long as the one before to the same source. One that answers late is heard once it is
     /// waited for that long.
-    pub fn has_run_out(&self, now: Nanos, sources: u32) -> bool {
+    pub fn has_timed_out(&self, now: Nanos, sources: u32) -> bool {
         let waits_for = match self.line {
-            Line::Calling(_) => Nanos(SILENT_AFTER.0 << (self.in_vain / sources.max(1)).min(MOST_DOUBLINGS)),
+            ConnectionState::Connecting(_) => {
+                Nanos(SILENT_AFTER.0 << (self.in_vain / sources.max(1)).min(MOST_DOUBLINGS))
+            }
             _ => SILENT_AFTER,
         };
-        !matches!(self.line, Line::Waiting(_)) && now.since(self.heard) > waits_for
+        !matches!(self.line, ConnectionState::Waiting(_)) && now.since(self.heard) > waits_for
     }
 
     /// A call could not be made for want of this machine's own: returns when it is tried again. It has never reached the
     /// service, so it is none in vain, and costs it nothing; where rounds are told it waits for a place of its own in
     /// one, as many may be free of their wants at one moment.
-    pub fn unopened(&mut self, now: Nanos) -> Nanos {
+    pub fn local_failure(&mut self, now: Nanos) -> Nanos {
         let after = now.after(Nanos::from_secs(WANTED.secs() * (0.5 + 0.5 * self.chance.share())));
         let at = if self.s.calls_per_s.is_some() { self.next(after) } else { after };
-        self.move_to(Line::Waiting(at));
+        self.move_to(ConnectionState::Waiting(at));
         at
     }
 
     /// A call, or a stream, has ended: returns when it calls next, and whether staff are to be told that it is lost.
     pub fn ended(&mut self, now: Nanos) -> (Nanos, bool) {
-        let steady = matches!(self.line, Line::Following(at) if self.heard.since(at) >= STEADY);
+        let steady = matches!(self.line, ConnectionState::Following(at) if self.heard.since(at) >= STEADY);
         self.in_vain = if steady { 0 } else { self.in_vain.saturating_add(1) };
         let (round, longest) = (self.s.round().0.max(1), self.s.longest().0);
         let most = (longest / round).max(1);
@@ -300,7 +302,7 @@
                 now.after(Nanos::from_secs(Nanos(round * one_in).secs() * (0.5 + 0.5 * self.chance.share())))
             }
         };
-        self.move_to(Line::Waiting(at));
+        self.move_to(ConnectionState::Waiting(at));
         let news = self.lost.is_none() && (steady || self.in_vain > 1);
         if news {
             self.lost = Some(now);
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -3,7 +3,7 @@
 
 pub mod operator;
 
-use copperroute_routing::calls::CallSettings;
+use copperroute_routing::calls::ReconnectSettings;
 use copperroute_routing::interface::{
     ColdStart, ContentType, DedupScope, Nanos, RetrySafety, Settings, ZoneId,
 };
@@ -241,18 +241,18 @@
 
     /// What is known of the list service without the operators: each location has its part of a round, as large as
     /// its part of the dispatchers.
-    pub fn calls(&self) -> Read<CallSettings> {
+    pub fn calls(&self) -> Read<ReconnectSettings> {
         let zone: usize = self.number("zone")?;
         let dispatchers: u32 = self.number_or("balancers", 1)?;
         let crews = self.names("family_info.crew_by_zone").len();
         let crew = |at: usize| self.listed_number("family_info.crew_by_zone", at, 0.0_f64);
         let crews = (0..crews).map(crew).collect::<Read<Vec<_>>>()?;
         let sum = |crews: &[f64]| crews.iter().sum::<f64>();
-        let part = match crews.get(zone) {
+        let window_range = match crews.get(zone) {
             Some(own) if *own > 0.0 => [sum(&crews[..zone]), sum(&crews[..=zone])].map(|at| at / sum(&crews)),
             _ => [0.0, 1.0],
         };
-        Ok(CallSettings { dispatchers, calls_per_s: None, told_after: TOLD_AFTER, part })
+        Ok(ReconnectSettings { dispatchers, calls_per_s: None, delivered_after: TOLD_AFTER, window_range })
     }
 
     /// What connections to nodes are held to.
--- a/crates/settings/src/operator.rs
+++ b/crates/settings/src/operator.rs
@@ -3,7 +3,7 @@
 use crate::Read;
 use copperroute_config_rollout::issue::Issue;
 use copperroute_config_rollout::terms::Terms;
-use copperroute_routing::calls::CallSettings;
+use copperroute_routing::calls::ReconnectSettings;
 use copperroute_routing::change_log;
 use copperroute_routing::interface::{Nanos, OverloadSettings};
 use schemars::JsonSchema;
@@ -263,8 +263,12 @@
         file.copies_bytes()?;
         file.disk_tier()?;
         // How many call is told elsewhere, unless it stands here.
-        let one =
-            CallSettings { dispatchers: 1, calls_per_s: None, told_after: Nanos::ZERO, part: [0.0, 1.0] };
+        let one = ReconnectSettings {
+            dispatchers: 1,
+            calls_per_s: None,
+            delivered_after: Nanos::ZERO,
+            window_range: [0.0, 1.0],
+        };
         file.calls(one)?;
         file.replicas()?;
         file.last_list()?;
@@ -309,7 +313,7 @@
     }
 
     /// What is known of the list service, where so much is known without the operators.
-    pub fn calls(&self, known: CallSettings) -> Read<CallSettings> {
+    pub fn calls(&self, known: ReconnectSettings) -> Read<ReconnectSettings> {
         let Some(told) = &self.lists else { return Ok(known) };
         let bears = within("lists.calls_per_s", told.calls_per_s, "number of calls a second", 0.1, 1e6)?;
         let after = within("lists.told_after_s", told.told_after_s, "number of seconds", 1.0, 3600.0)?;
@@ -323,13 +327,13 @@
                 (most, format!("{most} of {dispatchers} dispatchers at one replica"))
             }
         };
-        let calls = CallSettings {
+        let calls = ReconnectSettings {
             dispatchers: callers,
             calls_per_s: Some(bears),
-            told_after: Nanos::from_secs(after),
-            part: known.part,
+            delivered_after: Nanos::from_secs(after),
+            window_range: known.window_range,
         };
-        calls.within().map(|_| calls).map_err(|least| {
+        calls.max_wait().map(|_| calls).map_err(|least| {
             format!(
                 "lists.calls_per_s: with {bears} calls a second {who} are not all heard within {after} s; expected \
                  {least:.1} at least"
--- a/crates/settings/src/tests/lib.rs
+++ b/crates/settings/src/tests/lib.rs
@@ -8,7 +8,7 @@
     let part = |zone: usize, crews: &str| {
         let zone = format!("zone={zone}");
         let options = Options::from_pairs(&["balancers=10", &zone, crews]).expect("pairs");
-        options.calls().expect("numbers").part
+        options.calls().expect("numbers").window_range
     };
     let crews = "family_info.crew_by_zone=2,5,3,0";
     assert_eq!([0, 1, 2, 3].map(|zone| part(zone, crews)), [[0.0, 0.2], [0.2, 0.7], [0.7, 1.0], [0.0, 1.0]]);
--- a/crates/settings/src/tests/operator.rs
+++ b/crates/settings/src/tests/operator.rs
@@ -1,7 +1,7 @@
 //! Tests of what `operator.rs` keeps to itself.
 
 use super::Operator;
-use copperroute_routing::calls::CallSettings;
+use copperroute_routing::calls::ReconnectSettings;
 use copperroute_routing::interface::Nanos;
 use expect_test::expect;
 
@@ -111,8 +111,12 @@
     let told = |replicas: &str| {
         let file = format!(r#"{{"lists":{{"calls_per_s":60,"dispatchers":590{replicas}}}}}"#);
         Operator::parse(&file).and_then(|file| {
-            let known =
-                CallSettings { dispatchers: 1, calls_per_s: None, told_after: Nanos::ZERO, part: [0.0, 1.0] };
+            let known = ReconnectSettings {
+                dispatchers: 1,
+                calls_per_s: None,
+                delivered_after: Nanos::ZERO,
+                window_range: [0.0, 1.0],
+            };
             file.calls(known).map(|calls| calls.dispatchers)
         })
     };
--- a/crates/testbed/src/fleet_simulation/arrangement.rs
+++ b/crates/testbed/src/fleet_simulation/arrangement.rs
@@ -3,7 +3,7 @@
 
 use super::assumptions::{CALLS_SHARE, TOLD_AFTER};
 use super::topology::{self, Place};
-use copperroute_routing::calls::CallSettings;
+use copperroute_routing::calls::ReconnectSettings;
 use copperroute_routing::interface::mix;
 
 /// A way of changes.
@@ -55,20 +55,20 @@
     }
 
     /// What a dispatcher is told of its sources: rounds hold though one replica is lost.
-    pub(super) fn calls(&self, dispatchers: u32) -> CallSettings {
+    pub(super) fn calls(&self, dispatchers: u32) -> ReconnectSettings {
         let streams = dispatchers * self.streams as u32;
         let share = (self.replicas.saturating_sub(1) as u32).max(1);
-        CallSettings {
+        ReconnectSettings {
             dispatchers: streams.div_ceil(share),
             calls_per_s: Some(self.bears(dispatchers)),
-            told_after: TOLD_AFTER,
-            part: [0.0, 1.0],
+            delivered_after: TOLD_AFTER,
+            window_range: [0.0, 1.0],
         }
     }
 
     /// What a replica is told of the log.
-    pub(super) fn replica_calls(&self, dispatchers: u32) -> CallSettings {
-        CallSettings { dispatchers: self.replicas as u32, ..self.calls(dispatchers) }
+    pub(super) fn replica_calls(&self, dispatchers: u32) -> ReconnectSettings {
+        ReconnectSettings { dispatchers: self.replicas as u32, ..self.calls(dispatchers) }
     }
 
     /// The sources of a dispatcher, those that it prefers first: rendezvous hashing, the second in another zone than the
--- a/crates/testbed/src/fleet_simulation/follower.rs
+++ b/crates/testbed/src/fleet_simulation/follower.rs
@@ -10,7 +10,7 @@
 use copperroute_dispatcher::changes::{ChangeLog, ChangeLogSettings, Told};
 use copperroute_dispatcher::effects::Effect;
 use copperroute_protocol::changes::Change;
-use copperroute_routing::calls::CallSettings;
+use copperroute_routing::calls::ReconnectSettings;
 use copperroute_routing::interface::Nanos;
 use serde_json::{Map, Value, json};
 use std::net::SocketAddr;
@@ -48,7 +48,7 @@
 pub(super) struct Start {
     /// The source of each stream.
     pub sources: Vec<usize>,
-    pub calls: CallSettings,
+    pub calls: ReconnectSettings,
     pub seed: u64,
     /// The last event that its configuration knows.
     pub known: u64,
--- a/crates/testbed/src/many.rs
+++ b/crates/testbed/src/many.rs
@@ -1,7 +1,7 @@
 //! The decisions on calls of thousands of dispatchers, simulated: the same core as in the program, a list service that
 //! falls over, and the program's earlier back-off beside it.
 
-use copperroute_routing::calls::{CallSettings, Calls};
+use copperroute_routing::calls::{ReconnectSchedule, ReconnectSettings};
 use copperroute_routing::interface::Nanos;
 use copperroute_routing::structures::random::Random;
 use std::cmp::Reverse;
@@ -55,7 +55,7 @@
 }
 
 enum Caller {
-    Core(Box<Calls>),
+    Core(Box<ReconnectSchedule>),
     Earlier(Random),
 }
 
@@ -92,16 +92,16 @@
             let zone = f64::from(at % case.zones);
             let zones = f64::from(case.zones);
             let calls_per_s = (how == How::Told).then_some(bears);
-            let settings = CallSettings {
+            let settings = ReconnectSettings {
                 dispatchers: ((f64::from(count) * case.told_share) as u32).max(1),
                 calls_per_s,
-                told_after: Nanos(7 * SECOND.0),
-                part: [zone / zones, (zone + 1.0) / zones],
+                delivered_after: Nanos(7 * SECOND.0),
+                window_range: [zone / zones, (zone + 1.0) / zones],
             };
             let (caller, at_first) = match how {
                 How::Earlier => (Caller::Earlier(Random::new(seed)), starts),
                 _ => {
-                    let mut calls = Calls::new(settings, seed, UNIX);
+                    let mut calls = ReconnectSchedule::new(settings, seed, UNIX);
                     let at_first = calls.started(starts, true);
                     (Caller::Core(Box::new(calls)), at_first)
                 }
@@ -125,7 +125,7 @@
                 let caller = &mut callers[at as usize];
                 if let Caller::Core(calls) = caller {
                     // Each second's line was heard until now.
-                    calls.heard(Nanos(now.0.max(since.0 + 1) - 1));
+                    calls.line_received(Nanos(now.0.max(since.0 + 1) - 1));
                 }
                 due.push(Reverse((caller.ended(now), at)));
             }
@@ -158,7 +158,7 @@
         peaks[phase] = peaks[phase].max(rate);
         let caller = &mut callers[at as usize];
         if let Caller::Core(calls) = caller {
-            calls.called(now);
+            calls.connect_started(now);
         }
         if rate as f64 > service.bears * case.falls_at && !service.fallen {
             service.fallen = true;
@@ -176,7 +176,7 @@
             continue;
         }
         if let Caller::Core(calls) = caller {
-            calls.heard(now);
+            calls.line_received(now);
         }
         follows[at as usize] = Some(now);
         heard += 1;
@@ -229,7 +229,7 @@
             );
         }
     }
-    text += &format!("bytes that one dispatcher keeps for it: {}\n", size_of::<Calls>());
+    text += &format!("bytes that one dispatcher keeps for it: {}\n", size_of::<ReconnectSchedule>());
     text
 }
 
--- a/crates/testbed/src/many_rules.rs
+++ b/crates/testbed/src/many_rules.rs
@@ -6,7 +6,7 @@
 use copperroute_config_rollout::issue::{Ground, Issue, written_digest};
 use copperroute_config_rollout::rules::{Field, RuleSet};
 use copperroute_config_rollout::terms::Terms;
-use copperroute_routing::calls::{CallSettings, Calls};
+use copperroute_routing::calls::{ReconnectSchedule, ReconnectSettings};
 use copperroute_routing::interface::{ColdStart, Nanos, Settings, ZoneId};
 use copperroute_routing::structures::random::Random;
 use serde_json::{Map, Value, json};
@@ -53,7 +53,7 @@
 
 struct One {
     core: Agreement,
-    calls: Calls,
+    calls: ReconnectSchedule,
     /// Its clock is so many milliseconds off.
     off_ms: i64,
     /// When it hears the next line, where it follows; when it calls, where not.
@@ -111,14 +111,14 @@
     let ground = Ground { base, types: Vec::new(), terms: TERMS, faults: Faults::default() };
     let mut all: Vec<One> = (0..case.dispatchers)
         .map(|at| {
-            let told = CallSettings {
+            let told = ReconnectSettings {
                 dispatchers: case.dispatchers,
                 calls_per_s: Some(bears),
-                told_after: Nanos(7_000_000_000),
-                part: [0.0, 1.0],
+                delivered_after: Nanos(7_000_000_000),
+                window_range: [0.0, 1.0],
             };
             let seed = case.seed.wrapping_mul(1_000_003) + u64::from(at);
-            let mut calls = Calls::new(told, seed, UNIX_MS * 1_000_000);
+            let mut calls = ReconnectSchedule::new(told, seed, UNIX_MS * 1_000_000);
             let first = calls.started(Nanos::from_secs(chance.share()), true);
             let off_ms = (chance.share() * 250.0) as i64 - 125;
             let core = Agreement::new(ground.clone(), &floor);
@@ -167,7 +167,7 @@
             }
             if one.next_ms <= now_ms {
                 if !one.follows {
-                    one.calls.called(now);
+                    one.calls.connect_started(now);
                     recent.push_back(now_ms);
                     one.core.asked(now);
                 }
@@ -177,7 +177,7 @@
                     one.next_ms = one.calls.ended(now).0.0 / 1_000_000;
                 } else {
                     one.follows = true;
-                    one.calls.heard(now);
+                    one.calls.line_received(now);
                     for issue in &log[one.heard..] {
                         let _ = one.core.heard(now, unix_ms, issue);
                     }
