--- a/crates/change-log-replica/src/heartbeat.rs
+++ b/crates/change-log-replica/src/heartbeat.rs
@@ -27,12 +27,12 @@
 
     /// The source is asked anew: what it answers is as it stands then or later.
     pub fn asked(&mut self, now: Nanos) {
-        self.arrivals.asked(now);
+        self.arrivals.request_sent(now);
     }
 
     /// One has come; tells whether it is sure to have left within the propagation bound.
     pub fn is_fresh(&mut self, now: Nanos) -> bool {
-        self.arrivals.comes(now, self.propagation_bound)
+        self.arrivals.received(now, self.propagation_bound)
     }
 
     /// It told the number of the last event that was handed on: it is vouched for.
--- a/crates/config-rollout/src/lease.rs
+++ b/crates/config-rollout/src/lease.rs
@@ -27,16 +27,16 @@
 
     /// The service is asked anew: what it answers is as it stands then or later.
     pub fn asked(&mut self, now: Nanos) {
-        self.heartbeats.asked(now);
+        self.heartbeats.request_sent(now);
     }
 
     /// A whole line has come; `caught_up` tells that all that it knows of has been heard. After a silence that is too
     /// long for a line a second, what follows at once may have waited on its way for as long.
     pub fn line(&mut self, now: Nanos, caught_up: bool) {
         if self.faults.is(Fault::TrustQueue) {
-            self.heartbeats.asked(now);
+            self.heartbeats.request_sent(now);
         }
-        let in_time = self.heartbeats.comes(now, self.slack);
+        let in_time = self.heartbeats.received(now, self.slack);
         if (caught_up || self.faults.is(Fault::RenewBehind)) && in_time {
             self.until = now.after(self.length);
         }
@@ -45,13 +45,13 @@
     /// Whether lines come as they should: nothing that comes now has waited on its way for longer than `latest`.
     pub fn is_live(&self, now: Nanos) -> bool {
         self.until > now
-            && !self.heartbeats.may_have_waited(now)
-            && self.heartbeats.are_prompt(now, self.slack)
+            && !self.heartbeats.may_have_been_delayed(now)
+            && self.heartbeats.are_on_time(now, self.slack)
     }
 
     /// The longest that something may have waited on its way while lines come as they should.
     pub fn latest(&self) -> Nanos {
-        Heartbeats::longest_silence(self.slack).after(self.slack)
+        Heartbeats::max_interval(self.slack).after(self.slack)
     }
 
     /// What was lost may have held anything: it holds no more.
--- a/crates/dispatcher/src/changes/link.rs
+++ b/crates/dispatcher/src/changes/link.rs
@@ -43,7 +43,7 @@
     /// It has come up, and asks for what follows an event.
     pub(super) fn asked(&mut self, now: Nanos) {
         self.up = Some(now);
-        self.lateness.asked(now);
+        self.lateness.request_sent(now);
     }
 
     /// Bytes have come.
@@ -59,9 +59,9 @@
         if let Some(line) = &line {
             self.lines += 1;
             self.last_line = Some(now);
-            self.lateness.line(now);
+            self.lateness.line_received(now);
             if matches!(line, Line::Last(_)) {
-                self.lateness.heartbeat(now);
+                self.lateness.heartbeat_received(now);
             }
         }
         Ok(line)
@@ -79,7 +79,7 @@
 
     /// How late its lines are; `None` before the first.
     pub(super) fn late_by(&self) -> Option<Nanos> {
-        self.lateness.span()
+        self.lateness.late_by()
     }
 
     /// Whether its lines come about as they are written.
--- a/crates/dispatcher/src/changes/mod.rs
+++ b/crates/dispatcher/src/changes/mod.rs
@@ -77,7 +77,7 @@
     fn several_or_one(&mut self) {
         let several = self.streams.len() > 1;
         self.streams.iter_mut().for_each(|stream| stream.named = several);
-        self.merge.look_for_anew(several || self.settings.looks_for_anew);
+        self.merge.detect_log_restart(several || self.settings.looks_for_anew);
     }
 
     /// When one last told that there was no more to tell.
@@ -154,7 +154,7 @@
                 }
             }
             if !self.is_heard() {
-                self.knowledge.moved(now);
+                self.knowledge.address_changed(now);
             }
         }
         for address in new {
@@ -181,8 +181,8 @@
     /// A connection has come up: asks for what follows.
     pub fn connected(&mut self, connection: u32, now: Nanos, effects: &mut Vec<Effect>) {
         let Some(of) = self.of(connection) else { return };
-        self.merge.asked(now, of);
-        self.knowledge.asked(now);
+        self.merge.request_sent(now, of);
+        self.knowledge.request_sent(now);
         self.streams[of].ask(connection, self.merge.applied(), now, effects);
     }
 
@@ -197,7 +197,7 @@
             self.merge.ended(of);
         }
         if !self.is_heard() {
-            self.knowledge.lost(now);
+            self.knowledge.stream_lost(now);
         }
     }
 
@@ -252,7 +252,7 @@
                 None => match self.read(now, effects) {
                     Some(told) => told,
                     None => {
-                        self.knowledge.read(now, self.streams.iter().any(Stream::is_midway));
+                        self.knowledge.bytes_read(now, self.streams.iter().any(Stream::is_midway));
                         return None;
                     }
                 },
@@ -267,9 +267,9 @@
     fn take(&mut self, step: Step<Box<Change>>, now: Nanos, effects: &mut Vec<Effect>) -> Option<Told> {
         match step {
             Step::Apply { event, lost } => return Some(Told::Change { change: event, lost }),
-            Step::LeftOut { number, why } => log::warn!("change log: event {number} left out: {why}"),
+            Step::Skip { number, why } => log::warn!("change log: event {number} left out: {why}"),
             Step::Reconnect { source, reason } => {
-                self.knowledge.missing();
+                self.knowledge.events_missing();
                 self.give_up(source, now, &reason.to_string(), effects);
             }
             Step::Contradiction { source, number, event } => {
@@ -302,7 +302,7 @@
 
     fn line(&mut self, of: usize, heard: Heard, now: Nanos, effects: &mut Vec<Effect>) -> Option<Told> {
         if heard.leads_anew {
-            self.merge.asked(now, of);
+            self.merge.request_sent(now, of);
             self.leads_anew = true;
         }
         let late_by = heard.late_by;
@@ -321,7 +321,7 @@
             // Of a call that is not judged by: it may have waited for long, and renews no lease.
             Line::Last(last) => {
                 if last == self.merge.applied() {
-                    self.knowledge.vouched(now, late_by);
+                    self.knowledge.heartbeat_confirmed(now, late_by);
                 }
                 None
             }
@@ -340,21 +340,21 @@
         let alone = self.streams.len() == 1;
         let caught_up = match self.merge.heartbeat(now, of, last) {
             Heartbeat::CaughtUp => true,
-            Heartbeat::Unsure => false,
-            Heartbeat::Behind { news } => {
+            Heartbeat::Inconclusive => false,
+            Heartbeat::Behind { should_log } => {
                 self.caught_up |= alone;
-                if news && !alone {
+                if should_log && !alone {
                     let applied = self.merge.applied();
                     log::warn!("{}: behind, at {last}, applied {applied}", self.streams[of]);
                 }
                 false
             }
             Heartbeat::Reconnect(reason) => {
-                self.knowledge.missing();
+                self.knowledge.events_missing();
                 self.give_up(of, now, &reason.to_string(), effects);
                 return None;
             }
-            Heartbeat::BegunAnew(reason) => {
+            Heartbeat::LogRestarted(reason) => {
                 (self.caught_up, self.begun_anew) = (true, true);
                 self.begin_anew(&reason, now, effects);
                 return None;
@@ -362,7 +362,7 @@
         };
         if caught_up {
             (self.caught_up, self.told_all) = (true, now.since(late_by));
-            self.knowledge.vouched(now, late_by);
+            self.knowledge.heartbeat_confirmed(now, late_by);
         }
         Some(Told::Line { caught_up: caught_up && late_by <= self.settings.slack })
     }
--- a/crates/dispatcher/src/config.rs
+++ b/crates/dispatcher/src/config.rs
@@ -5,7 +5,7 @@
 use copperroute_config_rollout::rules::RuleSet;
 use copperroute_protocol::changes::Known;
 use copperroute_routing::calls::ReconnectSettings;
-use copperroute_routing::change_log::{Replica, followed};
+use copperroute_routing::change_log::{Replica, select_replicas};
 use copperroute_routing::interface::{Settings, stable_hash};
 use copperroute_settings::operator::{DiskTier, LastList, Operator};
 use copperroute_settings::{Connections, Names, Offer, Options};
@@ -142,7 +142,7 @@
 
     /// Where the change log is followed: at two replicas if there are such, else at its own address.
     pub fn followed(&self) -> Vec<SocketAddr> {
-        let two = followed(&self.replicas, &self.name);
+        let two = select_replicas(&self.replicas, &self.name);
         two.map_or(vec![self.changelog], |two| two.map(|replica| replica.address).to_vec())
     }
 
--- a/crates/dispatcher/src/main.rs
+++ b/crates/dispatcher/src/main.rs
@@ -175,7 +175,7 @@
     let (bears, longest) = (config.calls.calls_per_s?, config.calls.max_wait().ok()?.secs());
     let dispatchers = config.calls.dispatchers;
     let waits = format!("{bears} calls a second, none waits longer than {longest:.1} s");
-    let Some(two) = change_log::followed(&config.replicas, &config.name) else {
+    let Some(two) = change_log::select_replicas(&config.replicas, &config.name) else {
         return Some(format!("{dispatchers} dispatchers, {waits}"));
     };
     let [first, second] =
--- a/crates/dispatcher/src/reducer/changes.rs
+++ b/crates/dispatcher/src/reducer/changes.rs
@@ -10,7 +10,7 @@
 
     pub(super) fn change_log_connected(&mut self, now: Nanos, connection: u32) {
         self.agreed.iter_mut().for_each(|agreed| agreed.asked(now));
-        self.heartbeats.asked(now);
+        self.heartbeats.request_sent(now);
         self.log.connected(connection, now, &mut self.request_table.effects);
     }
 
@@ -28,7 +28,7 @@
         while let Some(told) = self.log.next_told(now, &mut self.request_table.effects) {
             if self.log.has_new_lead() {
                 self.agreed.iter_mut().for_each(|agreed| agreed.asked(now));
-                self.heartbeats.asked(now);
+                self.heartbeats.request_sent(now);
             }
             match told {
                 Told::Change { change, lost } => {
@@ -39,7 +39,7 @@
                 }
                 Told::Restriction { change } => self.restrict(now, &change),
                 Told::Line { caught_up } => {
-                    self.heartbeats.comes(now, SLACK);
+                    self.heartbeats.received(now, SLACK);
                     self.agreed.iter_mut().for_each(|agreed| agreed.line(now, caught_up));
                 }
             }
--- a/crates/dispatcher/src/reducer/moments.rs
+++ b/crates/dispatcher/src/reducer/moments.rs
@@ -13,7 +13,7 @@
 impl Reducer {
     /// Whether what the change log tells now has just happened, and is told neither late nor anew.
     pub(super) fn is_live(&self, now: Nanos) -> bool {
-        let waited = self.heartbeats.may_have_waited(now) || !self.heartbeats.are_prompt(now, SLACK);
+        let waited = self.heartbeats.may_have_been_delayed(now) || !self.heartbeats.are_on_time(now, SLACK);
         self.log.is_caught_up() && !waited && now.since(self.log.told_all()) <= LIVE_WITHIN
     }
 
--- a/crates/dispatcher/tests/dispatcher/two_streams_sum.rs
+++ b/crates/dispatcher/tests/dispatcher/two_streams_sum.rs
@@ -3,7 +3,7 @@
 use copperroute_dispatcher::changes::{ChangeLog, ChangeLogSettings};
 use copperroute_dispatcher::effects::{Due, Effect, Peer};
 use copperroute_routing::calls::ReconnectSettings;
-use copperroute_routing::change_log::{Replica, followed};
+use copperroute_routing::change_log::{Replica, select_replicas};
 use copperroute_routing::interface::{Nanos, stable_hash};
 use copperroute_settings::operator::Operator;
 use serde_json::json;
@@ -40,7 +40,7 @@
 
 impl Follower {
     fn new(name: &str, replicas: &[Replica], calls: ReconnectSettings, unix_zero: u64) -> Follower {
-        let two = followed(replicas, name).expect("two or more");
+        let two = select_replicas(replicas, name).expect("two or more");
         let settings = ChangeLogSettings {
             addresses: two.map(|replica| replica.address).to_vec(),
             applied: 1,
--- a/crates/model-checks/tests/checks/change_log/dispatcher.rs
+++ b/crates/model-checks/tests/checks/change_log/dispatcher.rs
@@ -39,7 +39,7 @@
         let streams = [Link::up(), Link::up()];
         let mut merge = merge();
         for of in 0..streams.len() {
-            merge.asked(clock(0), of);
+            merge.request_sent(clock(0), of);
             assert_eq!(merge.heartbeat(clock(0), of, 0), Heartbeat::CaughtUp);
         }
         Dispatcher { merge, acted: 0, streams, lost_on_way: 0, violation: None }
@@ -54,7 +54,7 @@
     /// Asks a replica, whose last event has this number, for what follows.
     pub(super) fn call(&mut self, second: u64, of: usize, last: u64, fault: Option<Fault>) {
         let too_late = u64::from(fault == Some(Fault::AskTooLate));
-        self.merge.asked(clock(second), of);
+        self.merge.request_sent(clock(second), of);
         self.streams[of].call(self.merge.applied() + too_late, last);
     }
 
@@ -98,10 +98,10 @@
         let renews_behind = fault == Some(Fault::RenewBehind) && last < self.merge.applied();
         match self.merge.heartbeat(clock(second), of, last) {
             Heartbeat::CaughtUp => self.renew(before),
-            Heartbeat::Unsure | Heartbeat::Behind { .. } if renews_behind => self.renew(before),
-            Heartbeat::Unsure | Heartbeat::Behind { .. } => {}
+            Heartbeat::Inconclusive | Heartbeat::Behind { .. } if renews_behind => self.renew(before),
+            Heartbeat::Inconclusive | Heartbeat::Behind { .. } => {}
             Heartbeat::Reconnect(_) => self.end(of),
-            Heartbeat::BegunAnew(_) => self.violation = Some(Violation::BegunAnew),
+            Heartbeat::LogRestarted(_) => self.violation = Some(Violation::BegunAnew),
         }
     }
 
@@ -118,7 +118,7 @@
                 Step::Apply { event, lost } => self.act(event, lost),
                 Step::Reconnect { source, .. } => self.end(source),
                 // All can be used, and no two contents bear one number.
-                Step::LeftOut { .. } | Step::Contradiction { .. } => {
+                Step::Skip { .. } | Step::Contradiction { .. } => {
                     self.violation = Some(Violation::OutOfOrder);
                 }
             }
@@ -141,6 +141,6 @@
     let mut merge = Merge::new(0, PROPAGATION_BOUND);
     merge.add_source();
     merge.add_source();
-    merge.look_for_anew(true);
+    merge.detect_log_restart(true);
     merge
 }
--- a/crates/routing/src/change_log/heartbeat.rs
+++ b/crates/routing/src/change_log/heartbeat.rs
@@ -19,35 +19,35 @@
 
 impl Heartbeats {
     /// The stream is asked for: nothing of it has waited yet.
-    pub fn asked(&mut self, now: Nanos) {
+    pub fn request_sent(&mut self, now: Nanos) {
         (self.came, self.queued_until, self.awaits_first) = (now, Nanos::ZERO, true);
     }
 
     /// A heartbeat comes; tells whether it is sure to have left within `slack`. After a silence that is too long for one
     /// a second, what follows within `slack` may have waited for as long. The first after a call left at any time since: it
     /// is sure only if it comes as soon as an answer does.
-    pub fn comes(&mut self, now: Nanos, slack: Nanos) -> bool {
+    pub fn received(&mut self, now: Nanos, slack: Nanos) -> bool {
         let is_first = std::mem::take(&mut self.awaits_first);
-        let longest = if is_first { slack } else { Self::longest_silence(slack) };
+        let longest = if is_first { slack } else { Self::max_interval(slack) };
         if now.since(self.came) > longest {
             self.queued_until = now.after(slack);
         }
         self.came = now;
-        !self.may_have_waited(now)
+        !self.may_have_been_delayed(now)
     }
 
     /// Whether the last one came no longer ago than one a second allows.
-    pub fn are_prompt(&self, now: Nanos, slack: Nanos) -> bool {
-        now.since(self.came) <= Self::longest_silence(slack)
+    pub fn are_on_time(&self, now: Nanos, slack: Nanos) -> bool {
+        now.since(self.came) <= Self::max_interval(slack)
     }
 
     /// Whether what comes now may have waited on its way for as long as the silence before.
-    pub fn may_have_waited(&self, now: Nanos) -> bool {
+    pub fn may_have_been_delayed(&self, now: Nanos) -> bool {
         now < self.queued_until
     }
 
     /// The longest silence between two heartbeats that both came in time.
-    pub fn longest_silence(slack: Nanos) -> Nanos {
+    pub fn max_interval(slack: Nanos) -> Nanos {
         PERIOD.after(slack)
     }
 }
--- a/crates/routing/src/change_log/knowledge.rs
+++ b/crates/routing/src/change_log/knowledge.rs
@@ -53,7 +53,7 @@
     }
 
     /// A heartbeat names the last event that was applied; it was late by so much.
-    pub fn vouched(&mut self, now: Nanos, late_by: Nanos) {
+    pub fn heartbeat_confirmed(&mut self, now: Nanos, late_by: Nanos) {
         let written = now.since(late_by);
         self.complete_until = self.complete_until.max(written);
         self.vouched = Some(Vouched { at: now, late_by });
@@ -63,7 +63,7 @@
 
     /// All bytes that came have been read; whether they end within a line. An event that takes long to come has been told as
     /// it began, and others may wait behind it: only a heartbeat says that there are none.
-    pub fn read(&mut self, now: Nanos, is_midway: bool) {
+    pub fn bytes_read(&mut self, now: Nanos, is_midway: bool) {
         match self.line_begun {
             None if is_midway => self.line_begun = Some(now),
             Some(begun) if !is_midway && now.since(begun) < QUICK_LINE => self.line_begun = None,
@@ -72,13 +72,13 @@
     }
 
     /// Something has been told that shows that events are missing: they were written after all that is known.
-    pub fn missing(&mut self) {
+    pub fn events_missing(&mut self) {
         self.unfollow();
         self.counts_from = self.counts_from.min(self.complete_until);
     }
 
     /// No stream is followed any more.
-    pub fn lost(&mut self, now: Nanos) {
+    pub fn stream_lost(&mut self, now: Nanos) {
         if self.unfollow() {
             self.counts_from = self.counts_from.min(now.after(TOLD_AFTER_BREAK));
         }
@@ -94,14 +94,14 @@
     }
 
     /// The change log is asked anew: all that it holds counts as told with that, unless another stream tells it.
-    pub fn asked(&mut self, now: Nanos) {
+    pub fn request_sent(&mut self, now: Nanos) {
         if !self.is_followed(now) {
             self.counts_from = self.counts_from.min(now);
         }
     }
 
     /// The change log is to be followed elsewhere.
-    pub fn moved(&mut self, now: Nanos) {
+    pub fn address_changed(&mut self, now: Nanos) {
         self.unfollow();
         self.counts_from = self.counts_from.min(now.after(TOLD_AFTER_MOVE));
     }
@@ -133,7 +133,7 @@
     }
 
     /// When doubt begins, unless something is heard before, about events that must be heeded within `grace`.
-    pub fn doubtful_from(&self, now: Nanos, grace: Nanos) -> Nanos {
+    pub fn stale_from(&self, now: Nanos, grace: Nanos) -> Nanos {
         let within = grace.since(MARGIN);
         let line = self.line_begun.map(|begun| begun.after(within.max(QUICK_LINE)));
         line.into_iter().chain([self.doubtful_without_line(now, within)]).min().unwrap_or(now)
@@ -151,7 +151,7 @@
     }
 
     /// Whether events that must be heeded within `grace` may have been written, and count as told, that are not known.
-    pub fn is_doubtful(&self, now: Nanos, grace: Nanos) -> bool {
-        now >= self.doubtful_from(now, grace)
+    pub fn may_be_stale(&self, now: Nanos, grace: Nanos) -> bool {
+        now >= self.stale_from(now, grace)
     }
 }
--- a/crates/routing/src/change_log/lateness.rs
+++ b/crates/routing/src/change_log/lateness.rs
@@ -26,18 +26,18 @@
 
 impl Lateness {
     /// The stream is asked for what follows an event.
-    pub fn asked(&mut self, now: Nanos) {
+    pub fn request_sent(&mut self, now: Nanos) {
         *self = Lateness { asked: Some(now), ..Lateness::default() };
     }
 
     /// A whole line has come.
-    pub fn line(&mut self, now: Nanos) {
+    pub fn line_received(&mut self, now: Nanos) {
         let asked = self.asked.unwrap_or(now);
         self.first.get_or_insert(now.since(asked).since(HEARTBEAT_PERIOD));
     }
 
     /// A heartbeat has come, as a line.
-    pub fn heartbeat(&mut self, now: Nanos) {
+    pub fn heartbeat_received(&mut self, now: Nanos) {
         let earliest = self.due.unwrap_or(now).min(now);
         self.behind = now.since(earliest);
         // The next one is due a period after this one was, a little later at the most.
@@ -46,7 +46,7 @@
     }
 
     /// How late the last heartbeat was; nothing is known before the first line.
-    pub fn span(&self) -> Option<Nanos> {
+    pub fn late_by(&self) -> Option<Nanos> {
         self.first.map(|first| first.after(self.behind))
     }
 }
--- a/crates/routing/src/change_log/merge.rs
+++ b/crates/routing/src/change_log/merge.rs
@@ -74,7 +74,7 @@
         applied: u64,
     },
     /// Its numbers are lower than what was applied.
-    BegunAnew {
+    LogRestarted {
         /// The number that it names.
         last: u64,
         /// The number of the last event that was applied.
@@ -88,7 +88,7 @@
             Reason::Gap { number, applied } => write!(to, "event {number} after {applied}"),
             Reason::Unusable { number, why } => write!(to, "event {number}: {why}"),
             Reason::Missing { last, applied } => write!(to, "at {last}, applied {applied}"),
-            Reason::BegunAnew { last, applied } => {
+            Reason::LogRestarted { last, applied } => {
                 write!(to, "at {last}, applied {applied}: it has begun anew")
             }
         }
@@ -106,7 +106,7 @@
         lost: bool,
     },
     /// Pass over an event that can't be used.
-    LeftOut {
+    Skip {
         /// The event's number.
         number: u64,
         /// Why not, for the log.
@@ -136,16 +136,16 @@
     /// All that the stream knows of has been applied, and it knows of all that was.
     CaughtUp,
     /// It vouches for nothing now: it came late, or events of its stream are held back.
-    Unsure,
+    Inconclusive,
     /// It knows of less than what was applied; `news` the first time in a row that this lasts.
     Behind {
         /// It was not so at its last heartbeat.
-        news: bool,
+        should_log: bool,
     },
     /// The stream is to be asked again.
     Reconnect(Reason),
     /// So are all: numbers begin anew.
-    BegunAnew(Reason),
+    LogRestarted(Reason),
 }
 
 /// One stream.
@@ -218,7 +218,7 @@
     }
 
     /// Looks from now on for whether numbers begin anew, or doesn't.
-    pub fn look_for_anew(&mut self, looks: bool) {
+    pub fn detect_log_restart(&mut self, looks: bool) {
         self.looks_for_anew = looks;
     }
 
@@ -238,9 +238,9 @@
     }
 
     /// A stream is asked for what follows the last event that was applied.
-    pub fn asked(&mut self, now: Nanos, source: usize) {
+    pub fn request_sent(&mut self, now: Nanos, source: usize) {
         self.sources[source].stands = true;
-        self.sources[source].heartbeats.asked(now);
+        self.sources[source].heartbeats.request_sent(now);
     }
 
     /// A stream has ended. What it told and was not applied is forgotten: it is told again.
@@ -317,7 +317,7 @@
         let arrival = self.sources[source].held.pop()?;
         let Content::Unusable(why) = arrival.content else { return None };
         self.applied = self.applied.max(arrival.number);
-        Some(Step::LeftOut { number: arrival.number, why })
+        Some(Step::Skip { number: arrival.number, why })
     }
 
     /// The first event that a stream holds can't be used, or has come too early: once that may be a fault on its way.
@@ -339,7 +339,7 @@
         let several = self.sources.len() > 1;
         let of = &mut self.sources[source];
         // With one stream, whoever renews a lease judges that.
-        let in_time = of.heartbeats.comes(now, slack) || !several;
+        let in_time = of.heartbeats.received(now, slack) || !several;
         let told = of.held.last().unwrap_or(0).max(applied);
         if last > told {
             of.ended();
@@ -348,14 +348,14 @@
         if last < applied && !in_time {
             // What waited on its way tells what was known then, and ends a row of those that came in time.
             of.alone_behind = 0;
-            return Heartbeat::Unsure;
+            return Heartbeat::Inconclusive;
         }
         if last < applied {
             return self.behind(now, source, last);
         }
         (of.behind, of.alone_behind) = (0, 0);
         if of.held.first().is_some() || !in_time {
-            return Heartbeat::Unsure;
+            return Heartbeat::Inconclusive;
         }
         of.vouched = Some(now);
         Heartbeat::CaughtUp
@@ -369,16 +369,16 @@
         of.behind = of.behind.saturating_add(1);
         of.alone_behind = if vouched_for { 0 } else { of.alone_behind + 1 };
         if of.alone_behind < BEHIND || !self.looks_for_anew {
-            return Heartbeat::Behind { news: of.behind == BEHIND };
+            return Heartbeat::Behind { should_log: of.behind == BEHIND };
         }
-        let reason = Reason::BegunAnew { last, applied: self.applied };
+        let reason = Reason::LogRestarted { last, applied: self.applied };
         self.applied = 0;
         self.digests.clear();
         for source in &mut self.sources {
             source.ended();
             (source.behind, source.alone_behind) = (0, 0);
         }
-        Heartbeat::BegunAnew(reason)
+        Heartbeat::LogRestarted(reason)
     }
 
     /// Whether any other stream is so.
--- a/crates/routing/src/change_log/mod.rs
+++ b/crates/routing/src/change_log/mod.rs
@@ -14,4 +14,4 @@
 pub use knowledge::Knowledge;
 pub use lateness::Lateness;
 pub use merge::{Arrival, Content, Heartbeat, Merge, Reason, Step};
-pub use selection::{Replica, followed, most_followers};
+pub use selection::{Replica, expected_max_followers, select_replicas};
--- a/crates/routing/src/change_log/selection.rs
+++ b/crates/routing/src/change_log/selection.rs
@@ -45,7 +45,7 @@
 
 /// The two replicas that a dispatcher with this id follows, in different zones where there are such; `None` where there
 /// are fewer than two.
-pub fn followed<'a>(replicas: &'a [Replica], dispatcher: &str) -> Option<[&'a Replica; 2]> {
+pub fn select_replicas<'a>(replicas: &'a [Replica], dispatcher: &str) -> Option<[&'a Replica; 2]> {
     let dispatcher = stable_hash(dispatcher.as_bytes());
     let mut ranked: Vec<&Replica> = replicas.iter().collect();
     ranked.sort_by_key(|replica| (std::cmp::Reverse(replica.score(dispatcher)), replica.address));
@@ -56,7 +56,7 @@
 }
 
 /// How many of so many dispatchers the replica with the most followers has to expect: its mean and two roots of that.
-pub fn most_followers(replicas: &[Replica], dispatchers: u32) -> u32 {
+pub fn expected_max_followers(replicas: &[Replica], dispatchers: u32) -> u32 {
     let shares = (0..replicas.len()).map(|of| share(replicas, of));
     let mean = shares.fold(0.0, f64::max) * f64::from(dispatchers);
     dispatchers.min((mean + ROOTS * mean.sqrt()).ceil() as u32)
--- a/crates/routing/src/policy/unheard.rs
+++ b/crates/routing/src/policy/unheard.rs
@@ -38,7 +38,7 @@
 
     /// Whether nodes may drain that the list does not say so of: they are sent work under leases.
     pub fn may_miss_drains(&self, now: Nanos) -> bool {
-        self.knowledge.is_some_and(|knowledge| knowledge.is_doubtful(now, self.s.drain_grace))
+        self.knowledge.is_some_and(|knowledge| knowledge.may_be_stale(now, self.s.drain_grace))
     }
 
     /// What is known of the change log now.
@@ -58,7 +58,7 @@
 
     /// Whether copies that may have been purged are to be left alone.
     pub fn may_miss_purges(&self, now: Nanos) -> bool {
-        self.knowledge.is_some_and(|knowledge| knowledge.is_doubtful(now, self.s.purge_notice))
+        self.knowledge.is_some_and(|knowledge| knowledge.may_be_stale(now, self.s.purge_notice))
     }
 
     /// The oldest copy that no purge can forbid that was not heard, whenever that was: one that is younger than the time to
@@ -104,7 +104,7 @@
             return Some(Nanos::ZERO);
         }
         let terms = self.lease_terms(id);
-        let list_holds_until = knowledge.doubtful_from(now, self.s.drain_grace);
+        let list_holds_until = knowledge.stale_from(now, self.s.drain_grace);
         terms.is_strict.then(|| node.lease.ends(list_holds_until, terms.span))
     }
 
@@ -149,7 +149,7 @@
         }
         let every = self.probe_round();
         let ahead = Nanos(ROUNDS_AHEAD * every.0);
-        let from = knowledge.doubtful_from(now, self.s.drain_grace).since(ahead);
+        let from = knowledge.stale_from(now, self.s.drain_grace).since(ahead);
         self.probes_leases = true;
         out.arm_timer(from.since(now), LEASES_DUE);
     }
@@ -163,7 +163,7 @@
         };
         let every = self.probe_round();
         let ahead = Nanos(ROUNDS_AHEAD * every.0);
-        let list_holds_until = knowledge.doubtful_from(now, self.s.drain_grace);
+        let list_holds_until = knowledge.stale_from(now, self.s.drain_grace);
         if list_holds_until > now.after(ahead).after(every) {
             return self.plan_probes(now, out);
         }
--- a/crates/routing/tests/module/change_log/lateness.rs
+++ b/crates/routing/tests/module/change_log/lateness.rs
@@ -7,12 +7,12 @@
 /// A stream that is asked at 0, whose heartbeats come at these milliseconds; how late each is.
 fn late_ms(first_ms: u64, heartbeats_ms: &[u64]) -> Vec<u64> {
     let mut lateness = Lateness::default();
-    lateness.asked(ms(0));
-    lateness.line(ms(first_ms));
-    let span_ms = |lateness: &Lateness| lateness.span().expect("a line has come").0 / 1_000_000;
+    lateness.request_sent(ms(0));
+    lateness.line_received(ms(first_ms));
+    let span_ms = |lateness: &Lateness| lateness.late_by().expect("a line has come").0 / 1_000_000;
     let late = |at: &u64| {
-        lateness.line(ms(*at));
-        lateness.heartbeat(ms(*at));
+        lateness.line_received(ms(*at));
+        lateness.heartbeat_received(ms(*at));
         span_ms(&lateness)
     };
     heartbeats_ms.iter().map(late).collect()
@@ -27,9 +27,9 @@
 #[test]
 fn nothing_is_known_before_the_first_line() {
     let mut lateness = Lateness::default();
-    assert_eq!(lateness.span(), None);
-    lateness.asked(ms(0));
-    assert_eq!(lateness.span(), None);
+    assert_eq!(lateness.late_by(), None);
+    lateness.request_sent(ms(0));
+    assert_eq!(lateness.late_by(), None);
 }
 
 #[test]
@@ -53,11 +53,11 @@
 #[test]
 fn a_writer_whose_second_is_a_little_longer_does_not_become_late() {
     let mut lateness = Lateness::default();
-    lateness.asked(ms(0));
+    lateness.request_sent(ms(0));
     for count in 0..3_600_u64 {
         let at = Nanos(count * 1_010_000_000);
-        lateness.line(at);
-        lateness.heartbeat(at);
-        assert!(lateness.span().is_some_and(|late| late <= ms(20)), "{count}: {lateness:?}");
+        lateness.line_received(at);
+        lateness.heartbeat_received(at);
+        assert!(lateness.late_by().is_some_and(|late| late <= ms(20)), "{count}: {lateness:?}");
     }
 }
--- a/crates/routing/tests/module/change_log/merge_play.rs
+++ b/crates/routing/tests/module/change_log/merge_play.rs
@@ -18,7 +18,7 @@
 
     pub(super) fn with_streams(applied: u64, streams: usize) -> Play {
         let mut merge = Merge::new(applied, ms(500));
-        merge.look_for_anew(true);
+        merge.detect_log_restart(true);
         let mut play = Play { merge, now_ms: 10_000, trace: String::new() };
         for source in 0..streams {
             play.merge.add_source();
@@ -28,7 +28,7 @@
     }
 
     pub(super) fn ask(&mut self, source: usize) {
-        self.merge.asked(ms(self.now_ms), source);
+        self.merge.request_sent(ms(self.now_ms), source);
     }
 
     pub(super) fn event(&mut self, source: usize, number: u64, says: &'static str) {
@@ -59,7 +59,7 @@
                 Step::Apply { event, lost: true } => {
                     writeln!(self.trace, "{}: {event}, lost what lies between", self.merge.applied())
                 }
-                Step::LeftOut { number, why } => writeln!(self.trace, "{number} left out: {why}"),
+                Step::Skip { number, why } => writeln!(self.trace, "{number} left out: {why}"),
                 Step::Contradiction { source, number, event } => {
                     writeln!(self.trace, "{number}: stream {source} says {event}")
                 }
@@ -73,11 +73,11 @@
     pub(super) fn heartbeat(&mut self, source: usize, last: u64) {
         let says = match self.merge.heartbeat(ms(self.now_ms), source, last) {
             Heartbeat::CaughtUp => "caught up".to_string(),
-            Heartbeat::Unsure => "unsure".into(),
-            Heartbeat::Behind { news: false } => "behind".into(),
-            Heartbeat::Behind { news: true } => "behind for long".into(),
+            Heartbeat::Inconclusive => "unsure".into(),
+            Heartbeat::Behind { should_log: false } => "behind".into(),
+            Heartbeat::Behind { should_log: true } => "behind for long".into(),
             Heartbeat::Reconnect(reason) => format!("again: {reason}"),
-            Heartbeat::BegunAnew(reason) => format!("all again: {reason}"),
+            Heartbeat::LogRestarted(reason) => format!("all again: {reason}"),
         };
         let _ = writeln!(self.trace, "stream {source} at {last}: {says}");
         self.steps();
--- a/crates/routing/tests/module/change_log/random.rs
+++ b/crates/routing/tests/module/change_log/random.rs
@@ -88,7 +88,7 @@
 impl World {
     fn new() -> World {
         let mut merge = Merge::new(0, ms(SLACK_MS));
-        merge.look_for_anew(true);
+        merge.detect_log_restart(true);
         merge.add_source();
         merge.add_source();
         let (lost, seen) = Default::default();
@@ -150,7 +150,7 @@
         if self.streams[of].open {
             return;
         }
-        self.merge.asked(ms(self.now_ms), of);
+        self.merge.request_sent(ms(self.now_ms), of);
         let stream = &mut self.streams[of];
         (stream.open, stream.written) = (true, self.merge.applied());
         (stream.came_ms, stream.late_ms, stream.vouched_ms) = (self.now_ms, None, None);
@@ -203,12 +203,12 @@
                 stream.vouched_ms = Some(self.now_ms);
             }
             Heartbeat::Behind { .. } => assert!(last < self.applied),
-            Heartbeat::Unsure => {}
+            Heartbeat::Inconclusive => {}
             Heartbeat::Reconnect(_) => {
                 assert!(last > self.applied);
                 self.ended(of);
             }
-            Heartbeat::BegunAnew(_) => {
+            Heartbeat::LogRestarted(_) => {
                 assert!(!vouched_for && stream.behind >= 3, "begun anew though another vouches, or too soon");
                 self.applied = 0;
                 self.seen.clear();
@@ -236,7 +236,7 @@
                     self.applied = event;
                 }
                 Step::Reconnect { source, .. } => self.ended(source),
-                Step::LeftOut { .. } | Step::Contradiction { .. } => panic!("{step:?} where nothing says so"),
+                Step::Skip { .. } | Step::Contradiction { .. } => panic!("{step:?} where nothing says so"),
             }
         }
         assert_eq!(self.applied, self.merge.applied());
--- a/crates/routing/tests/module/change_log/selection.rs
+++ b/crates/routing/tests/module/change_log/selection.rs
@@ -1,6 +1,6 @@
 //! Which two replicas a dispatcher follows.
 
-use copperroute_routing::change_log::{Replica, followed, most_followers};
+use copperroute_routing::change_log::{Replica, expected_max_followers, select_replicas};
 use std::net::SocketAddr;
 
 /// Replicas of zones named by letters, as in "aabbcc".
@@ -19,7 +19,7 @@
 }
 
 fn addresses(replicas: &[Replica], dispatcher: &str) -> [SocketAddr; 2] {
-    followed(replicas, dispatcher).expect("two or more").map(|replica| replica.address)
+    select_replicas(replicas, dispatcher).expect("two or more").map(|replica| replica.address)
 }
 
 /// How many dispatchers follow each replica.
@@ -61,7 +61,7 @@
     };
     for replicas in [replicas("ab"), replicas("aaab"), replicas("aabbcc"), named_alike] {
         for dispatcher in dispatchers(1, 590) {
-            let [first, second] = followed(&replicas, &dispatcher).expect("two or more");
+            let [first, second] = select_replicas(&replicas, &dispatcher).expect("two or more");
             assert_ne!((&first.region, &first.zone), (&second.region, &second.zone));
         }
     }
@@ -69,8 +69,8 @@
         let [first, second] = addresses(&replicas("aaa"), &dispatcher);
         assert_ne!(first, second);
     }
-    assert_eq!(followed(&replicas("a"), "d"), None);
-    assert_eq!(followed(&[], "d"), None);
+    assert_eq!(select_replicas(&replicas("a"), "d"), None);
+    assert_eq!(select_replicas(&[], "d"), None);
 }
 
 #[test]
@@ -104,7 +104,7 @@
 
 #[test]
 fn the_most_that_a_replica_has_to_expect_is_what_comes() {
-    let expected = |zones, count| most_followers(&replicas(zones), count);
+    let expected = |zones, count| expected_max_followers(&replicas(zones), count);
     // Two of six, and two roots more.
     assert_eq!(expected("aabbcc", 590), 225);
     assert_eq!(expected("abcdef", 590), 225);
--- a/crates/routing/tests/module/unheard.rs
+++ b/crates/routing/tests/module/unheard.rs
@@ -11,8 +11,8 @@
 /// What is known since the log broke.
 fn broken() -> Knowledge {
     let mut knowledge = Knowledge::started(ms(1));
-    knowledge.vouched(ms(BROKE_MS - 500), Nanos::ZERO);
-    knowledge.lost(ms(BROKE_MS));
+    knowledge.heartbeat_confirmed(ms(BROKE_MS - 500), Nanos::ZERO);
+    knowledge.stream_lost(ms(BROKE_MS));
     knowledge
 }
 
@@ -52,7 +52,7 @@
     ask(&mut module, ms(BROKE_MS + 2_400), 2, 0, 2, &mut trace);
     assert!(trace.0.contains("age<=0.400"), "{}", trace.0);
     let mut knowledge = broken();
-    knowledge.vouched(ms(BROKE_MS + 3_000), Nanos::ZERO);
+    knowledge.heartbeat_confirmed(ms(BROKE_MS + 3_000), Nanos::ZERO);
     module.change_log_changed(ms(BROKE_MS + 3_000), knowledge, &mut trace);
     trace.0.clear();
     ask(&mut module, ms(BROKE_MS + 3_000), 3, 0, 3, &mut trace);
@@ -85,7 +85,7 @@
     let (span, token) = trace.1.pop().expect("a timer");
     assert!(span <= ms(300), "{span:?}");
     let mut knowledge = broken();
-    knowledge.vouched(first, Nanos::ZERO);
+    knowledge.heartbeat_confirmed(first, Nanos::ZERO);
     module.change_log_changed(first, knowledge, &mut trace);
     trace.0.clear();
     trace.1.clear();
@@ -102,7 +102,7 @@
     assert_eq!(asked_at(&mut module, ms(BROKE_MS + 300)), others);
     assert_eq!(asked_at(&mut module, ms(BROKE_MS + 60_000)), others);
     let mut knowledge = broken();
-    knowledge.vouched(ms(BROKE_MS + 60_001), Nanos::ZERO);
+    knowledge.heartbeat_confirmed(ms(BROKE_MS + 60_001), Nanos::ZERO);
     module.change_log_changed(ms(BROKE_MS + 60_001), knowledge, &mut trace);
     assert_eq!(asked_at(&mut module, ms(BROKE_MS + 60_002)), [0, 1, 2]);
 }
--- a/crates/settings/src/operator.rs
+++ b/crates/settings/src/operator.rs
@@ -323,7 +323,7 @@
         let (callers, who) = match replicas.is_empty() {
             true => (dispatchers, format!("{dispatchers} dispatchers")),
             false => {
-                let most = change_log::most_followers(&replicas, dispatchers);
+                let most = change_log::expected_max_followers(&replicas, dispatchers);
                 (most, format!("{most} of {dispatchers} dispatchers at one replica"))
             }
         };
