--- a/crates/routing/src/fleet/overload_control/mod.rs
+++ b/crates/routing/src/fleet/overload_control/mod.rs
@@ -60,29 +60,30 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Admission {
     /// Admitted, with this reservation.
-    Take(Reservation),
+    Admit(Reservation),
     /// Rejected at once, with retry-after.
-    Later(Reservation),
+    RetryLater(Reservation),
     /// Failed: it may have run already, or its attempts are used up.
-    Never(Reservation),
+    Fail(Reservation),
 }
 
 impl Admission {
     /// What is noted of the request, whatever is done with it.
     pub fn reservation(&self) -> Reservation {
-        let (Admission::Take(reservation) | Admission::Later(reservation) | Admission::Never(reservation)) =
-            self;
+        let (Admission::Admit(reservation)
+        | Admission::RetryLater(reservation)
+        | Admission::Fail(reservation)) = self;
         *reservation
     }
 }
 
 /// The capacity to admit to: this dispatcher's share, in concurrent transfers.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Supply {
+pub struct BackendCapacity {
     /// Of the zone's caches, or of the ways that bypass them: now, and after the longest retry-after.
     pub caches: [f64; 2],
     /// No cache is available: `caches` is the capacity of the ways that bypass them.
-    pub past: bool,
+    pub bypasses_caches: bool,
     /// Of the origin, at the same two times.
     pub origin: [f64; 2],
 }
@@ -145,26 +146,30 @@
     }
 
     /// The share of its usual further attempts that a content type may make.
-    pub fn further(&self, content_type: TypeId) -> f64 {
+    pub fn retry_share(&self, content_type: TypeId) -> f64 {
         FURTHER[self.load_state(content_type) as usize]
     }
 
     /// The number of remembered tries.
-    pub fn remembered(&self) -> usize {
+    pub fn remembered_requests(&self) -> usize {
         self.pages.len() + self.once.len()
     }
 
     /// Whether [`Self::look`] is due.
-    pub fn is_due(&self, now: Nanos) -> bool {
+    pub fn is_evaluation_due(&self, now: Nanos) -> bool {
         now.since(self.looked) >= LOOK_EVERY
     }
 
     /// Evaluates load states and sets admission rates for `supply`. Returns a change of load state: content type, old, new.
-    pub fn look(&mut self, now: Nanos, supply: Supply) -> Option<(TypeId, LoadState, LoadState)> {
+    pub fn evaluate(
+        &mut self,
+        now: Nanos,
+        supply: BackendCapacity,
+    ) -> Option<(TypeId, LoadState, LoadState)> {
         self.looked = now;
         self.pages.rotate(now);
         self.once.rotate(now);
-        self.admission[0].look(now, supply.caches, supply.past);
+        self.admission[0].look(now, supply.caches, supply.bypasses_caches);
         self.admission[1].look(now, supply.origin, false);
         (0..self.rows.len()).find_map(|at| self.judge(now, at))
     }
@@ -210,7 +215,7 @@
     }
 
     /// Decides on a request that has arrived.
-    pub fn arrives(&mut self, now: Nanos, d: &RoutingRequest, work_s: f64) -> Admission {
+    pub fn admit(&mut self, now: Nanos, d: &RoutingRequest, work_s: f64) -> Admission {
         let born = *self.born.get_or_insert(now);
         let at = d.content_type.0 as usize;
         let fingerprint = mix(d.client ^ mix(d.copy_hash ^ mix(u64::from(d.content_type.0) ^ d.body_hash)));
@@ -233,7 +238,7 @@
                 None => d.is_retry && unknown,
             };
             if may_have_run {
-                return Admission::Never(reservation);
+                return Admission::Fail(reservation);
             }
         }
         let page = self.pages.get(fingerprint).cloned();
@@ -255,7 +260,7 @@
         if let Some(early) = told.filter(|tried| damped && tried.back > now.after(EARLY)) {
             page.put(early);
             self.pages.insert(now, fingerprint, page);
-            return Admission::Later(Reservation {
+            return Admission::RetryLater(Reservation {
                 priority_level: Reservation::EARLY_RETRY_LEVEL,
                 ..reservation
             });
@@ -264,7 +269,7 @@
             self.pages.insert(now, fingerprint, page);
         }
         if u32::from(reservation.earlier_attempts) >= self.s.max_attempts {
-            return Admission::Never(reservation);
+            return Admission::Fail(reservation);
         }
         let in_time = told.is_some_and(|tried| tried.reserved && now <= tried.back.after(LATE));
         reservation.priority_level =
@@ -274,19 +279,19 @@
         if damped {
             let draw = self.random.share();
             if !self.admission[backend].lets_in(at, reservation.priority_level, work_s, draw) {
-                return Admission::Later(reservation);
+                return Admission::RetryLater(reservation);
             }
             reservation.admitted_under_overload = true;
         }
         if self.rows[at].is_once() {
             self.once.insert(now, fingerprint, Ran::InHand);
         }
-        Admission::Take(reservation)
+        Admission::Admit(reservation)
     }
 
     /// A request has its final answer, or its client has left. For a rejected one returns its retry-after, or `None` for the
     /// usual.
-    pub fn answered(
+    pub fn request_answered(
         &mut self,
         now: Nanos,
         request_id: &RequestState,
@@ -358,7 +363,7 @@
     }
 
     /// All attempts of an answered request have ended: whether it may have run is now final.
-    pub fn settled(&mut self, now: Nanos, request_id: &RequestState) {
+    pub fn request_settled(&mut self, now: Nanos, request_id: &RequestState) {
         let row = &self.rows[request_id.routing_request.content_type.0 as usize];
         if row.is_once() && self.once.get(request_id.reservation.fingerprint) == Some(&Ran::InHand) {
             let ran = request_id.may_have_run.is_some() || request_id.stage == Stage::Served;
--- a/crates/routing/src/policy/ends.rs
+++ b/crates/routing/src/policy/ends.rs
@@ -62,8 +62,10 @@
             let [worked, failed] = self.further.sums(now);
             let share = ((worked + 2.0) / (worked + failed + 2.0)).max(FURTHER_FLOOR);
             let in_time = request.routing_request.deadline.since(now).secs() > request.work_s;
-            let storm =
-                self.storm.as_ref().map_or(1.0, |storm| storm.further(request.routing_request.content_type));
+            let storm = self
+                .storm
+                .as_ref()
+                .map_or(1.0, |storm| storm.retry_share(request.routing_request.content_type));
             let attempts = request.attempts.len() + usize::from(request.reservation.earlier_attempts);
             let most = request.pinned.max_attempts();
             let allowed = in_time && attempts < most;
--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -5,7 +5,7 @@
 use crate::change_log::Knowledge;
 use crate::fleet::bandwidth_share::BandwidthShare;
 use crate::fleet::origin_limiter::OriginLimiter;
-use crate::fleet::overload_control::{Admission, OverloadControl, Supply};
+use crate::fleet::overload_control::{Admission, BackendCapacity, OverloadControl};
 use crate::fleet::slow_start::{Rate, keep_one_cold};
 use crate::interface::*;
 use crate::nodes::{Node, Nodes};
--- a/crates/routing/src/policy/ordinary.rs
+++ b/crates/routing/src/policy/ordinary.rs
@@ -38,11 +38,11 @@
     /// Sends a request on its way, unless the storm module holds it off: then it is answered at once.
     pub(super) fn admit(&mut self, now: Nanos, d: &RoutingRequest, work_s: f64, out: &mut impl Actions) {
         let Some(mut storm) = self.storm.take() else { return self.attempt(now, d.request_id, out) };
-        let changed = if storm.is_due(now) { storm.look(now, self.supply(now)) } else { None };
+        let changed = if storm.is_evaluation_due(now) { storm.evaluate(now, self.supply(now)) } else { None };
         if let Some((of, from, to)) = changed {
             out.log_line(&format!("content type {}: {to:?} after {from:?}", of.0));
         }
-        let admission = storm.arrives(now, d, work_s);
+        let admission = storm.admit(now, d, work_s);
         self.storm = Some(storm);
         let reservation = admission.reservation();
         self.requests
@@ -50,14 +50,14 @@
             .into_iter()
             .for_each(|request| request.reservation = reservation);
         match admission {
-            Admission::Take(_) => self.attempt(now, d.request_id, out),
-            Admission::Later(_) => self.give_up(now, d.request_id, out),
-            Admission::Never(_) => self.end(now, d.request_id, Stage::Failed, out),
+            Admission::Admit(_) => self.attempt(now, d.request_id, out),
+            Admission::RetryLater(_) => self.give_up(now, d.request_id, out),
+            Admission::Fail(_) => self.end(now, d.request_id, Stage::Failed, out),
         }
     }
 
     /// What the location's caches bear, or where none is open the ways past them, and what the origin does.
-    pub(super) fn supply(&self, now: Nanos) -> Supply {
+    pub(super) fn supply(&self, now: Nanos) -> BackendCapacity {
         let bears =
             |n: &Node, at: Nanos| if n.on_trial || n.aside_until > at { 0.0 } else { self.bearable(n, at) };
         let later = now.after(self.s.max_retry_after);
@@ -68,7 +68,11 @@
         let fetches = self.origin.share(now) / f64::from(self.s.dispatchers.max(1));
         let origin = self.nodes.origin().and_then(|id| self.nodes.get(id));
         let origin = [now, later].map(|at| origin.map_or(0.0, |n| bears(n, at) * fetches));
-        Supply { caches: caches.map(|sum| sum.max(past)), past: caches[0] <= past, origin }
+        BackendCapacity {
+            caches: caches.map(|sum| sum.max(past)),
+            bypasses_caches: caches[0] <= past,
+            origin,
+        }
     }
 
     /// Chooses node and source and sends; gives up at once where nothing can take it. A cache is looked at
--- a/crates/routing/src/policy/rules.rs
+++ b/crates/routing/src/policy/rules.rs
@@ -106,7 +106,7 @@
         let final_one = !matches!(to, Stage::Accepted | Stage::Attempting | Stage::Streaming);
         let request = self.requests.get(id.0).filter(|_| final_one)?;
         let target_s = self.target_s(request);
-        self.storm.as_mut()?.answered(now, request, to, target_s)
+        self.storm.as_mut()?.request_answered(now, request, to, target_s)
     }
 
     /// Lets go of an answered request once all its attempts are in.
@@ -114,7 +114,7 @@
         let Some(request) = self.requests.get(id.0) else { return };
         let open = matches!(request.stage, Stage::Accepted | Stage::Attempting | Stage::Streaming);
         if !open && request.attempts.iter().all(|p| !p.out) {
-            self.storm.iter_mut().for_each(|storm| storm.settled(now, request));
+            self.storm.iter_mut().for_each(|storm| storm.request_settled(now, request));
             self.requests.remove(id.0);
             out.release(id);
         }
