--- a/crates/dispatcher/src/nodes/attempts.rs
+++ b/crates/dispatcher/src/nodes/attempts.rs
@@ -53,7 +53,7 @@
         now: Nanos,
         effects: &mut Vec<Effect>,
     ) -> Option<u32> {
-        let spared = self.openings.are_spared(now);
+        let spared = self.openings.limits_to_one(now);
         if once || (now < self.doubt && !spared) {
             let rested = |number: &u32| self.connections.get(number).is_some_and(|c| c.has_rested(now));
             let pool = self.pools.get(node.0)?;
--- a/crates/dispatcher/src/nodes/connections.rs
+++ b/crates/dispatcher/src/nodes/connections.rs
@@ -40,7 +40,7 @@
             connection.decoder.feed(bytes);
             if std::mem::take(&mut connection.unheard) {
                 let pool = self.pools.get_mut(connection.node.0);
-                pool.into_iter().for_each(|pool| pool.opening.taken());
+                pool.into_iter().for_each(|pool| pool.opening.accepted());
             }
         }
     }
@@ -97,7 +97,7 @@
         if let Some(node) = node
             && let Some(pool) = self.pools.get_mut(node.0)
         {
-            let until = self.openings.turned_away(now, &mut pool.opening);
+            let until = self.openings.refused(now, &mut pool.opening);
             self.full.extend(until.filter(|_| pool.connections.is_empty()).map(|until| (node, until)));
         }
         attempts
@@ -161,7 +161,7 @@
         }
         let old = |c: &Connection| c.load() == 0 && idle > Nanos::ZERO && now.since(c.used) > idle;
         // While connections are spared, others need those that carry nothing beside another.
-        let spared = self.openings.are_spared(now);
+        let spared = self.openings.limits_to_one(now);
         let first = |c: &Connection| self.pools.get(c.node.0).and_then(|pool| pool.connections.first());
         let beside = |number: &u32, c: &Connection| spared && c.load() == 0 && first(c) != Some(number);
         let spent = self.connections.iter().filter(|(number, c)| old(c) || beside(number, c));
--- a/crates/dispatcher/src/reducer/clients.rs
+++ b/crates/dispatcher/src/reducer/clients.rs
@@ -104,13 +104,13 @@
 
     pub(super) fn request_arrived(&mut self, now: Nanos, client: u32, tag: u64, mut request: Request) {
         let id = stable_hash(request.id.as_str().as_bytes());
-        let content_type = match (self.conduct.judge(now, id), self.usable(&request)) {
-            (Verdict::Take, Ok(content_type)) => content_type,
-            (Verdict::Take, Err(why)) => {
+        let content_type = match (self.conduct.check(now, id), self.usable(&request)) {
+            (Verdict::New, Ok(content_type)) => content_type,
+            (Verdict::New, Err(why)) => {
                 self.complaints.warn(now, format_args!("client {client}: {why}"));
                 return self.request_table.write(client, tag, Answer::Failed);
             }
-            (Verdict::Again, _) => {
+            (Verdict::Duplicate, _) => {
                 self.complaints.warn(now, format_args!("client {client}: req: {} came before", request.id));
                 return self.request_table.write(client, tag, Answer::Failed);
             }
--- a/crates/dispatcher/src/reducer/mod.rs
+++ b/crates/dispatcher/src/reducer/mod.rs
@@ -22,7 +22,7 @@
 use copperroute_protocol::hex::Hex;
 use copperroute_routing::change_log::{Heartbeats, Knowledge};
 use copperroute_routing::fleet::connection_back_off::NodeBackOff;
-use copperroute_routing::fleet::duplicate_filter::{DuplicateFilter, MOST_IDS, Verdict};
+use copperroute_routing::fleet::duplicate_filter::{DuplicateFilter, MAX_IDS, Verdict};
 use copperroute_routing::interface::{
     Actions as _, Nanos, NodeEntry, NodeId, Readiness, RequestId, RetrySafety, RoutingRequest, Settings,
     TypeId, UNKNOWN_ID, ZoneId, mix, stable_hash,
@@ -152,7 +152,7 @@
             drained: false,
             shut: false,
             complaints: Sparse::default(),
-            conduct: DuplicateFilter::new(longest_expiry(&config), MOST_IDS),
+            conduct: DuplicateFilter::new(longest_expiry(&config), MAX_IDS),
             config,
         }
     }
--- a/crates/routing/src/fleet/bandwidth_share.rs
+++ b/crates/routing/src/fleet/bandwidth_share.rs
@@ -56,7 +56,7 @@
 impl BandwidthShare {
     /// The caches of the location have these links together: this dispatcher's part of the location's, in transfers, is
     /// told, or else judged from theirs. The most that were listed count, at what those here have shown they can do.
-    pub fn listed(&mut self, s: &Settings, [listed, can]: [f64; 2]) {
+    pub fn caches_listed(&mut self, s: &Settings, [listed, can]: [f64; 2]) {
         self.most = self.most.max(listed);
         let caches = self.most * if listed > 0.0 { can / listed } else { 1.0 };
         let all =
@@ -73,17 +73,17 @@
     }
 
     /// What it bears of own attempts that go past the caches.
-    pub fn bears(&self) -> f64 {
+    pub fn bypass_limit(&self) -> f64 {
         self.limit.min(self.part.max(1.0))
     }
 
     /// A fill goes out.
-    pub fn begun(&mut self) {
+    pub fn fill_started(&mut self) {
         self.out += 1.0;
     }
 
     /// One has ended, or was called off.
-    pub fn ended(&mut self) {
+    pub fn fill_ended(&mut self) {
         self.out -= 1.0;
     }
 
@@ -103,7 +103,7 @@
 
     /// Follows how slow fills run: the time one took to send, what is fair for that, and how long it waited first. Down
     /// when they take too long for their size, up when the limit binds.
-    pub fn saw(&mut self, now: Nanos, seconds: [f64; 3]) {
+    pub fn record_fill(&mut self, now: Nanos, seconds: [f64; 3]) {
         for (at, secs) in seconds.into_iter().enumerate() {
             self.pace.add(now, at, secs);
         }
--- a/crates/routing/src/fleet/connection_back_off.rs
+++ b/crates/routing/src/fleet/connection_back_off.rs
@@ -31,7 +31,7 @@
 
 impl NodeBackOff {
     /// The node has answered on a connection: it was accepted.
-    pub fn taken(&mut self) {
+    pub fn accepted(&mut self) {
         *self = NodeBackOff::default();
     }
 }
@@ -50,18 +50,18 @@
     }
 
     /// Whether connections are spared: one for each node, for as long as it will do.
-    pub fn are_spared(&self, now: Nanos) -> bool {
+    pub fn limits_to_one(&self, now: Nanos) -> bool {
         now < self.spared_until
     }
 
     /// Whether one more may be opened to a node to which so many are held.
     pub fn may_open(&self, now: Nanos, of: &NodeBackOff, held: usize) -> bool {
-        let most = if self.are_spared(now) { 1 } else { HELD };
+        let most = if self.limits_to_one(now) { 1 } else { HELD };
         held < most && of.until <= now && (held == 0 || of.refusals == 0)
     }
 
     /// One has come up and ended with nothing heard. Returns until when none is opened, if the node turns away.
-    pub fn turned_away(&mut self, now: Nanos, of: &mut NodeBackOff) -> Option<Nanos> {
+    pub fn refused(&mut self, now: Nanos, of: &mut NodeBackOff) -> Option<Nanos> {
         of.refusals = of.refusals.saturating_add(1);
         let doubled = of.refusals.checked_sub(ROW)?;
         let longest = LONGEST.0.min(WAIT.0 << doubled.min(16));
--- a/crates/routing/src/fleet/duplicate_filter.rs
+++ b/crates/routing/src/fleet/duplicate_filter.rs
@@ -14,15 +14,15 @@
 use std::collections::{HashMap, VecDeque};
 
 /// Ids that are kept at most: a dispatcher takes some tens of requests a second, a flood some thousands.
-pub const MOST_IDS: usize = 65_536;
+pub const MAX_IDS: usize = 65_536;
 
 /// What becomes of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
     /// It is new.
-    Take,
+    New,
     /// Its id was seen before.
-    Again,
+    Duplicate,
 }
 
 /// The ids seen lately.
@@ -44,10 +44,10 @@
     }
 
     /// A whole request has come, under the client's id (as a hash).
-    pub fn judge(&mut self, now: Nanos, id: u64) -> Verdict {
+    pub fn check(&mut self, now: Nanos, id: u64) -> Verdict {
         self.forget(now);
         if self.seen.contains_key(&id) {
-            return Verdict::Again;
+            return Verdict::Duplicate;
         }
         if self.seen.len() >= self.most
             && let Some((_, oldest)) = self.order.pop_front()
@@ -56,7 +56,7 @@
         }
         self.seen.insert(id, now);
         self.order.push_back((now, id));
-        Verdict::Take
+        Verdict::New
     }
 
     /// How many ids are kept.
--- a/crates/routing/src/fleet/origin_limiter.rs
+++ b/crates/routing/src/fleet/origin_limiter.rs
@@ -42,35 +42,35 @@
     }
 
     /// What a fetch usually takes to begin, in seconds.
-    pub fn usual_s(&self) -> f64 {
+    pub fn typical_s(&self) -> f64 {
         self.usual_s
     }
 
     /// A fetch has come, whose first byte took so long, of a request with this target time.
-    pub fn answered(&mut self, now: Nanos, waited_s: f64, target_s: f64) {
+    pub fn fetch_answered(&mut self, now: Nanos, waited_s: f64, target_s: f64) {
         let late = waited_s > (LATE * target_s).max(SLOW * self.usual_s);
         self.usual_s += SMOOTH * (waited_s - self.usual_s).min(self.usual_s);
         self.fetches.add(now, usize::from(late), 1.0);
     }
 
     /// It, or a parent on its behalf, turned a fetch away.
-    pub fn refused(&mut self, now: Nanos) {
+    pub fn fetch_refused(&mut self, now: Nanos) {
         self.fetches.add(now, 1, 1.0);
     }
 
     /// A fill that may be by way of it should have come by now.
-    pub fn overdue(&mut self, now: Nanos) {
+    pub fn fetch_overdue(&mut self, now: Nanos) {
         self.fetches.add(now, 1, 1.0);
     }
 
     /// One that counted as overdue has ended: it counts as what it was, or, where it was none of the origin's, not.
-    pub fn came(&mut self, now: Nanos) {
+    pub fn overdue_ended(&mut self, now: Nanos) {
         self.fetches.add(now, 1, -1.0);
     }
 
     /// The part of fills that may go by way of it. One that is too slow, or turns fetches away, is asked for fewer; by
     /// shares, as of hundreds one sees few, and while they are recent.
-    pub fn share(&self, now: Nanos) -> f64 {
+    pub fn allowed_share(&self, now: Nanos) -> f64 {
         let [good, late] = self.fetches.sums(now);
         let late = late.max(0.0);
         1.0 - (1.0 - FLOOR) * late / (good + late + 1.0)
--- a/crates/routing/src/fleet/slow_start.rs
+++ b/crates/routing/src/fleet/slow_start.rs
@@ -64,7 +64,7 @@
 
     /// What all together may send in any window of the rule's length, in seconds of sending: what grows in it, and what
     /// they may have saved before it. Chance moves what is sent around it, as each attempt is drawn.
-    pub fn most_in_window_s(&self) -> f64 {
+    pub fn max_in_window_s(&self) -> f64 {
         self.bearable * (self.window.secs() + self.burst_s())
     }
 
@@ -77,7 +77,7 @@
 impl TokenBucket {
     /// The empty bucket for a node that had started before this dispatcher did, at this time: whoever was in its place before may
     /// just have spent all that it had.
-    pub fn begun(at: Nanos) -> TokenBucket {
+    pub fn empty(at: Nanos) -> TokenBucket {
         TokenBucket { tokens_s: 0.0, at }
     }
 
@@ -98,7 +98,7 @@
     }
 
     /// How long it takes until an attempt of so much work has grown again, at what the dispatcher may send a second.
-    pub fn until(&self, rate: &Rate, work_s: f64) -> Nanos {
+    pub fn wait_for(&self, rate: &Rate, work_s: f64) -> Nanos {
         Nanos::from_secs(((work_s - self.tokens_s) / rate.share().max(1e-6)).clamp(0.0, LONGEST_S))
     }
 }
--- a/crates/routing/src/nodes.rs
+++ b/crates/routing/src/nodes.rs
@@ -236,7 +236,7 @@
                 None => {
                     let mut node = new(e);
                     if e.started <= self.began {
-                        node.bucket = TokenBucket::begun(self.began);
+                        node.bucket = TokenBucket::empty(self.began);
                     }
                     self.slots.put(e.node.0, node);
                 }
--- a/crates/routing/src/policy/ends.rs
+++ b/crates/routing/src/policy/ends.rs
@@ -140,7 +140,7 @@
         self.lease_shown(sent, end);
         let origin = self.nodes.origin();
         if sent.overdue && matches!(end.remark, Remark::FilledFromCopy | Remark::FilledFromOrigin) {
-            self.origin.came(now);
+            self.origin.overdue_ended(now);
         }
         let from_source = match end.remark {
             Remark::SourceRefused | Remark::SourceLost => Some(sent.source),
@@ -148,7 +148,7 @@
             _ => None,
         };
         if end.remark == Remark::OriginFailed || (end.outcome == Refused && Some(sent.source) == origin) {
-            self.origin.refused(now);
+            self.origin.fetch_refused(now);
         }
         let answered = !matches!(end.outcome, TimedOut | Unreachable | Cancelled | NotSent);
         let mean = self.row(&request.routing_request).mean_work_s;
@@ -170,7 +170,7 @@
                     if let Some(origin) = origin.filter(|_| end.remark == Remark::FilledFromOrigin) {
                         self.mark(now, origin, true, false, out);
                         let waited_s = end.first_byte_wait.unwrap_or_default().secs();
-                        self.origin.answered(now, waited_s, self.target_s(request));
+                        self.origin.fetch_answered(now, waited_s, self.target_s(request));
                     }
                 }
             }
@@ -236,7 +236,7 @@
         let Some((number, sent)) = found.map(|at| (at, request.attempts[at])) else { return };
         let at_origin = self.nodes.is_origin(sent.node) || self.nodes.from_above(&sent);
         if at_origin && !sent.held_only {
-            self.origin.overdue(now);
+            self.origin.fetch_overdue(now);
             self.requests
                 .get_mut((token >> 32) as u32)
                 .into_iter()
--- a/crates/routing/src/policy/fill.rs
+++ b/crates/routing/src/policy/fill.rs
@@ -12,7 +12,7 @@
 
     /// Link and source hear how slowly a fill ran.
     pub(super) fn fill_ended(&mut self, now: Nanos, request: &RequestState, sent: &Sent, end: &AttemptEnd) {
-        self.link.ended();
+        self.link.fill_ended();
         if end.outcome == Outcome::Cancelled {
             return;
         }
@@ -24,12 +24,12 @@
             told.latency_target.secs() + (told.latency_target_stretch - 1.0).max(0.0) * request.work_s;
         let took = end.duration.secs() - waited;
         let fair = request.work_s + FILL_LEEWAY * leeway;
-        self.link.saw(now, [took, fair, waited]);
+        self.link.record_fill(now, [took, fair, waited]);
         // A parent may be quick to begin and slow to send: what its fills take over the leeway counts as part
         // of its first byte. It fades while the parent is not asked, so that one is tried again. Of a slow
         // origin's time only the usual is the parent's: else objects would wander between parents.
         let own =
-            if end.remark == Remark::FilledFromCopy { waited } else { waited.min(self.origin.usual_s()) };
+            if end.remark == Remark::FilledFromCopy { waited } else { waited.min(self.origin.typical_s()) };
         if let Some(n) = self.nodes.get_mut(sent.source) {
             n.saw_first_byte(now, own + (took - fair).max(0.0), SMOOTH, FADES);
         }
@@ -77,7 +77,7 @@
         let first_byte = |id: NodeId| self.nodes.get(id).map_or(0.0, |n| n.first_byte_s(now, FADES));
         // The origin stands in for a parent that is not open. As all locations turn to it at once, uncached
         // and unjoined, each dispatcher asks it for a few at a time only.
-        let few = |n: &Node| f64::from(n.out) < self.origin.share(now) * self.link.limit();
+        let few = |n: &Node| f64::from(n.out) < self.origin.allowed_share(now) * self.link.limit();
         let origin =
             self.nodes.origin().filter(|id| parents.len() < 2 && self.nodes.get(*id).is_some_and(few));
         let two = parents.iter().take(2).map(|(_, id)| *id).chain(origin);
@@ -100,6 +100,6 @@
         let power = [4.0, 2.0, 1.0, 0.5, 0.0][usize::from(rank.min(4))];
         !closed
             && self.nodes.turn(request.routing_request.copy_hash, self.random.share())
-                < self.origin.share(now).powf(power)
+                < self.origin.allowed_share(now).powf(power)
     }
 }
--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -156,7 +156,7 @@
     /// A node has said what it is doing.
     pub fn load_probe_answered(&mut self, now: Nanos, id: NodeId, report: LoadReport) {
         if self.nodes.reported(now, id, self.cold_start(id).0.warm_after, report) {
-            self.link.listed(&self.s, self.nodes.caches_can(self.s.zone_dispatchers));
+            self.link.caches_listed(&self.s, self.nodes.caches_can(self.s.zone_dispatchers));
         }
     }
 
@@ -181,7 +181,7 @@
             self.nodes.unmet(entries).into_iter().for_each(|id| out.probe_load(id));
         }
         self.nodes.relist(entries, |e| Node::new(*e, JUDGED_OVER, BUCKETS));
-        self.link.listed(&self.s, self.nodes.caches_can(self.s.zone_dispatchers));
+        self.link.caches_listed(&self.s, self.nodes.caches_can(self.s.zone_dispatchers));
     }
 
     /// Attempts and fills believed to be out at a node.
--- a/crates/routing/src/policy/ordinary.rs
+++ b/crates/routing/src/policy/ordinary.rs
@@ -64,8 +64,8 @@
         let z = f64::from(self.s.zone_dispatchers.max(1));
         let caches = [now, later].map(|at| self.nodes.caches().map(|n| bears(n, at)).sum::<f64>() / z);
         let parents = self.s.direct_to_parents && self.nodes.parents().any(|n| !n.on_trial);
-        let past = if parents { self.link.bears() } else { 0.0 };
-        let fetches = self.origin.share(now) / f64::from(self.s.dispatchers.max(1));
+        let past = if parents { self.link.bypass_limit() } else { 0.0 };
+        let fetches = self.origin.allowed_share(now) / f64::from(self.s.dispatchers.max(1));
         let origin = self.nodes.origin().and_then(|id| self.nodes.get(id));
         let origin = [now, later].map(|at| origin.map_or(0.0, |n| bears(n, at) * fetches));
         BackendCapacity {
@@ -126,7 +126,7 @@
         };
         self.nodes.count_out(&sent, 1);
         if !sent.is_look() {
-            self.link.begun();
+            self.link.fill_started();
         }
         self.move_to(now, id, Stage::Attempting, out);
         if let Some(request) = self.requests.get_mut(id.0) {
--- a/crates/routing/src/policy/place.rs
+++ b/crates/routing/src/policy/place.rs
@@ -74,7 +74,8 @@
         let own = self.nodes.own_cache(node);
         let load = own.map_or(1.0, |n| self.load(request, &self.paces(now))(n, n.pace.sums(now)).max(1.0));
         load > 1.0
-            && FILL_WEIGHT * request.work_s * load + self.origin.usual_s() > IN_TIME * self.target_s(request)
+            && FILL_WEIGHT * request.work_s * load + self.origin.typical_s()
+                > IN_TIME * self.target_s(request)
     }
 
     /// The first in hash order; the next takes over where it is not open, full, cold, or was tried.
--- a/crates/routing/src/policy/rules.rs
+++ b/crates/routing/src/policy/rules.rs
@@ -15,7 +15,7 @@
             Rate::new(bearable, cold.overload_multiple.max(1.0 / COLD_LOAD), self.s.overload_window, sharers);
         let Some(n) = self.nodes.get_mut(id) else { return false };
         let chance = n.bucket.spend(now, &rate, work_s);
-        self.again = n.bucket.until(&rate, work_s);
+        self.again = n.bucket.wait_for(&rate, work_s);
         chance > 0.0 && self.random.share() < chance
     }
 
--- a/crates/routing/tests/module/cold.rs
+++ b/crates/routing/tests/module/cold.rs
@@ -162,19 +162,19 @@
 #[test]
 fn an_overdue_fill_that_comes_after_all_counts_as_what_it_was() {
     let mut origin = OriginLimiter::new();
-    assert_eq!(origin.share(ms(1_000)), 1.0);
-    (0..4).for_each(|_| origin.overdue(ms(1_000)));
-    let overdue = origin.share(ms(1_100));
+    assert_eq!(origin.allowed_share(ms(1_000)), 1.0);
+    (0..4).for_each(|_| origin.fetch_overdue(ms(1_000)));
+    let overdue = origin.allowed_share(ms(1_100));
     assert!(overdue < 0.3, "{overdue}");
     for _ in 0..4 {
-        origin.came(ms(1_200));
-        origin.answered(ms(1_200), 0.05, 0.8);
+        origin.overdue_ended(ms(1_200));
+        origin.fetch_answered(ms(1_200), 0.05, 0.8);
     }
-    assert_eq!(origin.share(ms(1_200)), 1.0);
+    assert_eq!(origin.allowed_share(ms(1_200)), 1.0);
     // What was late is forgotten after two seconds, what came since is not taken for less than nothing.
-    origin.overdue(ms(1_300));
-    origin.came(ms(3_900));
-    assert_eq!(origin.share(ms(4_000)), 1.0);
+    origin.fetch_overdue(ms(1_300));
+    origin.overdue_ended(ms(3_900));
+    assert_eq!(origin.allowed_share(ms(4_000)), 1.0);
 }
 
 /// Keeps the times to come back that are told, and passes over all else.
--- a/crates/routing/tests/module/cold_sum.rs
+++ b/crates/routing/tests/module/cold_sum.rs
@@ -168,7 +168,7 @@
                 // As `src/policy/rules.rs` has it: half of what the rule bears, and never over what the node can do.
                 let bearable = n * WORK_S / ms(window).secs() / multiple * (multiple / 2.0).min(1.0);
                 let most_s =
-                    Rate::new(bearable, multiple.max(2.0), ms(window), dispatchers).most_in_window_s();
+                    Rate::new(bearable, multiple.max(2.0), ms(window), dispatchers).max_in_window_s();
                 let calls = most_s / WORK_S;
                 assert!(calls <= 0.75 * n + 1e-9, "{calls} calls, N {n}");
                 assert!(calls + 3.0 * calls.sqrt() <= kept(n), "{calls} calls, N {n}");
@@ -208,11 +208,11 @@
                     let work_s = ms(work_ms).secs();
                     spent.push((now, bucket.spend(now, &rate, work_s) * work_s));
                 }
-                Step::BeginsAnew => *bucket = TokenBucket::begun(now),
+                Step::BeginsAnew => *bucket = TokenBucket::empty(now),
             }
             let in_window = spent.iter().rev().take_while(|(at, _)| now.since(*at) < window);
             let sum_s: f64 = in_window.map(|(_, work_s)| work_s).sum();
-            prop_assert!(sum_s <= rate.most_in_window_s() + 1e-9, "{sum_s} of {}", rate.most_in_window_s());
+            prop_assert!(sum_s <= rate.max_in_window_s() + 1e-9, "{sum_s} of {}", rate.max_in_window_s());
         }
     }
 }
--- a/crates/routing/tests/module/conduct.rs
+++ b/crates/routing/tests/module/conduct.rs
@@ -11,11 +11,11 @@
     let mut conduct = DuplicateFilter::new(Nanos(5 * SECOND), 100);
     let at = |s: u64| Nanos(100 * SECOND + s * SECOND);
     let verdicts = [
-        conduct.judge(at(0), 1),
-        conduct.judge(at(1), 1),
-        conduct.judge(at(1), 2),
-        conduct.judge(at(4), 1),
-        conduct.judge(at(6), 1),
+        conduct.check(at(0), 1),
+        conduct.check(at(1), 1),
+        conduct.check(at(1), 2),
+        conduct.check(at(4), 1),
+        conduct.check(at(6), 1),
     ];
     expect!["[Take, Again, Take, Again, Take]"].assert_eq(&format!("{verdicts:?}"));
 }
@@ -24,11 +24,11 @@
 fn a_flood_of_new_ids_keeps_no_more_than_the_bound_and_forgets_the_oldest() {
     let mut conduct = DuplicateFilter::new(Nanos(5 * SECOND), 1_000);
     for id in 0..10_000 {
-        assert_eq!(conduct.judge(Nanos(SECOND + id), id), Verdict::Take);
+        assert_eq!(conduct.check(Nanos(SECOND + id), id), Verdict::New);
     }
     let (kept, oldest, newest) =
-        (conduct.len(), conduct.judge(Nanos(2 * SECOND), 0), conduct.judge(Nanos(2 * SECOND), 9_999));
+        (conduct.len(), conduct.check(Nanos(2 * SECOND), 0), conduct.check(Nanos(2 * SECOND), 9_999));
     expect!["(1000, Take, Again)"].assert_eq(&format!("{:?}", (kept, oldest, newest)));
-    conduct.judge(Nanos(20 * SECOND), 1);
+    conduct.check(Nanos(20 * SECOND), 1);
     expect!["1"].assert_eq(&conduct.len().to_string());
 }
--- a/crates/routing/tests/module/opening.rs
+++ b/crates/routing/tests/module/opening.rs
@@ -12,9 +12,9 @@
     let (mut all, mut node) = (ConnectionBackOff::new(1), NodeBackOff::default());
     let (mut now, mut trace) = (ms(1_000), String::new());
     for _ in 0..10 {
-        let until = all.turned_away(now, &mut node);
+        let until = all.refused(now, &mut node);
         let wait = until.map_or(0.0, |until| until.since(now).secs());
-        let _ = writeln!(trace, "{:.2} s: waits {wait:.2}, spared {}", now.secs(), all.are_spared(now));
+        let _ = writeln!(trace, "{:.2} s: waits {wait:.2}, spared {}", now.secs(), all.limits_to_one(now));
         now = until.unwrap_or(now).after(ms(1));
     }
     expect![[r#"
@@ -39,12 +39,12 @@
     let held =
         |all: &ConnectionBackOff, now| (0..9).find(|held| !all.may_open(now, &other, *held)).unwrap_or(9);
     assert_eq!(held(&all, ms(0)), 4);
-    all.turned_away(ms(0), &mut full);
+    all.refused(ms(0), &mut full);
     assert_eq!(held(&all, ms(0)), 4);
-    all.turned_away(ms(0), &mut full);
+    all.refused(ms(0), &mut full);
     assert_eq!(held(&all, ms(1)), 1);
     assert!(!all.may_open(ms(1), &full, 0));
-    full.taken();
+    full.accepted();
     assert!(all.may_open(ms(1), &full, 0));
     assert_eq!(held(&all, ms(60_001)), 4);
 }
@@ -68,9 +68,9 @@
             last_second.push_back(now);
             opened += 1;
             if *has {
-                node.taken();
+                node.accepted();
             } else {
-                all.turned_away(now, node);
+                all.refused(now, node);
             }
         }
         if each.iter().all(|one| one.2) {
