--- a/crates/cache-store/benches/tiers.rs
+++ b/crates/cache-store/benches/tiers.rs
@@ -37,7 +37,8 @@
 fn day() -> Vec<u64> {
     let mut chance = Random::new(7);
     let once = |at: u32| 1 << 40 | u64::from(at);
-    let asked = |at| if chance.share() < 0.125 { once(at) } else { OBJECTS.powf(chance.share()) as u64 };
+    let asked =
+        |at| if chance.next_f64() < 0.125 { once(at) } else { OBJECTS.powf(chance.next_f64()) as u64 };
     (0..DOWNLOADS).map(asked).collect()
 }
 
--- a/crates/change-log-replica/tests/relay/lines.rs
+++ b/crates/change-log-replica/tests/relay/lines.rs
@@ -9,7 +9,7 @@
     let (mut decoder, mut chance, mut rest, mut lines) =
         (Decoder::default(), Chance::new(seed), bytes, Vec::new());
     while !rest.is_empty() {
-        let (cut, left) = rest.split_at(1 + (chance.share() * rest.len() as f64) as usize);
+        let (cut, left) = rest.split_at(1 + (chance.next_f64() * rest.len() as f64) as usize);
         decoder.feed(cut);
         while let Some(line) = decoder.next_line().expect("readable") {
             lines.push(line);
--- a/crates/change-log-replica/tests/relay/network.rs
+++ b/crates/change-log-replica/tests/relay/network.rs
@@ -176,7 +176,7 @@
 
     /// Something goes to one end of a connection, behind what went there before.
     fn send(&mut self, connection: usize, end: usize, what: What) {
-        let latency = secs(0.001 + 0.019 * self.chance.share());
+        let latency = secs(0.001 + 0.019 * self.chance.next_f64());
         let of = &mut self.connections[connection];
         let at = self.now.after(latency).max(of.held[end]).max(of.latest[end]);
         of.latest[end] = at;
--- a/crates/change-log-replica/tests/relay/random.rs
+++ b/crates/change-log-replica/tests/relay/random.rs
@@ -33,10 +33,10 @@
     pub(crate) fn issue(&mut self, now: Nanos, chance: &mut Chance) {
         let seq = self.last() + 1;
         // The time tells lives apart.
-        let event = match chance.digit() % 5 {
+        let event = match chance.next_u32() % 5 {
             0 => delta(
                 seq,
-                &format!("s-{}", chance.digit() % 6),
+                &format!("s-{}", chance.next_u32() % 6),
                 ["active", "leaving", "left"][seq as usize % 3],
             ),
             _ => purge(seq).replace(&format!("time\":{seq}"), &format!("time\":{}", now.0)),
@@ -238,7 +238,7 @@
     let mut network = Network::new(seed, replicas(sources), followers, faults);
     let mut chance = Chance::new(seed ^ 0xfau64);
     let mut peace = |network: &mut Network| {
-        if chance.share() < 0.06 {
+        if chance.next_f64() < 0.06 {
             let now = network.now;
             network.log.issue(now, &mut chance);
         }
@@ -246,9 +246,9 @@
     network.run(secs(5.0), &mut peace);
     let mut drawn = Chance::new(seed ^ 0xfa017);
     for _ in 0..20 {
-        let of = drawn.digit() as usize % sources.len();
-        let (replica, span) = (Party::Replica(of), secs(3.0 * drawn.share()));
-        match drawn.digit() % 9 {
+        let of = drawn.next_u32() as usize % sources.len();
+        let (replica, span) = (Party::Replica(of), secs(3.0 * drawn.next_f64()));
+        match drawn.next_u32() % 9 {
             0 => network.kill(of),
             1 => network.stop(of, span),
             2 => network.hold(replica, span),
@@ -267,13 +267,13 @@
             }
             _ => network.hold(Party::Log, span),
         }
-        network.run(secs(2.0 * drawn.share()), &mut peace);
+        network.run(secs(2.0 * drawn.next_f64()), &mut peace);
         network.log.is_up = true;
         for of in 0..sources.len() {
             if network.replicas[of].is_none() {
                 network.start(of);
             }
-            if drawn.share() < 0.5 {
+            if drawn.next_f64() < 0.5 {
                 network.mend(Party::Replica(of), Party::Log);
                 network.mend(Party::Replica(of), Party::Replica((of + 1) % sources.len()));
             }
--- a/crates/dispatcher/src/nodes/list.rs
+++ b/crates/dispatcher/src/nodes/list.rs
@@ -17,7 +17,7 @@
         now: Nanos,
         effects: &mut Vec<Effect>,
     ) -> (NodeId, Vec<NodeId>) {
-        let node = NodeId(self.ids.open(id.to_string()));
+        let node = NodeId(self.ids.get_or_assign(id.to_string()));
         let address = pool.address.map_or("no address".to_string(), |address| address.to_string());
         log::info!("node {}: {id} at {address}, {:?}", node.0, pool.readiness);
         let mut moved = Vec::new();
@@ -63,13 +63,13 @@
 
     /// The start that a node is listed with, where one is told.
     pub fn start(&self, id: &str) -> Option<Start> {
-        self.pools.get(self.ids.held(&id.to_string())?)?.start
+        self.pools.get(self.ids.get(&id.to_string())?)?.start
     }
 
     /// Moves starts back to where `moved` says; tells which nodes, and where to.
     pub fn starts_moved(&mut self, moved: impl Fn(&Start) -> Option<Nanos>) -> Vec<(NodeId, Nanos)> {
         let mut nodes = Vec::new();
-        for node in 0..self.ids.count() {
+        for node in 0..self.ids.slot_count() {
             let start = self.pools.get_mut(node).and_then(|pool| pool.start.as_mut());
             if let Some((start, at)) = start.and_then(|start| moved(start).map(|at| (start, at))) {
                 start.at = at;
@@ -87,13 +87,13 @@
     /// The nodes that a whole list does not name.
     pub fn unlisted(&self, named: &[NodeId]) -> Vec<NodeId> {
         let listed = |node: &NodeId| self.pools.get(node.0).is_some_and(|p| p.readiness != Readiness::Gone);
-        let all = (0..self.ids.count()).map(NodeId);
+        let all = (0..self.ids.slot_count()).map(NodeId);
         all.filter(|node| listed(node) && !named.contains(node)).collect()
     }
 
     /// How many nodes there is a place for.
     pub fn kept(&self) -> u32 {
-        self.ids.count()
+        self.ids.slot_count()
     }
 
     /// Lets go of the nodes that left the list before `span`, and tells which: all that met them has ended.
@@ -102,7 +102,7 @@
             p.readiness == Readiness::Gone && p.connections.is_empty() && now.since(p.listed) > span
         };
         let forgotten: Vec<_> =
-            (0..self.ids.count()).filter(|at| self.pools.get(*at).is_some_and(old)).collect();
+            (0..self.ids.slot_count()).filter(|at| self.pools.get(*at).is_some_and(old)).collect();
         for at in &forgotten {
             self.set_address(NodeId(*at), None);
             self.pools.remove(*at);
--- a/crates/dispatcher/src/request_table/list.rs
+++ b/crates/dispatcher/src/request_table/list.rs
@@ -35,7 +35,7 @@
 
     /// How many objects there is a place for: those in the ghost cache, and one that is in hand beside them.
     pub fn objects_kept(&self) -> u32 {
-        self.objects.count()
+        self.objects.slot_count()
     }
 
     /// How many nodes there is a place for.
--- a/crates/dispatcher/src/request_table/mod.rs
+++ b/crates/dispatcher/src/request_table/mod.rs
@@ -171,8 +171,8 @@
         once: bool,
     ) -> (RequestId, ObjectId, Nanos) {
         self.generation += 1;
-        let request_id = RequestId(self.request_ids.open(self.generation));
-        let object = ObjectId(self.objects.open((request.object, request.part)));
+        let request_id = RequestId(self.request_ids.get_or_assign(self.generation));
+        let object = ObjectId(self.objects.get_or_assign((request.object, request.part)));
         // Its client waits since it asked.
         let waits = Nanos(request.timeout_ms.saturating_mul(1_000_000)).since(self.unread);
         let expires = self.now.after(waits);
@@ -329,7 +329,7 @@
     pub fn all_owed(&self) -> Vec<(RequestId, u64)> {
         let owed = self.pending.iter().filter(|pending| pending.owed);
         owed.filter_map(|pending| {
-            self.request_ids.held(&pending.generation).map(|slot| (RequestId(slot), pending.generation))
+            self.request_ids.get(&pending.generation).map(|slot| (RequestId(slot), pending.generation))
         })
         .collect()
     }
--- a/crates/dispatcher/tests/dispatcher/stopped.rs
+++ b/crates/dispatcher/tests/dispatcher/stopped.rs
@@ -84,7 +84,7 @@
             client.write_all(&batch).expect("it is kept for the program");
             sent.extend(ids.into_iter().map(|id| (id, (number, Instant::now()))));
         }
-        thread::sleep(Duration::from_micros((random.share() * 25_000.0) as u64));
+        thread::sleep(Duration::from_micros((random.next_f64() * 25_000.0) as u64));
         rig.signal("STOP");
         let mut gone = HashMap::new();
         for (number, client) in clients.iter_mut().enumerate().filter(|(number, _)| number % 4 != 0) {
@@ -97,7 +97,7 @@
             }
             gone.insert(number, Instant::now());
         }
-        thread::sleep(Duration::from_millis(250 + (random.share() * 100.0) as u64));
+        thread::sleep(Duration::from_millis(250 + (random.next_f64() * 100.0) as u64));
         rig.signal("CONT");
         settle(&rig);
         drop(rig);
--- a/crates/dispatcher/tests/dispatcher/storm.rs
+++ b/crates/dispatcher/tests/dispatcher/storm.rs
@@ -88,11 +88,11 @@
     }
 
     fn one_in(&mut self, n: u32) -> bool {
-        self.chance.digit().is_multiple_of(n)
+        self.chance.next_u32().is_multiple_of(n)
     }
 
     fn after(&mut self, most_ms: u64, later: Later) {
-        let wait = Nanos((self.chance.share() * most_ms as f64 * 1e6) as u64);
+        let wait = Nanos((self.chance.next_f64() * most_ms as f64 * 1e6) as u64);
         self.at(self.now.after(wait), later);
     }
 
@@ -110,7 +110,7 @@
                     if let Peer::ChangeLog(number) = peer {
                         self.log = number;
                     }
-                    match self.chance.digit() % 8 {
+                    match self.chance.next_u32() % 8 {
                         0 => self.after(20, Later::Ends(peer)),
                         1 => {} // Nothing is heard of it.
                         _ => self.after(20, Later::Up(peer)),
@@ -199,7 +199,7 @@
             let limit: u64 = limit.expect("an age limit after a purge");
             assert!(limit <= (self.now.since(purged).0 / 1_000_000).max(1), "{line}: older than the purge");
         }
-        let fate = self.chance.digit() % 16;
+        let fate = self.chance.next_u32() % 16;
         let asked = self.asked.get_mut(&tag).expect("asked for");
         assert!(!(asked.post && asked.may_have_run > 0), "{tag}: sent twice");
         assert!(asked.answers == 0 && !asked.given_up, "{tag}: sent though nobody waits for it");
@@ -240,7 +240,7 @@
                     let tag = u64::from_str_radix(tag, 16).unwrap_or_default();
                     self.asked.get_mut(&tag).map(|asked| asked.out.remove(&peer));
                 }
-                let cut = self.chance.digit() as usize % bytes.len();
+                let cut = self.chance.next_u32() as usize % bytes.len();
                 self.event(Event::Received(peer, &bytes[..cut]));
                 self.event(Event::Received(peer, &bytes[cut..]));
             }
@@ -257,11 +257,11 @@
         // More would be open on a single connection than it may carry.
         let client = Peer::Client((tag % CLIENTS) as u32 + 1);
         let post = self.one_in(4);
-        let timeout = 200 + self.chance.digit() % 1_800;
+        let timeout = 200 + self.chance.next_u32() % 1_800;
         let expires = self.now.after(Nanos(u64::from(timeout) * 1_000_000));
         let (may_have_run, given_up, answers, out) = (0, false, 0, HashSet::new());
         self.asked.insert(tag, Asked { post, expires, may_have_run, out, given_up, answers });
-        let more = format!(",need=100,timeout={timeout},block={}", self.chance.digit() % 40);
+        let more = format!(",need=100,timeout={timeout},block={}", self.chance.next_u32() % 40);
         let bytes = request(tag, if post { "post" } else { "image" }, &format!("{tag:016x}"), &more);
         self.event(Event::Received(client, &bytes));
         if self.one_in(8) {
@@ -276,7 +276,7 @@
 
     fn changes(&mut self) {
         self.seq += 1;
-        let id = ["s-a", "s-b", "p-1", "p-2"][self.chance.digit() as usize % 4];
+        let id = ["s-a", "s-b", "p-1", "p-2"][self.chance.next_u32() as usize % 4];
         let port = match id {
             "s-a" => 6001,
             "s-b" => 6002,
@@ -284,10 +284,10 @@
             _ => 6004,
         };
         let (zone, kind) = if id.starts_with('s') { ("east", "box") } else { ("hub", "parent") };
-        let state = ["active", "leaving", "left", "active"][self.chance.digit() as usize % 4];
+        let state = ["active", "leaving", "left", "active"][self.chance.next_u32() as usize % 4];
         let unix_ms = 1_764_576_000_000 + self.now.0 / 1_000_000 - 86_400_000;
         let started = if self.one_in(2) { unix_ms } else { 0 };
-        let line = match self.chance.digit() % 8 {
+        let line = match self.chance.next_u32() % 8 {
             0 => format!(
                 "{{\"seq\":{},\"invalidate\":{{\"object\":\"7f3a000000000000\",\"time\":{unix_ms}}}}}\n",
                 self.seq
--- a/crates/protocol/tests/codecs.rs
+++ b/crates/protocol/tests/codecs.rs
@@ -17,7 +17,7 @@
     for seed in 0..50 {
         let (mut chance, mut rest, mut cuts) = (Random::new(seed), bytes, Vec::new());
         while !rest.is_empty() {
-            let (cut, left) = rest.split_at(1 + (chance.share() * rest.len() as f64) as usize);
+            let (cut, left) = rest.split_at(1 + (chance.next_f64() * rest.len() as f64) as usize);
             cuts.push(cut);
             rest = left;
         }
@@ -291,10 +291,10 @@
     ];
     let mut chance = Random::new(seed);
     let mut bytes = Vec::new();
-    for _ in 0..chance.digit() % 12 {
-        match chance.digit() % 20 {
+    for _ in 0..chance.next_u32() % 12 {
+        match chance.next_u32() % 20 {
             at @ 0..16 => bytes.extend_from_slice(PIECES[at as usize]),
-            _ => bytes.push(chance.digit() as u8),
+            _ => bytes.push(chance.next_u32() as u8),
         }
     }
     bytes
--- a/crates/routing/src/calls.rs
+++ b/crates/routing/src/calls.rs
@@ -151,13 +151,13 @@
     /// From now on it calls in one round of so many, another one, at another place.
     fn draw(&mut self, one_in: u64) {
         let [from, to] = self.s.window_range;
-        self.place = from + (to - from) * self.chance.share();
+        self.place = from + (to - from) * self.chance.next_f64();
         self.pass_over(one_in);
     }
 
     /// From now on it calls in one round of so many, at the same place.
     fn pass_over(&mut self, one_in: u64) {
-        (self.one_in, self.which) = (one_in, (self.chance.share() * one_in as f64) as u64);
+        (self.one_in, self.which) = (one_in, (self.chance.next_f64() * one_in as f64) as u64);
     }
 
     /// The first moment after `now` that has the own place in a round of its own.
@@ -272,7 +272,7 @@
     /// service, so it is none in vain, and costs it nothing; where rounds are told it waits for a place of its own in
     /// one, as many may be free of their wants at one moment.
     pub fn local_failure(&mut self, now: Nanos) -> Nanos {
-        let after = now.after(Nanos::from_secs(WANTED.secs() * (0.5 + 0.5 * self.chance.share())));
+        let after = now.after(Nanos::from_secs(WANTED.secs() * (0.5 + 0.5 * self.chance.next_f64())));
         let at = if self.s.calls_per_s.is_some() { self.next(after) } else { after };
         self.move_to(ConnectionState::Waiting(at));
         at
@@ -298,9 +298,8 @@
         let at = match self.s.calls_per_s {
             Some(_) => self.next(now),
             // Nobody is alike: half of the round by chance, so that no call follows at once.
-            None => {
-                now.after(Nanos::from_secs(Nanos(round * one_in).secs() * (0.5 + 0.5 * self.chance.share())))
-            }
+            None => now
+                .after(Nanos::from_secs(Nanos(round * one_in).secs() * (0.5 + 0.5 * self.chance.next_f64()))),
         };
         self.move_to(ConnectionState::Waiting(at));
         let news = self.lost.is_none() && (steady || self.in_vain > 1);
--- a/crates/routing/src/fleet/connection_back_off.rs
+++ b/crates/routing/src/fleet/connection_back_off.rs
@@ -65,7 +65,7 @@
         of.refusals = of.refusals.saturating_add(1);
         let doubled = of.refusals.checked_sub(ROW)?;
         let longest = LONGEST.0.min(WAIT.0 << doubled.min(16));
-        of.until = now.after(Nanos((longest as f64 * (0.5 + 0.5 * self.random.share())) as u64));
+        of.until = now.after(Nanos((longest as f64 * (0.5 + 0.5 * self.random.next_f64())) as u64));
         self.spared_until = now.after(SPARED);
         Some(of.until)
     }
--- a/crates/routing/src/fleet/overload_control/mod.rs
+++ b/crates/routing/src/fleet/overload_control/mod.rs
@@ -277,7 +277,7 @@
         let backend = self.backend_of(d.content_type);
         self.admission[backend].asked(now, reservation.priority_level, work_s);
         if damped {
-            let draw = self.random.share();
+            let draw = self.random.next_f64();
             if !self.admission[backend].lets_in(at, reservation.priority_level, work_s, draw) {
                 return Admission::RetryLater(reservation);
             }
@@ -347,7 +347,7 @@
     /// When to retry, and whether a slot is reserved: at random within the first slot that has room; if there is none,
     /// retries are spread at random.
     fn slot(&mut self, now: Nanos, backend: usize, level: u8, work_s: f64) -> (Nanos, bool) {
-        let draw = self.random.share();
+        let draw = self.random.next_f64();
         match self.admission[backend].reserve(now, level, work_s, draw) {
             Some(back) => (back.min(now.after(self.longest)), true),
             None => {
--- a/crates/routing/src/policy/ends.rs
+++ b/crates/routing/src/policy/ends.rs
@@ -72,8 +72,11 @@
             // What a parent lacks, or the origin refused or failed, is to be had nowhere else.
             let nowhere = (end.outcome == Missed && !missed && !lacks) || end.remark == Remark::OriginFailed;
             // The look after it leaves room for a fill of its own.
-            let wait =
-                if request.rides.is_some() { self.fill_usual_s * (0.5 + self.random.share()) } else { 0.0 };
+            let wait = if request.rides.is_some() {
+                self.fill_usual_s * (0.5 + self.random.next_f64())
+            } else {
+                0.0
+            };
             let in_time = request.routing_request.deadline.since(now).secs() > wait + request.work_s;
             let rides = allowed && request.rides.is_some() && in_time && attempts + 2 <= most;
             self.requests
@@ -83,7 +86,7 @@
                 .for_each(|request| request.rides = None);
             if rides {
                 out.arm_timer(Nanos::from_secs(wait), u64::from(id.0) << 32 | u64::from(LOOK_AGAIN));
-            } else if allowed && !nowhere && (missed || lacks || self.random.share() < share * storm) {
+            } else if allowed && !nowhere && (missed || lacks || self.random.next_f64() < share * storm) {
                 self.attempt(now, id, out);
             } else {
                 self.give_up(now, id, out);
@@ -205,7 +208,7 @@
     /// Sets a node aside for a fixed time and a random part; then it is tried with one attempt first. One
     /// that may have died comes back cold, told or not, and is treated so.
     pub(super) fn set_aside(&mut self, now: Nanos, id: NodeId, died: bool, out: &mut impl Actions) {
-        let aside = ASIDE.after(Nanos::from_secs(ASIDE_SPREAD_S * self.random.share()));
+        let aside = ASIDE.after(Nanos::from_secs(ASIDE_SPREAD_S * self.random.next_f64()));
         let Some(n) = self.nodes.get_mut(id).filter(|n| n.aside_until <= now) else { return };
         n.aside_until = now.after(aside);
         n.on_trial = true;
--- a/crates/routing/src/policy/fill.rs
+++ b/crates/routing/src/policy/fill.rs
@@ -6,7 +6,7 @@
     /// Whether the location's link has room for a fill of this.
     pub(super) fn link_has_room(&mut self, now: Nanos, request: &RequestState) -> bool {
         let (size, draw) =
-            (request.work_s / self.row(&request.routing_request).mean_work_s, self.random.share());
+            (request.work_s / self.row(&request.routing_request).mean_work_s, self.random.next_f64());
         self.link.has_room(now, self.s.zone_dispatchers, size, draw)
     }
 
@@ -99,7 +99,7 @@
         // locations the first in the copy's order fetch it, and the others ask those.
         let power = [4.0, 2.0, 1.0, 0.5, 0.0][usize::from(rank.min(4))];
         !closed
-            && self.nodes.turn(request.routing_request.copy_hash, self.random.share())
+            && self.nodes.turn(request.routing_request.copy_hash, self.random.next_f64())
                 < self.origin.allowed_share(now).powf(power)
     }
 }
--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -148,7 +148,7 @@
 
     /// Asks a node at random what it is doing.
     fn probe(&mut self, out: &mut impl Actions) {
-        let asked = self.nodes.drawn([self.random.share(), self.random.share()]);
+        let asked = self.nodes.drawn([self.random.next_f64(), self.random.next_f64()]);
         asked.into_iter().for_each(|id| out.probe_load(id));
         out.arm_timer(PROBE_EVERY, PROBE_DUE);
     }
--- a/crates/routing/src/policy/ordinary.rs
+++ b/crates/routing/src/policy/ordinary.rs
@@ -160,7 +160,7 @@
         // Of Z dispatchers all but one in Z of what is new to one is taken as the location's second request.
         let z = f64::from(self.s.zone_dispatchers.max(1));
         let Some(gap_s) = ghost_entry.gap_s else {
-            return Keep { fill_rank: u8::from(self.random.share() * z >= 1.0), ratio: 1.0, hit_rank: 0 };
+            return Keep { fill_rank: u8::from(self.random.next_f64() * z >= 1.0), ratio: 1.0, hit_rank: 0 };
         };
         let (storage_cost, rate) = (1.0 / HORIZON_S, z / gap_s);
         let keep_benefit = ghost_entry.hops * rate - storage_cost;
--- a/crates/routing/src/policy/place.rs
+++ b/crates/routing/src/policy/place.rs
@@ -111,7 +111,7 @@
         }
         let is_large = request.work_s > LARGE * self.row(&request.routing_request).mean_work_s;
         let only_late = load < most(request.routing_request.deadline.since(now).secs());
-        is_large && only_late && self.random.share() < LATE_SHARE
+        is_large && only_late && self.random.next_f64() < LATE_SHARE
     }
 
     /// An uncacheable request runs at the origin: straight, or through a parent if that fails.
--- a/crates/routing/src/policy/rules.rs
+++ b/crates/routing/src/policy/rules.rs
@@ -16,7 +16,7 @@
         let Some(n) = self.nodes.get_mut(id) else { return false };
         let chance = n.bucket.spend(now, &rate, work_s);
         self.again = n.bucket.wait_for(&rate, work_s);
-        chance > 0.0 && self.random.share() < chance
+        chance > 0.0 && self.random.next_f64() < chance
     }
 
     /// How a node starts, and how many dispatchers ask it.
@@ -91,7 +91,7 @@
         }
         request.stage = to;
         let wait_s = COME_BACK_S.max(COME_BACK_SHARE * std::mem::take(&mut self.again).secs());
-        let advice = Nanos::from_secs(wait_s * (1.0 + self.random.share()));
+        let advice = Nanos::from_secs(wait_s * (1.0 + self.random.next_f64()));
         let advice = self.answered(now, id, to).unwrap_or(advice);
         match to {
             Rejected => out.reject(id, self.s.retry_after.then_some(advice.min(self.s.max_retry_after))),
--- a/crates/routing/src/structures/ids.rs
+++ b/crates/routing/src/structures/ids.rs
@@ -19,7 +19,7 @@
 
 impl<K: Clone + Eq + Hash> Ids<K> {
     /// The slot of a key, new or known.
-    pub fn open(&mut self, key: K) -> u32 {
+    pub fn get_or_assign(&mut self, key: K) -> u32 {
         if let Some(slot) = self.slot_by_key.get(&key) {
             return *slot;
         }
@@ -33,7 +33,7 @@
     }
 
     /// The slot of a key, if it is still held.
-    pub fn held(&self, key: &K) -> Option<u32> {
+    pub fn get(&self, key: &K) -> Option<u32> {
         self.slot_by_key.get(key).copied()
     }
 
@@ -43,7 +43,7 @@
     }
 
     /// How many slots there are.
-    pub fn count(&self) -> u32 {
+    pub fn slot_count(&self) -> u32 {
         self.keys.len() as u32
     }
 
--- a/crates/routing/src/structures/random.rs
+++ b/crates/routing/src/structures/random.rs
@@ -12,13 +12,13 @@
     }
 
     /// The next 32-bit number, uniformly distributed.
-    pub fn digit(&mut self) -> u32 {
+    pub fn next_u32(&mut self) -> u32 {
         self.0 = 4_294_957_665 * (self.0 & 0xFFFF_FFFF) + (self.0 >> 32);
         self.0 as u32
     }
 
     /// A number in [0, 1), uniformly distributed.
-    pub fn share(&mut self) -> f64 {
-        f64::from(self.digit()) / 4_294_967_296.0
+    pub fn next_f64(&mut self) -> f64 {
+        f64::from(self.next_u32()) / 4_294_967_296.0
     }
 }
--- a/crates/routing/src/structures/timer_wheel.rs
+++ b/crates/routing/src/structures/timer_wheel.rs
@@ -96,7 +96,7 @@
     }
 
     /// All work that is reserved from `now` on.
-    pub fn ahead(&mut self, now: Nanos) -> f64 {
+    pub fn reserved_work(&mut self, now: Nanos) -> f64 {
         self.advance(now);
         self.reserved.iter().sum()
     }
--- a/crates/routing/tests/module/cold.rs
+++ b/crates/routing/tests/module/cold.rs
@@ -22,11 +22,11 @@
     let mut sent = 0.0;
     for _ in 0..dispatchers {
         let mut bucket = TokenBucket::default();
-        let mut at = (chance.share() * every_ms as f64) as u64;
+        let mut at = (chance.next_f64() * every_ms as f64) as u64;
         while at < 60_000 {
             let send = bucket.spend(ms(1 + at), &room(2.4, dispatchers), work_s);
-            sent += if chance.share() < send { work_s } else { 0.0 };
-            at += (every_ms as f64 * (0.5 + chance.share())) as u64;
+            sent += if chance.next_f64() < send { work_s } else { 0.0 };
+            at += (every_ms as f64 * (0.5 + chance.next_f64())) as u64;
         }
     }
     sent
--- a/crates/routing/tests/module/cold_fleet.rs
+++ b/crates/routing/tests/module/cold_fleet.rs
@@ -40,7 +40,7 @@
         let all = 0..dispatchers as usize;
         match *self {
             Restarts::Once(second, percent) if since < ms(second * 1_000) && ms(second * 1_000) <= until => {
-                all.filter(|_| chance.share() * 100.0 < f64::from(percent)).collect()
+                all.filter(|_| chance.next_f64() * 100.0 < f64::from(percent)).collect()
             }
             Restarts::InTurn(every) => {
                 let passes = |at: Nanos, number: usize| {
@@ -134,7 +134,7 @@
             .collect();
         let mut outs: Vec<_> = fleet.iter().map(|_| Calls::default()).collect();
         // Some get several times the mean.
-        let shares: Vec<f64> = fleet.iter().map(|_| 0.2 + 3.0 * chance.share().powi(4)).collect();
+        let shares: Vec<f64> = fleet.iter().map(|_| 0.2 + 3.0 * chance.next_f64().powi(4)).collect();
         let sum: f64 = shares.iter().sum();
         let (started, told) = (ms(STARTS * 1_000), ms(STARTS * 1_000 + 1_000));
         for (module, out) in fleet.iter_mut().zip(&mut outs) {
@@ -157,12 +157,12 @@
             if let Some(key) = due {
                 let Some((at, request_id, number, node, source)) = ends.remove(&key) else { continue };
                 // A third of the looks find something; fills bring it.
-                let held = node != source || chance.share() < 0.33;
+                let held = node != source || chance.next_f64() < 0.33;
                 let how = match held {
                     true if node == source => end(Outcome::Served, Remark::Hit),
                     true => end(Outcome::Served, Remark::FilledFromCopy),
                     // Some are told that another's fill is under way, and look again.
-                    false if chance.share() < 0.5 => end(Outcome::Missed, Remark::Joined),
+                    false if chance.next_f64() < 0.5 => end(Outcome::Missed, Remark::Joined),
                     false => end(Outcome::Missed, Remark::None),
                 };
                 fleet[at].attempt_ended(now, request_id, number, &how, &mut outs[at]);
@@ -170,18 +170,18 @@
                 continue;
             }
             let burst = if self.silent.1 > 0 && second == self.silent.1 { 40.0 } else { 1.0 };
-            now = now.after(Nanos::from_secs(-(1.0 - chance.share()).ln() / (burst * self.rate)));
+            now = now.after(Nanos::from_secs(-(1.0 - chance.next_f64()).ln() / (burst * self.rate)));
             if (self.silent.0..self.silent.1).contains(&second) {
                 continue;
             }
-            let mut place = chance.share() * sum;
+            let mut place = chance.next_f64() * sum;
             let at = shares.iter().position(|share| {
                 place -= share;
                 place <= 0.0
             });
             let at = at.unwrap_or(0);
             count += 1;
-            let object = (chance.share() * 2_000.0) as u32;
+            let object = (chance.next_f64() * 2_000.0) as u32;
             // No request is in hand for so long that its number comes again.
             let d = sized(now, count % 8_192, object, WORK_S * 10_000.0);
             fleet[at].request_arrived(now, &d, &mut outs[at]);
--- a/crates/routing/tests/module/largest.rs
+++ b/crates/routing/tests/module/largest.rs
@@ -134,12 +134,12 @@
             // What is asked for now, and again.
             let mut asks: Vec<usize> = Vec::new();
             let mut left = rate * STEP.secs();
-            while chance.share() < left {
+            while chance.next_f64() < left {
                 left -= 1.0;
-                let normal = (0..12).map(|_| chance.share()).sum::<f64>() - 6.0;
+                let normal = (0..12).map(|_| chance.next_f64()).sum::<f64>() - 6.0;
                 let work_s = MEAN_S * (SIGMA * normal - SIGMA * SIGMA / 2.0).exp();
                 wants.push(Want {
-                    object: (chance.share() * 5_000.0) as u32,
+                    object: (chance.next_f64() * 5_000.0) as u32,
                     work_s,
                     tries: 0,
                     answered: false,
@@ -153,7 +153,7 @@
             }
             for want in asks {
                 count += 1;
-                let at = (chance.share() * f64::from(DISPATCHERS)) as usize;
+                let at = (chance.next_f64() * f64::from(DISPATCHERS)) as usize;
                 let Want { object, work_s, .. } = wants[want];
                 wants[want].tries += 1;
                 let d = RoutingRequest {
@@ -249,7 +249,7 @@
                     let Some((want, _)) = open.remove(&(at, request_id.0)) else { continue };
                     if wants[want].tries <= self.tries {
                         count += 1;
-                        again.insert((now.after(ms(100 + (chance.share() * 300.0) as u64)), count), want);
+                        again.insert((now.after(ms(100 + (chance.next_f64() * 300.0) as u64)), count), want);
                     }
                 }
                 for (request_id, number, node, source) in std::mem::take(&mut out.attempts) {
@@ -257,7 +257,7 @@
                     let (work_s, look) = (wants[*want].work_s, node == source);
                     // What is held is found at once, or not.
                     let empty = node < self.cold && now < ms(15_000) && (told || self.slow_untold);
-                    let held = chance.share() < if empty { 0.3 } else { self.hits };
+                    let held = chance.next_f64() < if empty { 0.3 } else { self.hits };
                     let (left_s, wait) = match (look, held) {
                         (true, false) => (-9.0, 5),
                         (true, true) => (work_s, 5),
--- a/crates/routing/tests/module/structures.rs
+++ b/crates/routing/tests/module/structures.rs
@@ -33,7 +33,7 @@
             }
             let given = wheel.reserve(Nanos(now), Nanos(earliest), work, |_| room);
             prop_assert_eq!(given, expected.map(|slot| Nanos(slot * width)));
-            prop_assert!((wheel.ahead(Nanos(now)) - plain.values().sum::<f64>()).abs() < 1e-6);
+            prop_assert!((wheel.reserved_work(Nanos(now)) - plain.values().sum::<f64>()).abs() < 1e-6);
         }
     }
 
--- a/crates/simulator-adapter/src/stdio_transport.rs
+++ b/crates/simulator-adapter/src/stdio_transport.rs
@@ -22,26 +22,26 @@
 
     /// A slot for a request that has just come.
     pub(crate) fn open(&mut self, id: u64) -> RequestId {
-        RequestId(self.request_ids.open(id))
+        RequestId(self.request_ids.get_or_assign(id))
     }
 
     /// The slot of a request, if it is still held.
     pub(crate) fn held(&self, id: u64) -> Option<RequestId> {
-        self.request_ids.held(&id).map(RequestId)
+        self.request_ids.get(&id).map(RequestId)
     }
 
     pub(crate) fn object(&mut self, name: &str, part: u64) -> ObjectId {
-        ObjectId(self.objects.open((name.to_string(), part)))
+        ObjectId(self.objects.get_or_assign((name.to_string(), part)))
     }
 
     /// The index of a node that was listed.
     pub(crate) fn held_node(&self, address: &str) -> Option<NodeId> {
-        self.nodes.held(&address.to_string()).map(NodeId)
+        self.nodes.get(&address.to_string()).map(NodeId)
     }
 
     /// The index of a listed node, new or known.
     pub(crate) fn list_node(&mut self, address: &str) -> NodeId {
-        NodeId(self.nodes.open(address.to_string()))
+        NodeId(self.nodes.get_or_assign(address.to_string()))
     }
 }
 
--- a/crates/testbed/src/fleet_simulation/fault.rs
+++ b/crates/testbed/src/fleet_simulation/fault.rs
@@ -208,7 +208,7 @@
     }
 
     fn write(&mut self, kind: Kind, dispatchers: u32, arrangement: &Arrangement, cut: Nanos) {
-        let replica = 1 + (self.chance.share() * arrangement.replicas as f64) as usize;
+        let replica = 1 + (self.chance.next_f64() * arrangement.replicas as f64) as usize;
         let place = super::topology::replica(replica - 1);
         match kind {
             Kind::None => {}
@@ -260,8 +260,8 @@
 
     fn single(&mut self, at: u32, dispatchers: u32) -> (Nanos, u32) {
         let spread = dispatchers / SINGLES.min(dispatchers);
-        let first = (self.chance.share() * f64::from(spread)) as u32;
-        let moment = Nanos::from_secs(f64::from(at) + self.chance.share());
+        let first = (self.chance.next_f64() * f64::from(spread)) as u32;
+        let moment = Nanos::from_secs(f64::from(at) + self.chance.next_f64());
         (BEGINS.after(moment), at * spread + first)
     }
 
--- a/crates/testbed/src/fleet_simulation/members.rs
+++ b/crates/testbed/src/fleet_simulation/members.rs
@@ -33,7 +33,7 @@
             calls,
             seed: mix(self.case.seed ^ mix(u64::from(number) << 20 | u64::from(member.incarnation))),
             known,
-            clock_off_ms: ((self.chance.share() - 0.5) * CLOCK_SPREAD_MS) as i64,
+            clock_off_ms: ((self.chance.next_f64() - 0.5) * CLOCK_SPREAD_MS) as i64,
             agrees: is_dispatcher,
         };
         member.follower = Some(Follower::new(&start));
--- a/crates/testbed/src/fleet_simulation/network.rs
+++ b/crates/testbed/src/fleet_simulation/network.rs
@@ -35,8 +35,8 @@
             0 => DELAY_REGION,
             _ => DELAY_NEXT_REGION.after(Nanos((apart - 1) * DELAY_EACH_FURTHER.0)),
         };
-        let resent = apart > 0 && self.chance.share() * RESENT_ONE_IN < 1.0;
-        let varied = Nanos::from_secs(base.secs() * (1.0 + JITTER * self.chance.share()));
+        let resent = apart > 0 && self.chance.next_f64() * RESENT_ONE_IN < 1.0;
+        let varied = Nanos::from_secs(base.secs() * (1.0 + JITTER * self.chance.next_f64()));
         if resent { varied.after(RESENT_AFTER) } else { varied }
     }
 }
--- a/crates/testbed/src/fleet_simulation/world.rs
+++ b/crates/testbed/src/fleet_simulation/world.rs
@@ -232,7 +232,7 @@
     // What is issued.
 
     fn purge(&mut self) {
-        let gap = -(1.0 - self.chance.share()).ln() / PURGES_PER_S;
+        let gap = -(1.0 - self.chance.next_f64()).ln() / PURGES_PER_S;
         self.put(self.now.after(Nanos::from_secs(gap)), Occurrence::Purge);
         if !self.sources[0].process_up {
             return self.waiting.push(self.now);
--- a/crates/testbed/src/many.rs
+++ b/crates/testbed/src/many.rs
@@ -63,7 +63,7 @@
     fn ended(&mut self, now: Nanos) -> Nanos {
         match self {
             Caller::Core(calls) => calls.ended(now).0,
-            Caller::Earlier(chance) => now.after(Nanos::from_secs(EARLIER_S * (1.0 + chance.share()))),
+            Caller::Earlier(chance) => now.after(Nanos::from_secs(EARLIER_S * (1.0 + chance.next_f64()))),
         }
     }
 }
@@ -87,7 +87,7 @@
     let mut due: BinaryHeap<Reverse<(Nanos, u32)>> = BinaryHeap::new();
     let mut callers: Vec<Caller> = (0..count)
         .map(|at| {
-            let starts = Nanos::from_secs(chance.share());
+            let starts = Nanos::from_secs(chance.next_f64());
             let seed = case.seed.wrapping_mul(1_000_003) + u64::from(at);
             let zone = f64::from(at % case.zones);
             let zones = f64::from(case.zones);
--- a/crates/testbed/src/many_rules.rs
+++ b/crates/testbed/src/many_rules.rs
@@ -119,8 +119,8 @@
             };
             let seed = case.seed.wrapping_mul(1_000_003) + u64::from(at);
             let mut calls = ReconnectSchedule::new(told, seed, UNIX_MS * 1_000_000);
-            let first = calls.started(Nanos::from_secs(chance.share()), true);
-            let off_ms = (chance.share() * 250.0) as i64 - 125;
+            let first = calls.started(Nanos::from_secs(chance.next_f64()), true);
+            let off_ms = (chance.next_f64() * 250.0) as i64 - 125;
             let core = Agreement::new(ground.clone(), &floor);
             One { core, calls, off_ms, next_ms: first.0 / 1_000_000, follows: false, heard: 0 }
         })
@@ -171,7 +171,7 @@
                     recent.push_back(now_ms);
                     one.core.asked(now);
                 }
-                let lost = is_away || (one.follows && chance.share() < case.loss);
+                let lost = is_away || (one.follows && chance.next_f64() < case.loss);
                 if lost {
                     one.follows = false;
                     one.next_ms = one.calls.ended(now).0.0 / 1_000_000;
@@ -185,7 +185,7 @@
                     one.core.line(now, true);
                     one.next_ms = now_ms + 1_000;
                 }
-            } else if one.follows && one.heard < log.len() && chance.share() < 0.5 {
+            } else if one.follows && one.heard < log.len() && chance.next_f64() < 0.5 {
                 // An event is told at once, and takes a step or some.
                 for issue in &log[one.heard..] {
                     let _ = one.core.heard(now, unix_ms, issue);
