--- a/crates/config-rollout/benches/switch.rs
+++ b/crates/config-rollout/benches/switch.rs
@@ -2,9 +2,9 @@
 
 use copperroute_config_rollout::core::Agreement;
 use copperroute_config_rollout::faults::Faults;
-use copperroute_config_rollout::issue::{Ground, Issue};
+use copperroute_config_rollout::issue::{IssuedVersion, ValidationContext};
 use copperroute_config_rollout::rules::RuleSet;
-use copperroute_config_rollout::terms::Terms;
+use copperroute_config_rollout::terms::TimingBounds;
 use copperroute_routing::interface::*;
 use copperroute_routing::policy::Dispatcher;
 use divan::{Bencher, black_box};
@@ -77,32 +77,36 @@
 
 /// A dispatcher in touch that has heard of a version, a moment before it acts.
 fn waits() -> Agreement {
-    let base = RuleSet::of(&settings(), &[Nanos(5 * S); TYPES]);
-    let types = (0..TYPES).map(|at| format!("type-{at}")).collect();
-    let terms = Terms { lease: Nanos(3 * S), clock_error: Nanos(S / 4), slack: Nanos(S / 2) };
-    let floor = base.clone();
-    let mut core = Agreement::new(Ground { base, types, terms, faults: Faults::default() }, &floor);
-    core.asked(Nanos(S));
-    core.line(Nanos(S), true);
+    let platform_rules = RuleSet::from_settings(&settings(), &[Nanos(5 * S); TYPES]);
+    let content_types = (0..TYPES).map(|at| format!("type-{at}")).collect();
+    let timing =
+        TimingBounds { lease: Nanos(3 * S), clock_error: Nanos(S / 4), propagation_bound: Nanos(S / 2) };
+    let floor = platform_rules.clone();
+    let mut core = Agreement::new(
+        ValidationContext { platform_rules, content_types, timing, faults: Faults::default() },
+        &floor,
+    );
+    core.request_sent(Nanos(S));
+    core.heartbeat_received(Nanos(S), true);
     let told = r#"{"version":1,"issuer":"ops","issued_ms":1000,"from_ms":5000,"rules":{}}"#;
-    let issue = Issue::parse(told).unwrap_or_else(|why| unreachable!("{why}"));
-    let _ = core.heard(Nanos(S), 1_000, &issue);
-    core.look(Nanos(S), 1_000);
+    let issue = IssuedVersion::parse(told).unwrap_or_else(|why| unreachable!("{why}"));
+    let _ = core.version_received(Nanos(S), 1_000, &issue);
+    core.update(Nanos(S), 1_000);
     core
 }
 
 #[divan::bench]
 fn a_look_that_finds_nothing_new(bencher: Bencher) {
     let mut core = waits();
-    bencher.bench_local(|| black_box(core.look(Nanos(2 * S), 2_000)));
+    bencher.bench_local(|| black_box(core.update(Nanos(2 * S), 2_000)));
 }
 
 #[divan::bench]
 fn a_version_begins_to_act(bencher: Bencher) {
     let base = settings();
     bencher.with_inputs(waits).bench_local_values(|mut core| {
-        core.look(Nanos(5 * S), 5_000);
-        core.acting().apply(&base, &[Nanos(5 * S); TYPES])
+        core.update(Nanos(5 * S), 5_000);
+        core.effective_rules().apply(&base, &[Nanos(5 * S); TYPES])
     });
 }
 
--- a/crates/config-rollout/src/core.rs
+++ b/crates/config-rollout/src/core.rs
@@ -6,7 +6,7 @@
 //! moment. Out of touch it acts on the floor of the version in force, which no later one may be stricter than.
 
 use crate::faults::Fault;
-use crate::issue::{Ground, Issue, Refusal, Version};
+use crate::issue::{IssuedVersion, Refusal, ValidationContext, Version};
 use crate::lease::Lease;
 use crate::rules::RuleSet;
 use copperroute_routing::interface::Nanos;
@@ -18,7 +18,7 @@
 
 /// Why a dispatcher is out of touch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Why {
+pub enum OutOfTouchReason {
     /// It has not been up to date since its start.
     NeverHeard,
     /// Its lease has run out.
@@ -31,14 +31,14 @@
     Clock,
 }
 
-impl fmt::Display for Why {
+impl fmt::Display for OutOfTouchReason {
     fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
         to.write_str(match self {
-            Why::NeverHeard => "nothing heard since the start",
-            Why::Lapsed => "lease lapsed",
-            Why::Gap => "a version is missing",
-            Why::Forked => "another version was followed",
-            Why::Clock => "clock off",
+            OutOfTouchReason::NeverHeard => "nothing heard since the start",
+            OutOfTouchReason::Lapsed => "lease lapsed",
+            OutOfTouchReason::Gap => "a version is missing",
+            OutOfTouchReason::Forked => "another version was followed",
+            OutOfTouchReason::Clock => "clock off",
         })
     }
 }
@@ -53,7 +53,7 @@
 /// One dispatcher's view of what is agreed.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Agreement {
-    ground: Ground,
+    ground: ValidationContext,
     held: Version,
     pending: VecDeque<Pending>,
     lease: Lease,
@@ -64,7 +64,7 @@
     forked: bool,
     clock_off: bool,
     /// What was last decided: out of touch or not, and on which rules it acts.
-    out: Option<Why>,
+    out: Option<OutOfTouchReason>,
     acting: RuleSet,
     /// Something was heard since then.
     changed: bool,
@@ -72,19 +72,20 @@
 
 impl Agreement {
     /// A dispatcher that has heard nothing, and acts on the floor.
-    pub fn new(ground: Ground, floor: &RuleSet) -> Self {
-        let held = Version::zero(ground.base.clone(), ground.base.stricter(floor));
+    pub fn new(ground: ValidationContext, floor: &RuleSet) -> Self {
+        let held =
+            Version::platform_default(ground.platform_rules.clone(), ground.platform_rules.stricter(floor));
         Agreement {
             acting: held.floor.clone(),
             held,
             pending: VecDeque::new(),
-            lease: Lease::new(ground.terms, ground.faults),
+            lease: Lease::new(ground.timing, ground.faults),
             ground,
             was_in_touch: false,
             missing_until_ms: None,
             forked: false,
             clock_off: false,
-            out: Some(Why::NeverHeard),
+            out: Some(OutOfTouchReason::NeverHeard),
             changed: true,
         }
     }
@@ -94,14 +95,19 @@
     }
 
     /// Reads and judges a version that was told, by the change log or a file, at a Unix millisecond of the own clock.
-    pub fn heard(&mut self, now: Nanos, unix_ms: u64, issue: &Issue) -> Result<(), Refusal> {
+    pub fn version_received(
+        &mut self,
+        now: Nanos,
+        unix_ms: u64,
+        issue: &IssuedVersion,
+    ) -> Result<(), Refusal> {
         let last = self.last();
         let known = self.pending.iter().map(|pending| &pending.version).chain([&self.held]);
         let known =
             known.into_iter().find(|version| version.number == issue.version).map(|known| known.digest);
         let digest = issue.digest();
         match known {
-            Some(holds) if holds == digest => return Err(Refusal::Known),
+            Some(holds) if holds == digest => return Err(Refusal::Duplicate),
             Some(holds) if !self.ground.faults.is(Fault::TakeSecond) => {
                 return Err(Refusal::TwoContents { version: issue.version, holds, is: digest });
             }
@@ -110,9 +116,9 @@
             }
             _ => {}
         }
-        let version = Version::read(issue, last, &self.ground)?;
+        let version = Version::from_issued(issue, last, &self.ground)?;
         let back = version.number <= last.number;
-        if let Err(why) = version.may_follow(issue, last, &self.ground)
+        if let Err(why) = version.check_successor(issue, last, &self.ground)
             && !back
         {
             if matches!(why, Refusal::Forked { .. }) {
@@ -126,7 +132,7 @@
         } else if self.missing_until_ms == Some(u64::MAX) {
             self.missing_until_ms = None;
         }
-        self.told_at(now, unix_ms, issue.issued_ms);
+        self.event_time_received(now, unix_ms, issue.issued_ms);
         (self.forked, self.changed) = (false, true);
         if back || self.ground.faults.is(Fault::EarlyMoment) {
             self.pending.clear();
@@ -145,8 +151,8 @@
 
     /// Something was told that happened at a Unix millisecond of another clock. In touch, it was told at once: then
     /// the clocks differ by no more than was stated, or one is off.
-    pub fn told_at(&mut self, now: Nanos, unix_ms: u64, happened_ms: u64) {
-        let error_ms = self.ground.terms.clock_error.0 / 1_000_000;
+    pub fn event_time_received(&mut self, now: Nanos, unix_ms: u64, happened_ms: u64) {
+        let error_ms = self.ground.timing.clock_error.0 / 1_000_000;
         let behind = happened_ms > unix_ms + error_ms;
         // What came late on its way looks as if the clock were ahead: lines that came in time bound that.
         let live = self.lease.is_live(now);
@@ -158,17 +164,17 @@
     }
 
     /// The list service is asked anew.
-    pub fn asked(&mut self, now: Nanos) {
+    pub fn request_sent(&mut self, now: Nanos) {
         self.lease.asked(now);
     }
 
     /// A whole line of the list service has come; `caught_up` if all that it knows of has been heard.
-    pub fn line(&mut self, now: Nanos, caught_up: bool) {
+    pub fn heartbeat_received(&mut self, now: Nanos, caught_up: bool) {
         self.lease.line(now, caught_up);
     }
 
     /// The service could not tell all that lay between: it says which version was the last by then, or nothing of it.
-    pub fn lost(&mut self, last: Option<u64>) {
+    pub fn events_missed(&mut self, last: Option<u64>) {
         self.lease.end();
         if last != Some(self.last().number) {
             (self.missing_until_ms, self.changed) = (Some(u64::MAX), true);
@@ -177,7 +183,7 @@
 
     /// Brings it up to this time; tells whether it acts on other rules, or stands otherwise, than before. To be asked
     /// before each decision.
-    pub fn look(&mut self, now: Nanos, unix_ms: u64) -> bool {
+    pub fn update(&mut self, now: Nanos, unix_ms: u64) -> bool {
         while self.pending.front().is_some_and(|next| next.version.from_ms <= unix_ms) {
             if let Some(next) = self.pending.pop_front() {
                 (self.held, self.changed) = (next.version, true);
@@ -189,12 +195,12 @@
             self.missing_until_ms = None;
         }
         let out = match () {
-            () if self.clock_off => Some(Why::Clock),
-            () if self.forked => Some(Why::Forked),
-            () if self.missing_until_ms.is_some() => Some(Why::Gap),
+            () if self.clock_off => Some(OutOfTouchReason::Clock),
+            () if self.forked => Some(OutOfTouchReason::Forked),
+            () if self.missing_until_ms.is_some() => Some(OutOfTouchReason::Gap),
             () if in_touch => None,
-            () if self.was_in_touch => Some(Why::Lapsed),
-            () => Some(Why::NeverHeard),
+            () if self.was_in_touch => Some(OutOfTouchReason::Lapsed),
+            () => Some(OutOfTouchReason::NeverHeard),
         };
         if out == self.out && !self.changed {
             return false;
@@ -209,12 +215,12 @@
     }
 
     /// The rules that it acts on, as last looked.
-    pub fn acting(&self) -> &RuleSet {
+    pub fn effective_rules(&self) -> &RuleSet {
         &self.acting
     }
 
     /// Why it is out of touch, if it is.
-    pub fn out_of_touch(&self) -> Option<Why> {
+    pub fn out_of_touch(&self) -> Option<OutOfTouchReason> {
         self.out
     }
 
@@ -224,12 +230,12 @@
     }
 
     /// How many versions wait for their moments, and the number of the last that was heard.
-    pub fn to_come(&self) -> (usize, u64) {
+    pub fn pending_versions(&self) -> (usize, u64) {
         (self.pending.len(), self.last().number)
     }
 
     /// What is left of its lease.
-    pub fn lease_left(&self, now: Nanos) -> Nanos {
+    pub fn lease_remaining(&self, now: Nanos) -> Nanos {
         self.lease.left(now)
     }
 }
--- a/crates/config-rollout/src/faults.rs
+++ b/crates/config-rollout/src/faults.rs
@@ -39,7 +39,7 @@
     ];
 
     /// The fault with this name.
-    pub fn named(name: &str) -> Option<Fault> {
+    pub fn from_name(name: &str) -> Option<Fault> {
         Self::NAMED.iter().find(|known| known.0 == name).map(|known| known.1)
     }
 }
--- a/crates/config-rollout/src/lease.rs
+++ b/crates/config-rollout/src/lease.rs
@@ -2,7 +2,7 @@
 //! that was stopped finds its lease lapsed before it reads what has come meanwhile.
 
 use crate::faults::{Fault, Faults};
-use crate::terms::Terms;
+use crate::terms::TimingBounds;
 use copperroute_routing::change_log::Heartbeats;
 use copperroute_routing::interface::Nanos;
 
@@ -20,9 +20,9 @@
 
 impl Lease {
     /// None yet.
-    pub fn new(terms: Terms, faults: Faults) -> Self {
+    pub fn new(terms: TimingBounds, faults: Faults) -> Self {
         let (heartbeats, until) = Default::default();
-        Lease { length: terms.lease, slack: terms.slack, faults, heartbeats, until }
+        Lease { length: terms.lease, slack: terms.propagation_bound, faults, heartbeats, until }
     }
 
     /// The service is asked anew: what it answers is as it stands then or later.
--- a/crates/config-rollout/src/lists.rs
+++ b/crates/config-rollout/src/lists.rs
@@ -33,13 +33,13 @@
 
 /// The version that was last taken, and a print of its content.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Lists {
+pub struct ListVersions {
     taken: Option<(u64, u64)>,
 }
 
-impl Lists {
+impl ListVersions {
     /// A list has come: whether it is new, or why it may not be taken. What was taken before, word for word, is known.
-    pub fn heard(&mut self, version: u64, content: &[u8]) -> Result<bool, ListRefusal> {
+    pub fn list_received(&mut self, version: u64, content: &[u8]) -> Result<bool, ListRefusal> {
         let print = stable_hash(content);
         match self.taken {
             Some((holds, _)) if version < holds => Err(ListRefusal::Older { is: version, holds }),
--- a/crates/config-rollout/src/rules.rs
+++ b/crates/config-rollout/src/rules.rs
@@ -130,7 +130,7 @@
 
 impl RuleSet {
     /// What the platform's settings say, with the expiries of the content types.
-    pub fn of(s: &Settings, expiries: &[Nanos]) -> RuleSet {
+    pub fn from_settings(s: &Settings, expiries: &[Nanos]) -> RuleSet {
         let of = |(told, expiry): (&copperroute_routing::interface::ContentType, &Nanos)| {
             let repeat = match told.retry_safety {
                 RetrySafety::NonRetriable => 0.0,
@@ -190,7 +190,7 @@
     }
 
     /// The first field in which these allow what others forbid.
-    pub fn looser_than(&self, other: &RuleSet) -> Option<Field> {
+    pub fn first_looser_field(&self, other: &RuleSet) -> Option<Field> {
         self.fields().find(|field| Self::is_looser(*field, self.get(*field), other.get(*field)))
     }
 
@@ -211,7 +211,7 @@
     }
 
     /// Reads the fields that a document names; the others are as in `base`.
-    pub fn read(
+    pub fn parse(
         base: &RuleSet,
         types: &[String],
         path: &str,
@@ -283,7 +283,7 @@
     }
 
     /// A value as documents write it.
-    pub fn written(field: Field, value: f64) -> Value {
+    pub fn to_json(field: Field, value: f64) -> Value {
         match field.form() {
             Form::Whole => json!(value as u64),
             Form::Number if value.is_infinite() => Value::Null,
@@ -309,7 +309,7 @@
 
 impl fmt::Display for Difference {
     fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let [a, b] = self.values.map(|value| RuleSet::written(self.field, value));
+        let [a, b] = self.values.map(|value| RuleSet::to_json(self.field, value));
         write!(to, "{}: {a} to {b}, {}", self.path, if self.stricter { "stricter" } else { "looser" })
     }
 }
--- a/crates/config-rollout/src/terms.rs
+++ b/crates/config-rollout/src/terms.rs
@@ -9,31 +9,31 @@
 
 /// What is stated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct Terms {
+pub struct TimingBounds {
     /// For so long after a line of the list service that told nothing new a dispatcher is up to date.
     pub lease: Nanos,
     /// The clocks of issuers and dispatchers differ from the true time by no more than half of this.
     pub clock_error: Nanos,
     /// From the moment that an issuer writes into a version until the service tells it, and until a line that the
     /// service tells is read, no more than this goes by.
-    pub slack: Nanos,
+    pub propagation_bound: Nanos,
 }
 
-impl Terms {
+impl TimingBounds {
     /// The shortest notice at which a version can be issued: who has not heard of it when it begins to act knows by
     /// then that it is out of touch.
-    pub fn notice(&self) -> Nanos {
-        self.lease.after(self.clock_error).after(self.slack)
+    pub fn min_notice(&self) -> Nanos {
+        self.lease.after(self.clock_error).after(self.propagation_bound)
     }
 
     /// The longest for which two dispatchers may act on rules that contradict each other.
-    pub fn stated(&self) -> Nanos {
-        self.notice()
+    pub fn contradiction_bound(&self) -> Nanos {
+        self.min_notice()
     }
 
     /// Whether they can hold, or one line on what can't and what was expected.
-    pub fn check(&self) -> Result<(), String> {
-        let least = LINE.after(self.slack).after(self.slack);
+    pub fn validate(&self) -> Result<(), String> {
+        let least = LINE.after(self.propagation_bound).after(self.propagation_bound);
         let found =
             |name: &str, is: Nanos, least: Nanos, most: Nanos, why: &str| match is >= least && is <= most {
                 true => Ok(()),
@@ -44,7 +44,7 @@
                     most.secs()
                 )),
             };
-        found("slack_s", self.slack, Nanos(10_000_000), LONGEST, "")?;
+        found("slack_s", self.propagation_bound, Nanos(10_000_000), LONGEST, "")?;
         found("clock_error_s", self.clock_error, Nanos(1_000_000), LONGEST, "")?;
         let why = ": a line comes each second, and may take slack_s longer than the one before";
         found("lease_s", self.lease, least, LONGEST, why)
--- a/crates/config-rollout/src/tests/lists.rs
+++ b/crates/config-rollout/src/tests/lists.rs
@@ -4,10 +4,10 @@
 
 #[test]
 fn an_older_list_and_a_second_content_are_refused() {
-    let mut lists = Lists::default();
-    assert_eq!(lists.heard(5, b"a drains"), Ok(true));
-    assert_eq!(lists.heard(5, b"a drains"), Ok(false));
-    assert_eq!(lists.heard(4, b"a active"), Err(ListRefusal::Older { is: 4, holds: 5 }));
-    assert_eq!(lists.heard(5, b"a active"), Err(ListRefusal::TwoContents { version: 5 }));
-    assert_eq!(lists.heard(6, b"a active"), Ok(true));
+    let mut lists = ListVersions::default();
+    assert_eq!(lists.list_received(5, b"a drains"), Ok(true));
+    assert_eq!(lists.list_received(5, b"a drains"), Ok(false));
+    assert_eq!(lists.list_received(4, b"a active"), Err(ListRefusal::Older { is: 4, holds: 5 }));
+    assert_eq!(lists.list_received(5, b"a active"), Err(ListRefusal::TwoContents { version: 5 }));
+    assert_eq!(lists.list_received(6, b"a active"), Ok(true));
 }
--- a/crates/config-rollout/tests/agreement/common.rs
+++ b/crates/config-rollout/tests/agreement/common.rs
@@ -2,9 +2,9 @@
 
 use copperroute_config_rollout::core::Agreement;
 use copperroute_config_rollout::faults::Faults;
-use copperroute_config_rollout::issue::{Ground, Issue};
+use copperroute_config_rollout::issue::{IssuedVersion, ValidationContext};
 use copperroute_config_rollout::rules::RuleSet;
-use copperroute_config_rollout::terms::Terms;
+use copperroute_config_rollout::terms::TimingBounds;
 use copperroute_routing::interface::{ColdStart, ContentType, Nanos, RetrySafety, Settings, ZoneId};
 use serde_json::{Map, Value, json};
 
@@ -64,7 +64,7 @@
 
 /// The same as rules.
 pub(crate) fn base() -> RuleSet {
-    RuleSet::of(&settings(), &[ms(5_000), ms(3_000)])
+    RuleSet::from_settings(&settings(), &[ms(5_000), ms(3_000)])
 }
 
 /// An object of JSON.
@@ -74,21 +74,24 @@
 
 /// Rules that say otherwise than the platform.
 pub(crate) fn saying(told: Value) -> RuleSet {
-    RuleSet::read(&base(), &types(), "rules", &object(told)).expect("good rules")
+    RuleSet::parse(&base(), &types(), "rules", &object(told)).expect("good rules")
 }
 
 /// Lease 3 s, clock error 0.25 s, slack 0.5 s.
-pub(crate) const TERMS: Terms =
-    Terms { lease: Nanos(3_000_000_000), clock_error: Nanos(250_000_000), slack: Nanos(500_000_000) };
+pub(crate) const TERMS: TimingBounds = TimingBounds {
+    lease: Nanos(3_000_000_000),
+    clock_error: Nanos(250_000_000),
+    propagation_bound: Nanos(500_000_000),
+};
 
 /// A dispatcher of the small fleet; no version may say less than two attempts.
-pub(crate) fn dispatcher(terms: Terms, faults: Faults) -> Agreement {
-    let ground = Ground { base: base(), types: types(), terms, faults };
+pub(crate) fn dispatcher(timing: TimingBounds, faults: Faults) -> Agreement {
+    let ground = ValidationContext { platform_rules: base(), content_types: types(), timing, faults };
     Agreement::new(ground, &saying(json!({"max_pulls": 2, "cold_share": 0.1})))
 }
 
 /// A version.
-pub(crate) fn issue(version: u64, after: &str, issued_ms: u64, from_ms: u64, rules: Value) -> Issue {
+pub(crate) fn issue(version: u64, after: &str, issued_ms: u64, from_ms: u64, rules: Value) -> IssuedVersion {
     let (after, rules) = (after.to_string(), object(rules));
-    Issue { version, after, issuer: "ops".into(), issued_ms, from_ms, rules, floor: None }
+    IssuedVersion { version, after, issuer: "ops".into(), issued_ms, from_ms, rules, floor: None }
 }
--- a/crates/config-rollout/tests/agreement/core.rs
+++ b/crates/config-rollout/tests/agreement/core.rs
@@ -3,7 +3,7 @@
 use crate::common::{TERMS, dispatcher, issue, ms, object};
 use copperroute_config_rollout::core::Agreement;
 use copperroute_config_rollout::faults::Faults;
-use copperroute_config_rollout::issue::{Issue, written_digest};
+use copperroute_config_rollout::issue::{IssuedVersion, format_digest};
 use copperroute_config_rollout::rules::Field;
 use copperroute_routing::interface::Nanos;
 use expect_test::expect;
@@ -35,10 +35,10 @@
     }
 
     fn look(&mut self) {
-        if self.core.look(self.now(), self.unix_ms()) {
+        if self.core.update(self.now(), self.unix_ms()) {
             let stands =
                 self.core.out_of_touch().map_or("in touch".to_string(), |why| format!("out of touch, {why}"));
-            let (version, attempts) = (self.core.in_force().number, self.core.acting().get(PULLS));
+            let (version, attempts) = (self.core.in_force().number, self.core.effective_rules().get(PULLS));
             let _ = writeln!(
                 self.trace,
                 "{:.1} s: version {version}, {stands}, {attempts} pulls",
@@ -53,7 +53,7 @@
         while self.now_ms < until {
             self.now_ms += 100;
             if self.now_ms.is_multiple_of(1_000) {
-                self.core.line(self.now(), true);
+                self.core.heartbeat_received(self.now(), true);
             }
             self.look();
         }
@@ -68,18 +68,18 @@
         }
     }
 
-    fn heard(&mut self, issue: &Issue) {
-        if let Err(why) = self.core.heard(self.now(), self.unix_ms(), issue) {
+    fn heard(&mut self, issue: &IssuedVersion) {
+        if let Err(why) = self.core.version_received(self.now(), self.unix_ms(), issue) {
             let _ = writeln!(self.trace, "{:.1} s: refused: {why}", self.now_ms as f64 / 1e3);
         }
         self.look();
     }
 
     /// The next version, issued now, so long ahead.
-    fn next(&self, ahead_ms: u64, attempts: u64) -> Issue {
-        let (_, last) = self.core.to_come();
+    fn next(&self, ahead_ms: u64, attempts: u64) -> IssuedVersion {
+        let (_, last) = self.core.pending_versions();
         let digest = if last == self.core.in_force().number { self.core.in_force().digest } else { 0 };
-        let after = written_digest(last, digest);
+        let after = format_digest(last, digest);
         issue(last + 1, &after, self.now_ms, self.now_ms + ahead_ms, json!({ "max_pulls": attempts }))
     }
 }
@@ -135,9 +135,9 @@
     let mut play = in_touch();
     let tight = play.next(3_750, 3);
     play.silence(6_000);
-    play.core.asked(play.now());
+    play.core.request_sent(play.now());
     play.heard(&tight);
-    play.core.line(play.now(), true);
+    play.core.heartbeat_received(play.now(), true);
     play.look();
     expect![[r#"
         106.0 s: version 0, out of touch, lease lapsed, 2 pulls
@@ -152,7 +152,7 @@
     let mut play = in_touch();
     play.now_ms += 6_000;
     for _ in 0..5 {
-        play.core.line(play.now(), true);
+        play.core.heartbeat_received(play.now(), true);
         play.look();
     }
     play.lines(2_000);
@@ -171,10 +171,10 @@
         let next =
             issue(last + 1, &after, play.now_ms, play.now_ms + 4_000, json!({ "max_pulls": attempts }));
         play.heard(&next);
-        (last, after) = (next.version, written_digest(next.version, next.digest()));
+        (last, after) = (next.version, format_digest(next.version, next.digest()));
         play.lines(300);
     }
-    assert!(play.core.to_come().0 <= 8);
+    assert!(play.core.pending_versions().0 <= 8);
     play.lines(6_000);
     expect![[r#"
         103.0 s: version 0, in touch, 5 pulls
@@ -206,7 +206,7 @@
     let good = play.next(4_000, 4);
     play.heard(&good);
     play.heard(&good);
-    let after = written_digest(1, good.digest());
+    let after = format_digest(1, good.digest());
     let (now, then) = (play.now_ms, play.now_ms + 5_000);
     play.heard(&issue(1, "", now, then, json!({"max_pulls": 5})));
     play.heard(&issue(0, "", now, then, json!({})));
@@ -246,7 +246,7 @@
     let loose = issue(1, "", play.now_ms, play.now_ms + 4_000, json!({"max_pulls": 3}));
     play.heard(&loose);
     play.lines(1_000);
-    let after = written_digest(1, loose.digest());
+    let after = format_digest(1, loose.digest());
     play.heard(&issue(2, &after, play.now_ms, play.now_ms + 4_000, json!({})));
     play.lines(6_000);
     expect![[r#"
@@ -264,16 +264,16 @@
     play.heard(&issue(3, "00000000000000ff", play.now_ms, play.now_ms + 4_000, json!({"max_pulls": 5})));
     play.lines(5_000);
     // The service could not tell what lay between, then says that nothing did.
-    play.core.lost(None);
+    play.core.events_missed(None);
     play.lines(2_000);
     play.heard(&issue(
         4,
-        &written_digest(3, play.core.in_force().digest),
+        &format_digest(3, play.core.in_force().digest),
         play.now_ms,
         play.now_ms + 4_000,
         json!({}),
     ));
-    play.core.lost(Some(4));
+    play.core.events_missed(Some(4));
     play.lines(5_000);
     expect![[r#"
         103.0 s: version 0, out of touch, a version is missing, 2 pulls
@@ -295,10 +295,10 @@
     play.lines(1_000);
     // Set right, and ahead later.
     play.off_ms = 0;
-    play.core.told_at(play.now(), play.unix_ms(), play.now_ms);
+    play.core.event_time_received(play.now(), play.unix_ms(), play.now_ms);
     play.lines(1_000);
     play.off_ms = 2_300;
-    play.core.told_at(play.now(), play.unix_ms(), play.now_ms);
+    play.core.event_time_received(play.now(), play.unix_ms(), play.now_ms);
     play.look();
     expect![[r#"
         103.0 s: version 0, out of touch, clock off, 2 pulls
--- a/crates/config-rollout/tests/agreement/ordering_model.rs
+++ b/crates/config-rollout/tests/agreement/ordering_model.rs
@@ -3,14 +3,15 @@
 use crate::common::{dispatcher, issue, ms};
 use copperroute_config_rollout::core::Agreement;
 use copperroute_config_rollout::faults::{Fault, Faults};
-use copperroute_config_rollout::issue::{Issue, written_digest};
+use copperroute_config_rollout::issue::{IssuedVersion, format_digest};
 use copperroute_config_rollout::rules::Field;
-use copperroute_config_rollout::terms::Terms;
+use copperroute_config_rollout::terms::TimingBounds;
 use serde_json::json;
 use stateright::{Model, Property};
 use std::sync::Arc;
 
-const TERMS: Terms = Terms { lease: ms_of(2), clock_error: ms_of(1), slack: ms_of(1) };
+const TERMS: TimingBounds =
+    TimingBounds { lease: ms_of(2), clock_error: ms_of(1), propagation_bound: ms_of(1) };
 const NOTICE: u64 = 4;
 const PULLS: Field = Field::Fleet(0);
 const BASE: u64 = 6;
@@ -96,7 +97,7 @@
 }
 
 impl Written {
-    fn issue(&self) -> Issue {
+    fn issue(&self) -> IssuedVersion {
         issue(
             self.number,
             &self.after,
@@ -143,8 +144,8 @@
         if matches!(one.trouble, Some(Trouble::Stop | Trouble::Kill)) {
             return;
         }
-        one.core.look(ms(at * 1_000), (at + one.ahead) * 1_000);
-        let acts = one.core.acting().get(PULLS) as u64;
+        one.core.update(ms(at * 1_000), (at + one.ahead) * 1_000);
+        let acts = one.core.effective_rules().get(PULLS) as u64;
         let (in_touch, number) = (one.core.out_of_touch().is_none(), one.core.in_force().number);
         let clocks = [at.saturating_sub(1), at, at + 1].map(|at| self.in_force(at));
         if acts > clocks.map(|clock| clock.1).into_iter().max().unwrap_or(BASE) {
@@ -165,13 +166,13 @@
         let (now, unix) = (ms(at * 1_000), (at + one.ahead) * 1_000);
         match said {
             Said::Event(event) if event == one.heard => {
-                let _ = one.core.heard(now, unix, &self.log[event].issue());
+                let _ = one.core.version_received(now, unix, &self.log[event].issue());
                 one.heard += 1;
             }
             // The one before it was lost: all is asked for again with the next line.
             Said::Event(_) => one.sent = one.heard,
             Said::Last(last) => {
-                one.core.line(now, one.heard == last);
+                one.core.heartbeat_received(now, one.heard == last);
                 one.sent = one.sent.min(one.heard);
             }
         }
@@ -215,13 +216,13 @@
                 one.queue.clear();
                 for event in kept {
                     let unix = (self.at + one.ahead) * 1_000;
-                    let _ = one.core.heard(now, unix, &self.log[event].issue());
+                    let _ = one.core.version_received(now, unix, &self.log[event].issue());
                 }
-                one.core.asked(now);
+                one.core.request_sent(now);
             }
             Some(Trouble::Cut) => {
                 one.sent = one.heard;
-                one.core.asked(now);
+                one.core.request_sent(now);
             }
             _ => {}
         }
@@ -244,7 +245,7 @@
             Kind::Back => (number - 1, BASE, false),
         };
         let late = matches!(kind, Kind::Again | Kind::Back);
-        let after = written_digest(number - 1, if late { 0 } else { digest });
+        let after = format_digest(number - 1, if late { 0 } else { digest });
         let mut written = Written { number, digest: 0, from, attempts, good, issued: self.at, after };
         written.digest = written.issue().digest();
         self.log.push(Arc::new(written));
@@ -279,7 +280,7 @@
             let (log, all) = (Vec::new(), ahead.map(one).to_vec());
             let mut world = World { at: 100, log, all, troubles: 0, broken: None, agreed: false };
             (0..3).for_each(|who| {
-                world.all[who].core.asked(ms(100_000));
+                world.all[who].core.request_sent(ms(100_000));
                 world.told(who);
             });
             world
--- a/crates/config-rollout/tests/agreement/rules.rs
+++ b/crates/config-rollout/tests/agreement/rules.rs
@@ -37,7 +37,7 @@
     assert!(back.iter().all(|differs| !differs.stricter));
     let first = base().contradiction(&tight).map(|field| field.path(&types()));
     assert_eq!((first.as_deref(), base().contradiction(&base())), (Some("max_pulls"), None));
-    assert_eq!(tight.looser_than(&base()), None);
+    assert_eq!(tight.first_looser_field(&base()), None);
 }
 
 #[test]
@@ -53,7 +53,7 @@
         json!({"types": {"image": {"repeat": "deduped"}}}),
         json!({"types": {"post": {"repeat": "retriable"}}}),
     ];
-    let said = told.map(|told| match RuleSet::read(&base(), &types(), "rules", &object(told)) {
+    let said = told.map(|told| match RuleSet::parse(&base(), &types(), "rules", &object(told)) {
         Ok(_) => "good\n".to_string(),
         Err(why) => format!("{why}\n"),
     });
@@ -103,8 +103,8 @@
     #[test]
     fn the_stricter_of_both_obeys_both_and_nothing_stricter_is_asked(a in any_rules(), b in any_rules()) {
         let both = a.stricter(&b);
-        prop_assert_eq!(both.looser_than(&a), None);
-        prop_assert_eq!(both.looser_than(&b), None);
+        prop_assert_eq!(both.first_looser_field(&a), None);
+        prop_assert_eq!(both.first_looser_field(&b), None);
         prop_assert_eq!(&both, &b.stricter(&a));
         for field in both.fields() {
             prop_assert!(both.get(field) == a.get(field) || both.get(field) == b.get(field));
--- a/crates/dispatcher/src/agreed.rs
+++ b/crates/dispatcher/src/agreed.rs
@@ -2,9 +2,9 @@
 
 use crate::config::{Agreeing, Config};
 use crate::logs::Sparse;
-use copperroute_config_rollout::core::{Agreement, Why};
-use copperroute_config_rollout::issue::{Issue, Refusal};
-use copperroute_config_rollout::lists::Lists;
+use copperroute_config_rollout::core::{Agreement, OutOfTouchReason};
+use copperroute_config_rollout::issue::{IssuedVersion, Refusal};
+use copperroute_config_rollout::lists::ListVersions;
 use copperroute_protocol::changes::Change;
 use copperroute_routing::interface::{Nanos, Settings};
 
@@ -12,11 +12,11 @@
 #[derive(Debug)]
 pub struct Agreed {
     core: Agreement,
-    lists: Lists,
+    lists: ListVersions,
     settings: Settings,
     expiries: Vec<Nanos>,
     /// What was last said of it: version in force, the last heard, and why it is out of touch.
-    said: Option<(u64, u64, Option<Why>)>,
+    said: Option<(u64, u64, Option<OutOfTouchReason>)>,
     refused: Sparse,
 }
 
@@ -25,7 +25,7 @@
     pub fn new(agreeing: &Agreeing, config: &Config) -> Self {
         Agreed {
             core: Agreement::new(agreeing.ground.clone(), &agreeing.floor),
-            lists: Lists::default(),
+            lists: ListVersions::default(),
             settings: config.settings.clone(),
             expiries: config.offers.iter().map(|offer| offer.expiry).collect(),
             said: None,
@@ -34,13 +34,13 @@
     }
 
     /// Versions that a file brings.
-    pub fn issued(&mut self, now: Nanos, unix_ms: u64, issues: &[Issue]) {
+    pub fn issued(&mut self, now: Nanos, unix_ms: u64, issues: &[IssuedVersion]) {
         issues.iter().for_each(|issue| self.heard(now, unix_ms, issue));
     }
 
-    fn heard(&mut self, now: Nanos, unix_ms: u64, issue: &Issue) {
-        match self.core.heard(now, unix_ms, issue) {
-            Ok(()) | Err(Refusal::Known) => {}
+    fn heard(&mut self, now: Nanos, unix_ms: u64, issue: &IssuedVersion) {
+        match self.core.version_received(now, unix_ms, issue) {
+            Ok(()) | Err(Refusal::Duplicate) => {}
             Err(why) => {
                 let issuer = issue.issuer.escape_default();
                 self.refused.warn(now, format_args!("rules: not taken, of '{issuer}': {why}"));
@@ -51,16 +51,16 @@
     /// An event of the change log. Where `lost`, events before it were not told.
     pub fn event(&mut self, now: Nanos, unix_ms: u64, change: &Change, lost: bool) {
         if let Some(told) = &change.rules {
-            match Issue::read(told) {
+            match IssuedVersion::from_value(told) {
                 Ok(issue) => self.heard(now, unix_ms, &issue),
                 Err(why) => self.refused.warn(now, format_args!("rules: event {}: {why}", change.seq)),
             }
         }
         if let Some(purge) = &change.invalidate {
-            self.core.told_at(now, unix_ms, purge.time);
+            self.core.event_time_received(now, unix_ms, purge.time);
         }
         if lost {
-            self.core.lost(change.agreed);
+            self.core.events_missed(change.agreed);
         }
     }
 
@@ -69,7 +69,7 @@
         let Some(fleet) = &change.fleet else { return false };
         let Some(version) = fleet.version else { return true };
         let content = serde_json::to_string(&fleet.servers).unwrap_or_default();
-        self.lists.heard(version, content.as_bytes()).unwrap_or_else(|why| {
+        self.lists.list_received(version, content.as_bytes()).unwrap_or_else(|why| {
             self.refused.warn(now, format_args!("list: event {}: {why}; passed over", change.seq));
             false
         })
@@ -77,8 +77,8 @@
 
     /// The list service has begun anew: its versions are told again.
     pub fn begun_anew(&mut self) {
-        self.lists = Lists::default();
-        self.core.lost(None);
+        self.lists = ListVersions::default();
+        self.core.events_missed(None);
     }
 
     /// The number of the version in force; 0 is what the platform's settings say.
@@ -88,26 +88,26 @@
 
     /// The list service is asked.
     pub fn asked(&mut self, now: Nanos) {
-        self.core.asked(now);
+        self.core.request_sent(now);
     }
 
     /// It has told a second's line.
     pub fn line(&mut self, now: Nanos, caught_up: bool) {
-        self.core.line(now, caught_up);
+        self.core.heartbeat_received(now, caught_up);
     }
 
     /// The settings and expiries to act on, if they are others than before. To be asked before each decision.
     pub fn look(&mut self, now: Nanos, unix_ms: u64) -> Option<(Settings, Vec<Nanos>)> {
-        if !self.core.look(now, unix_ms) {
+        if !self.core.update(now, unix_ms) {
             return None;
         }
         self.say(now, unix_ms);
-        Some(self.core.acting().apply(&self.settings, &self.expiries))
+        Some(self.core.effective_rules().apply(&self.settings, &self.expiries))
     }
 
     /// One line for each change of what is in force, and of whether it is in touch.
     fn say(&mut self, now: Nanos, unix_ms: u64) {
-        let (held, (pending, last)) = (self.core.in_force(), self.core.to_come());
+        let (held, (pending, last)) = (self.core.in_force(), self.core.pending_versions());
         let out = self.core.out_of_touch();
         if self.said.replace((held.number, last, out)) == Some((held.number, last, out)) {
             return;
@@ -119,7 +119,7 @@
             age_s = unix_ms.saturating_sub(held.from_ms) / 1_000 * u64::from(held.number > 0),
             pending,
             last,
-            lease_ms = self.core.lease_left(now).0 / 1_000_000;
+            lease_ms = self.core.lease_remaining(now).0 / 1_000_000;
             "rules: {}",
             out.map_or("in touch".to_string(), |why| format!("out of touch, {why}"))
         );
--- a/crates/dispatcher/src/config.rs
+++ b/crates/dispatcher/src/config.rs
@@ -1,7 +1,7 @@
 //! The configuration file: what the operators tell one dispatcher.
 
 use copperroute_config_rollout::faults::Faults;
-use copperroute_config_rollout::issue::{Ground, Issue};
+use copperroute_config_rollout::issue::{IssuedVersion, ValidationContext};
 use copperroute_config_rollout::rules::RuleSet;
 use copperroute_protocol::changes::Known;
 use copperroute_routing::calls::ReconnectSettings;
@@ -89,11 +89,11 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Agreeing {
     /// What versions are judged by.
-    pub ground: Ground,
+    pub ground: ValidationContext,
     /// The strictest that any may say.
     pub floor: RuleSet,
     /// Those that the operator's file brings.
-    pub issued: Vec<Issue>,
+    pub issued: Vec<IssuedVersion>,
 }
 
 /// The files that a configuration is read from.
@@ -148,15 +148,16 @@
 
     /// How dispatchers agree, as the operator's file says.
     pub fn agreeing(&self, operator: &Operator) -> Result<Option<Agreeing>, String> {
-        let (Some(terms), Some(told)) = (operator.terms()?, &operator.agreement) else { return Ok(None) };
+        let (Some(timing), Some(told)) = (operator.terms()?, &operator.agreement) else { return Ok(None) };
         let expiries: Vec<_> = self.offers.iter().map(|offer| offer.expiry).collect();
-        let (base, types) = (RuleSet::of(&self.settings, &expiries), self.names.content_types.clone());
-        let floor = RuleSet::read(&base, &types, "agreement.floor", &told.floor)?;
-        if let Some(field) = floor.looser_than(&base) {
-            let path = field.path(&types);
+        let (platform_rules, content_types) =
+            (RuleSet::from_settings(&self.settings, &expiries), self.names.content_types.clone());
+        let floor = RuleSet::parse(&platform_rules, &content_types, "agreement.floor", &told.floor)?;
+        if let Some(field) = floor.first_looser_field(&platform_rules) {
+            let path = field.path(&content_types);
             return Err(format!("agreement.floor.{path}: looser than the platform's settings"));
         }
-        let ground = Ground { base, types, terms, faults: faults() };
+        let ground = ValidationContext { platform_rules, content_types, timing, faults: faults() };
         Ok(Some(Agreeing { ground, floor, issued: operator.issued()? }))
     }
 
--- a/crates/dispatcher/src/reducer/mod.rs
+++ b/crates/dispatcher/src/reducer/mod.rs
@@ -129,7 +129,10 @@
             calls: config.calls,
             seed: config.settings.seed.rotate_left(32),
             unix_zero: epoch.unix_zero(),
-            slack: config.agreeing.as_ref().map_or(SLACK, |agreeing| agreeing.ground.terms.slack),
+            slack: config
+                .agreeing
+                .as_ref()
+                .map_or(SLACK, |agreeing| agreeing.ground.timing.propagation_bound),
             looks_for_anew: agreed.is_some(),
         });
         Reducer {
--- a/crates/dispatcher/src/reducer/reload.rs
+++ b/crates/dispatcher/src/reducer/reload.rs
@@ -9,7 +9,7 @@
     /// knows are not applied: the change log tells all from the last that was.
     pub(super) fn reload(&mut self, now: Nanos, new: &Config) {
         let old = &mut self.config;
-        let rules = RuleSet::of(&new.settings, &self.expiries);
+        let rules = RuleSet::from_settings(&new.settings, &self.expiries);
         let only_rules = rules.apply(&old.settings, &self.expiries).0 == new.settings;
         let (versions, differ) = (self.agreed.is_some(), new.settings != old.settings);
         let ground = |agreeing: &Agreeing| (agreeing.ground.clone(), agreeing.floor.clone());
--- a/crates/dispatcher/src/rules_text.rs
+++ b/crates/dispatcher/src/rules_text.rs
@@ -2,26 +2,27 @@
 //! versions would be taken.
 
 use crate::config::Agreeing;
-use copperroute_config_rollout::issue::{Issue, Refusal, Version};
+use copperroute_config_rollout::issue::{IssuedVersion, Refusal, Version};
 use copperroute_config_rollout::rules::{RuleSet, differences};
 use std::fmt::Write as _;
 use std::path::Path;
 
 /// Reads a version from a file; an error is one line with file and field.
-pub fn read(path: &Path) -> Result<Issue, String> {
+pub fn read(path: &Path) -> Result<IssuedVersion, String> {
     let named = |what: String| format!("{}: {what}", path.display());
     let text = std::fs::read_to_string(path).map_err(|fault| named(fault.to_string()))?;
-    Issue::parse(&text).map_err(named)
+    IssuedVersion::parse(&text).map_err(named)
 }
 
 fn zero(agreeing: &Agreeing) -> Version {
-    Version::zero(agreeing.ground.base.clone(), agreeing.floor.clone())
+    Version::platform_default(agreeing.ground.platform_rules.clone(), agreeing.floor.clone())
 }
 
 /// Every field: what it says, the platform's value where that is another, and the strictest that may follow.
-pub fn show(agreeing: &Agreeing, issue: &Issue) -> Result<String, String> {
-    let version = Version::read(issue, &zero(agreeing), &agreeing.ground).map_err(|why| why.to_string())?;
-    let (base, types) = (&agreeing.ground.base, &agreeing.ground.types);
+pub fn show(agreeing: &Agreeing, issue: &IssuedVersion) -> Result<String, String> {
+    let version =
+        Version::from_issued(issue, &zero(agreeing), &agreeing.ground).map_err(|why| why.to_string())?;
+    let (base, types) = (&agreeing.ground.platform_rules, &agreeing.ground.content_types);
     let mut text = format!(
         "version {} of '{}', digest {:016x}, issued at {} ms, acts from {} ms\n",
         version.number,
@@ -32,7 +33,7 @@
     );
     for field in base.fields() {
         let [is, was, least] =
-            [&version.rules, base, &version.floor].map(|set| RuleSet::written(field, set.get(field)));
+            [&version.rules, base, &version.floor].map(|set| RuleSet::to_json(field, set.get(field)));
         let _ = write!(text, "{}: {is}", field.path(types));
         if is != was {
             let _ = write!(text, ", platform {was}");
@@ -46,13 +47,15 @@
 }
 
 /// What changes from one version to another, field by field, and from when.
-pub fn diff(agreeing: &Agreeing, from: Option<&Issue>, to: &Issue) -> Result<String, String> {
+pub fn diff(agreeing: &Agreeing, from: Option<&IssuedVersion>, to: &IssuedVersion) -> Result<String, String> {
     let first = zero(agreeing);
-    let read = |issue: &Issue| Version::read(issue, &first, &agreeing.ground).map_err(|why| why.to_string());
+    let read = |issue: &IssuedVersion| {
+        Version::from_issued(issue, &first, &agreeing.ground).map_err(|why| why.to_string())
+    };
     let before = from.map_or_else(|| Ok(first.clone()), read)?;
     let after = read(to)?;
     let mut text = format!("from version {} to version {}\n", before.number, after.number);
-    let changes = differences(&before.rules, &after.rules, &agreeing.ground.types);
+    let changes = differences(&before.rules, &after.rules, &agreeing.ground.content_types);
     for change in &changes {
         let when = match change.stricter {
             true => "once it is heard".to_string(),
@@ -63,7 +66,7 @@
     if changes.is_empty() {
         text.push_str("no rule changes\n");
     }
-    for change in differences(&before.floor, &after.floor, &agreeing.ground.types) {
+    for change in differences(&before.floor, &after.floor, &agreeing.ground.content_types) {
         let _ = writeln!(text, "floor, {change}");
     }
     Ok(text)
@@ -71,19 +74,19 @@
 
 /// Whether each of a row of versions would be taken after those before it, and what is to be done where not. The first
 /// line tells the stated time.
-pub fn check(agreeing: &Agreeing, issues: &[Issue]) -> Result<String, String> {
-    let terms = agreeing.ground.terms;
+pub fn check(agreeing: &Agreeing, issues: &[IssuedVersion]) -> Result<String, String> {
+    let terms = agreeing.ground.timing;
     let mut text = format!(
         "no two act on rules that contradict each other for longer than {} s: lease {} s, clocks {} s, ways {} s\n",
-        terms.stated().secs(),
+        terms.contradiction_bound().secs(),
         terms.lease.secs(),
         terms.clock_error.secs(),
-        terms.slack.secs()
+        terms.propagation_bound.secs()
     );
     let mut last = zero(agreeing);
     for issue in issues {
-        let judged = Version::read(issue, &last, &agreeing.ground)
-            .and_then(|version| version.may_follow(issue, &last, &agreeing.ground).map(|()| version));
+        let judged = Version::from_issued(issue, &last, &agreeing.ground)
+            .and_then(|version| version.check_successor(issue, &last, &agreeing.ground).map(|()| version));
         let judged = match judged {
             Ok(version) if version.number <= last.number => {
                 Err(Refusal::Older { is: version.number, holds: last.number })
@@ -111,14 +114,14 @@
 }
 
 /// What is to be done instead.
-fn remedy(why: &Refusal, issue: &Issue, last: &Version) -> Option<String> {
+fn remedy(why: &Refusal, issue: &IssuedVersion, last: &Version) -> Option<String> {
     Some(match why {
-        Refusal::TooNear { least_ms, .. } => {
-            format!("to do: from_ms {} or later", (issue.issued_ms + least_ms).max(last.from_ms + 1))
+        Refusal::NoticeTooShort { min_notice_ms, .. } => {
+            format!("to do: from_ms {} or later", (issue.issued_ms + min_notice_ms).max(last.from_ms + 1))
         }
-        Refusal::NotAfter { before_ms, .. } => format!("to do: from_ms {} or later", before_ms + 1),
+        Refusal::ActivationNotLater { previous_from_ms, .. } => format!("to do: from_ms {} or later", previous_from_ms + 1),
         Refusal::Forked { holds, .. } => format!("to do: after '{holds}'"),
-        Refusal::UnderFloor(_) | Refusal::Widened(_) => {
+        Refusal::BelowFloor(_) | Refusal::FloorLowered(_) => {
             "to do: not in one step; a floor that allows for it in the operators' file and a restart of all, then \
              this version"
                 .into()
--- a/crates/dispatcher/tests/dispatcher/agreed.rs
+++ b/crates/dispatcher/tests/dispatcher/agreed.rs
@@ -1,7 +1,7 @@
 //! Rules with versions: which a dispatcher acts on, seen from its connections.
 
 use crate::common::{CONFIG, Play, request};
-use copperroute_config_rollout::issue::{Issue, written_digest};
+use copperroute_config_rollout::issue::{IssuedVersion, format_digest};
 use copperroute_dispatcher::config::Config;
 use copperroute_dispatcher::effects::{Event, Peer};
 use copperroute_settings::operator::Operator;
@@ -78,9 +78,9 @@
     lines(&mut play, 2, 1);
     let first = version(2, 1, "", 2_000, 4_000, json!({"max_pulls": 2}));
     let told: Value = serde_json::from_str(&first).expect("JSON");
-    let digest = Issue::read(&told["rules"]).expect("a version").digest();
+    let digest = IssuedVersion::from_value(&told["rules"]).expect("a version").digest();
     play.log(1, &first);
-    play.log(1, &version(3, 2, &written_digest(1, digest), 2_000, 4_500, json!({"max_pulls": 6})));
+    play.log(1, &version(3, 2, &format_digest(1, digest), 2_000, 4_500, json!({"max_pulls": 6})));
     play.log(1, "3");
     let _ = writeln!(trace, "tightened: {}", attempts(&mut play, 1));
     lines(&mut play, 5, 3);
--- a/crates/dispatcher/tests/dispatcher/rules_text.rs
+++ b/crates/dispatcher/tests/dispatcher/rules_text.rs
@@ -1,7 +1,7 @@
 //! Versions as staff read them.
 
 use crate::common::CONFIG;
-use copperroute_config_rollout::issue::{Issue, written_digest};
+use copperroute_config_rollout::issue::{IssuedVersion, format_digest};
 use copperroute_dispatcher::config::{Agreeing, Config};
 use copperroute_dispatcher::rules_text::{check, diff, show};
 use copperroute_settings::operator::Operator;
@@ -14,18 +14,18 @@
     config.agreeing(&Operator::parse(&operator).expect("good")).expect("good").expect("an agreement")
 }
 
-fn version(version: u64, after: &str, ahead_ms: u64, rules: Value) -> Issue {
+fn version(version: u64, after: &str, ahead_ms: u64, rules: Value) -> IssuedVersion {
     let issued_ms = 1_000_000 * version;
     let told = json!({"version": version, "after": after, "issuer": "ops", "issued_ms": issued_ms,
         "from_ms": issued_ms + ahead_ms, "rules": rules});
-    Issue::read(&told).expect("a version")
+    IssuedVersion::from_value(&told).expect("a version")
 }
 
 #[test]
 fn a_version_and_what_it_changes() {
     let (agreeing, first) =
         (agreeing(), version(1, "", 4_000, json!({"max_pulls": 3, "types": {"image": {"expiry_s": 1}}})));
-    let second = version(2, &written_digest(1, first.digest()), 4_000, json!({"max_pulls": 2}));
+    let second = version(2, &format_digest(1, first.digest()), 4_000, json!({"max_pulls": 2}));
     let said =
         [show(&agreeing, &first), diff(&agreeing, None, &first), diff(&agreeing, Some(&first), &second)];
     expect![[r#"
@@ -62,7 +62,7 @@
 #[test]
 fn which_of_a_row_would_be_taken_and_what_to_do_where_not() {
     let (agreeing, first) = (agreeing(), version(1, "", 4_000, json!({"max_pulls": 3})));
-    let after = written_digest(1, first.digest());
+    let after = format_digest(1, first.digest());
     let said = [
         check(&agreeing, &[first.clone(), version(2, &after, 4_000, json!({}))]),
         check(&agreeing, &[first.clone(), version(2, &after, 3_000, json!({}))]),
--- a/crates/settings/src/operator.rs
+++ b/crates/settings/src/operator.rs
@@ -1,8 +1,8 @@
 //! The operator's own file: JSON with a schema. What stands in it is off unless it is given.
 
 use crate::Read;
-use copperroute_config_rollout::issue::Issue;
-use copperroute_config_rollout::terms::Terms;
+use copperroute_config_rollout::issue::IssuedVersion;
+use copperroute_config_rollout::terms::TimingBounds;
 use copperroute_routing::calls::ReconnectSettings;
 use copperroute_routing::change_log;
 use copperroute_routing::interface::{Nanos, OverloadSettings};
@@ -372,20 +372,22 @@
     }
 
     /// What is stated of clocks and ways for the agreement, checked.
-    pub fn terms(&self) -> Read<Option<Terms>> {
+    pub fn terms(&self) -> Read<Option<TimingBounds>> {
         let Some(told) = &self.agreement else { return Ok(None) };
-        let terms = Terms {
+        let terms = TimingBounds {
             lease: Nanos::from_secs(told.lease_s),
             clock_error: Nanos::from_secs(told.clock_error_s),
-            slack: Nanos::from_secs(told.slack_s),
+            propagation_bound: Nanos::from_secs(told.slack_s),
         };
-        terms.check().map(|()| Some(terms)).map_err(|fault| format!("agreement.{fault}"))
+        terms.validate().map(|()| Some(terms)).map_err(|fault| format!("agreement.{fault}"))
     }
 
     /// The versions of rules that come with the file.
-    pub fn issued(&self) -> Read<Vec<Issue>> {
+    pub fn issued(&self) -> Read<Vec<IssuedVersion>> {
         let told = self.agreement.iter().flat_map(|told| &told.issued).enumerate();
-        let read = |(at, told)| Issue::read(told).map_err(|fault| format!("agreement.issued.{at}.{fault}"));
+        let read = |(at, told)| {
+            IssuedVersion::from_value(told).map_err(|fault| format!("agreement.issued.{at}.{fault}"))
+        };
         told.map(read).collect()
     }
 
--- a/crates/testbed/src/capacity/issuer.rs
+++ b/crates/testbed/src/capacity/issuer.rs
@@ -3,7 +3,7 @@
 
 use super::clock::unix_us;
 use super::rig::Rig;
-use copperroute_config_rollout::issue::{Issue, written_digest};
+use copperroute_config_rollout::issue::{IssuedVersion, format_digest};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use serde_json::json;
@@ -70,7 +70,7 @@
         number += 1;
         let issued_ms = unix_us() / 1_000;
         let attempts = MAX_PULLS[number as usize % MAX_PULLS.len()];
-        let issue = Issue {
+        let issue = IssuedVersion {
             version: number,
             after: after.clone(),
             issuer: "lab".into(),
@@ -80,6 +80,6 @@
             floor: None,
         };
         rig.log.version(number, json!(issue));
-        after = written_digest(number, issue.digest());
+        after = format_digest(number, issue.digest());
     }
 }
--- a/crates/testbed/src/fleet_simulation/follower.rs
+++ b/crates/testbed/src/fleet_simulation/follower.rs
@@ -4,9 +4,9 @@
 use super::assumptions::*;
 use copperroute_config_rollout::core::Agreement;
 use copperroute_config_rollout::faults::Faults;
-use copperroute_config_rollout::issue::{Ground, Issue};
+use copperroute_config_rollout::issue::{IssuedVersion, ValidationContext};
 use copperroute_config_rollout::rules::RuleSet;
-use copperroute_config_rollout::terms::Terms;
+use copperroute_config_rollout::terms::TimingBounds;
 use copperroute_dispatcher::changes::{ChangeLog, ChangeLogSettings, Told};
 use copperroute_dispatcher::effects::Effect;
 use copperroute_protocol::changes::Change;
@@ -15,8 +15,11 @@
 use serde_json::{Map, Value, json};
 use std::net::SocketAddr;
 
-const TERMS: Terms =
-    Terms { lease: Nanos(3_000_000_000), clock_error: Nanos(250_000_000), slack: Nanos(500_000_000) };
+const TERMS: TimingBounds = TimingBounds {
+    lease: Nanos(3_000_000_000),
+    clock_error: Nanos(250_000_000),
+    propagation_bound: Nanos(500_000_000),
+};
 
 /// What a follower took of the bytes that came.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -33,9 +36,15 @@
 }
 
 fn agreement() -> Agreement {
-    let base = RuleSet::of(&crate::many_rules::settings(), &[]);
-    let floor = RuleSet::read(&base, &[], "floor", &rules(2)).unwrap_or_else(|_| base.clone());
-    let ground = Ground { base, types: Vec::new(), terms: TERMS, faults: Faults::default() };
+    let platform_rules = RuleSet::from_settings(&crate::many_rules::settings(), &[]);
+    let floor =
+        RuleSet::parse(&platform_rules, &[], "floor", &rules(2)).unwrap_or_else(|_| platform_rules.clone());
+    let ground = ValidationContext {
+        platform_rules,
+        content_types: Vec::new(),
+        timing: TERMS,
+        faults: Faults::default(),
+    };
     Agreement::new(ground, &floor)
 }
 
@@ -76,7 +85,7 @@
                 calls: start.calls,
                 seed,
                 unix_zero,
-                slack: TERMS.slack,
+                slack: TERMS.propagation_bound,
                 looks_for_anew: false,
             })
         };
@@ -126,7 +135,7 @@
     ) {
         // With another stream up, the lease goes on by that one's lines.
         if self.streams.len() == 1 {
-            self.agreement.iter_mut().for_each(|agreement| agreement.asked(now));
+            self.agreement.iter_mut().for_each(|agreement| agreement.request_sent(now));
         }
         self.streams[stream].connected(connection, now, effects);
     }
@@ -149,7 +158,7 @@
     pub(super) fn look(&mut self, now: Nanos) {
         let unix_ms = self.unix_ms(now);
         if let Some(agreement) = &mut self.agreement {
-            agreement.look(now, unix_ms);
+            agreement.update(now, unix_ms);
         }
     }
 
@@ -174,7 +183,9 @@
                 Told::Change { .. } | Told::Restriction { .. } => {}
                 Told::Line { caught_up } => {
                     let current = caught_up && self.applied(stream) == self.newest;
-                    self.agreement.iter_mut().for_each(|agreement| agreement.line(now, current));
+                    self.agreement
+                        .iter_mut()
+                        .for_each(|agreement| agreement.heartbeat_received(now, current));
                     news.push(News::Line { current });
                 }
             }
@@ -190,11 +201,11 @@
     fn take(&mut self, now: Nanos, change: &Change) {
         let unix_ms = self.unix_ms(now);
         let Some(agreement) = &mut self.agreement else { return };
-        if let Some(issue) = change.rules.as_ref().and_then(|told| Issue::read(told).ok()) {
-            let _ = agreement.heard(now, unix_ms, &issue);
+        if let Some(issue) = change.rules.as_ref().and_then(|told| IssuedVersion::from_value(told).ok()) {
+            let _ = agreement.version_received(now, unix_ms, &issue);
         }
         if let Some(purge) = &change.invalidate {
-            agreement.told_at(now, unix_ms, purge.time);
+            agreement.event_time_received(now, unix_ms, purge.time);
         }
     }
 }
--- a/crates/testbed/src/fleet_simulation/record.rs
+++ b/crates/testbed/src/fleet_simulation/record.rs
@@ -2,7 +2,7 @@
 
 use super::assumptions::{UNIX_MS, VERSION_AHEAD_MS};
 use super::follower::rules;
-use copperroute_config_rollout::issue::{Issue, written_digest};
+use copperroute_config_rollout::issue::{IssuedVersion, format_digest};
 use copperroute_routing::interface::{Nanos, mix};
 use serde_json::json;
 
@@ -73,7 +73,7 @@
         self.versions.push(now);
         let number = self.versions.len() as u64;
         let issued_ms = UNIX_MS + now.0 / 1_000_000;
-        let issue = Issue {
+        let issue = IssuedVersion {
             version: number,
             after: self.digest.clone(),
             issuer: "lab".into(),
@@ -82,7 +82,7 @@
             rules: rules(PULLS[self.versions.len() % PULLS.len()]),
             floor: None,
         };
-        self.digest = written_digest(number, issue.digest());
+        self.digest = format_digest(number, issue.digest());
         let line = format!("{}\n", json!({"seq": self.last() + 1, "rules": issue}));
         self.push(now, now, line);
     }
--- a/crates/testbed/src/many_rules.rs
+++ b/crates/testbed/src/many_rules.rs
@@ -3,9 +3,9 @@
 
 use copperroute_config_rollout::core::Agreement;
 use copperroute_config_rollout::faults::Faults;
-use copperroute_config_rollout::issue::{Ground, Issue, written_digest};
+use copperroute_config_rollout::issue::{IssuedVersion, ValidationContext, format_digest};
 use copperroute_config_rollout::rules::{Field, RuleSet};
-use copperroute_config_rollout::terms::Terms;
+use copperroute_config_rollout::terms::TimingBounds;
 use copperroute_routing::calls::{ReconnectSchedule, ReconnectSettings};
 use copperroute_routing::interface::{ColdStart, Nanos, Settings, ZoneId};
 use copperroute_routing::structures::random::Random;
@@ -17,8 +17,11 @@
 /// Versions come so far apart, and act so long after they were issued.
 const EACH_MS: u64 = 10_000;
 const AHEAD_MS: u64 = 4_000;
-const TERMS: Terms =
-    Terms { lease: Nanos(3_000_000_000), clock_error: Nanos(250_000_000), slack: Nanos(500_000_000) };
+const TERMS: TimingBounds = TimingBounds {
+    lease: Nanos(3_000_000_000),
+    clock_error: Nanos(250_000_000),
+    propagation_bound: Nanos(500_000_000),
+};
 const PULLS: Field = Field::Fleet(0);
 const SAID: [u64; 4] = [3, 6, 2, 5];
 /// Nothing is counted before.
@@ -106,9 +109,15 @@
 pub(crate) fn simulate(case: &Case) -> Outcome {
     let bears = f64::from(case.dispatchers) / 5.0;
     let mut chance = Random::new(case.seed);
-    let base = RuleSet::of(&settings(), &[]);
-    let floor = RuleSet::read(&base, &[], "floor", &said(2)).unwrap_or_else(|_| base.clone());
-    let ground = Ground { base, types: Vec::new(), terms: TERMS, faults: Faults::default() };
+    let platform_rules = RuleSet::from_settings(&settings(), &[]);
+    let floor =
+        RuleSet::parse(&platform_rules, &[], "floor", &said(2)).unwrap_or_else(|_| platform_rules.clone());
+    let ground = ValidationContext {
+        platform_rules,
+        content_types: Vec::new(),
+        timing: TERMS,
+        faults: Faults::default(),
+    };
     let mut all: Vec<One> = (0..case.dispatchers)
         .map(|at| {
             let told = ReconnectSettings {
@@ -127,7 +136,7 @@
         .collect();
     let away = 30_000..30_000 + case.away_ms;
     let until = 90_000 + case.away_ms;
-    let (mut log, mut after): (Vec<Issue>, String) = (Vec::new(), String::new());
+    let (mut log, mut after): (Vec<IssuedVersion>, String) = (Vec::new(), String::new());
     let mut outcome = Outcome { out_share: 0.0, tight_s: 0.0, forbidden: 0, peak: 0.0, back_s: None };
     let (mut looked, mut out, mut recent) = (0_u64, 0_u64, VecDeque::new());
     for now_ms in (0..until).step_by(STEP_MS as usize) {
@@ -138,7 +147,7 @@
             let number = log.len() as u64 + 1;
             let issued_ms = UNIX_MS + now_ms;
             let rules = said(SAID[log.len() % SAID.len()]);
-            let issue = Issue {
+            let issue = IssuedVersion {
                 version: number,
                 after: after.clone(),
                 issuer: "lab".into(),
@@ -147,10 +156,10 @@
                 rules,
                 floor: None,
             };
-            after = written_digest(number, issue.digest());
+            after = format_digest(number, issue.digest());
             log.push(issue);
         }
-        let attempts_of = |issue: &Issue| issue.rules["max_pulls"].as_u64().unwrap_or(6);
+        let attempts_of = |issue: &IssuedVersion| issue.rules["max_pulls"].as_u64().unwrap_or(6);
         // What a clock may show that is off by no more than is stated.
         let on = |off_ms: i64| {
             let unix = (UNIX_MS + now_ms).saturating_add_signed(off_ms);
@@ -169,7 +178,7 @@
                 if !one.follows {
                     one.calls.connect_started(now);
                     recent.push_back(now_ms);
-                    one.core.asked(now);
+                    one.core.request_sent(now);
                 }
                 let lost = is_away || (one.follows && chance.next_f64() < case.loss);
                 if lost {
@@ -179,21 +188,21 @@
                     one.follows = true;
                     one.calls.line_received(now);
                     for issue in &log[one.heard..] {
-                        let _ = one.core.heard(now, unix_ms, issue);
+                        let _ = one.core.version_received(now, unix_ms, issue);
                     }
                     one.heard = log.len();
-                    one.core.line(now, true);
+                    one.core.heartbeat_received(now, true);
                     one.next_ms = now_ms + 1_000;
                 }
             } else if one.follows && one.heard < log.len() && chance.next_f64() < 0.5 {
                 // An event is told at once, and takes a step or some.
                 for issue in &log[one.heard..] {
-                    let _ = one.core.heard(now, unix_ms, issue);
+                    let _ = one.core.version_received(now, unix_ms, issue);
                 }
                 one.heard = log.len();
             }
-            one.core.look(now, unix_ms);
-            let acts = one.core.acting().get(PULLS) as u64;
+            one.core.update(now, unix_ms);
+            let acts = one.core.effective_rules().get(PULLS) as u64;
             outcome.forbidden += u64::from(acts > allowed);
             all_tight &= last.is_none_or(|last| acts <= last.1);
             let out_of_touch = one.core.out_of_touch().is_some();
--- a/crates/testbed/src/play/versions.rs
+++ b/crates/testbed/src/play/versions.rs
@@ -3,7 +3,7 @@
 use super::Stage;
 use crate::scenario::Versions;
 use crate::world::{Issued, unix_ms};
-use copperroute_config_rollout::issue::{Issue, written_digest};
+use copperroute_config_rollout::issue::{IssuedVersion, format_digest};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use serde_json::json;
@@ -16,7 +16,7 @@
     let (mut number, mut after) = (0, String::new());
     let mut due = stage.world.start();
     let ahead_ms = (told.ahead_s * 1e3) as u64;
-    let version = |number, after: &str, from_ms, attempts: u32| Issue {
+    let version = |number, after: &str, from_ms, attempts: u32| IssuedVersion {
         version: number,
         after: after.to_string(),
         issuer: "lab".into(),
@@ -33,7 +33,7 @@
         let at = Instant::now();
         stage.world.issued(Issued { at, from: at + Duration::from_millis(ahead_ms), max_attempts: attempts });
         stage.service.rules(number + 1, &json!(good), true);
-        let before = std::mem::replace(&mut after, written_digest(number + 1, good.digest()));
+        let before = std::mem::replace(&mut after, format_digest(number + 1, good.digest()));
         number += 1;
         if chance.random::<f64>() < told.spoilt {
             // Each would loosen what the good one says.
--- a/crates/testbed/src/slopes/control.rs
+++ b/crates/testbed/src/slopes/control.rs
@@ -6,7 +6,7 @@
     Dispatcher, ListedNode, Place, SITES, Told, Window, changed_line, fleet, whole_list,
 };
 use crate::world::unix_ms;
-use copperroute_config_rollout::issue::{Issue, written_digest};
+use copperroute_config_rollout::issue::{IssuedVersion, format_digest};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use serde_json::json;
@@ -184,7 +184,7 @@
         version += 1;
         let rules = [("max_pulls".to_string(), json!(PULLS[version as usize % PULLS.len()]))];
         let (issued_ms, issuer) = (unix_ms(), "lab".to_string());
-        let issue = Issue {
+        let issue = IssuedVersion {
             version,
             after: std::mem::take(&mut after),
             issuer,
@@ -193,7 +193,7 @@
             rules: rules.into_iter().collect(),
             floor: None,
         };
-        after = written_digest(version, issue.digest());
+        after = format_digest(version, issue.digest());
         json!({"seq": number, "rules": issue}).to_string()
     });
     Ok(in_row(&dispatcher.window(place.window).await?))
