--- a/crates/change-log-replica/src/core.rs
+++ b/crates/change-log-replica/src/core.rs
@@ -15,7 +15,7 @@
 use crate::lines::{Decoder, LONGEST_LINE};
 use crate::retention::{Retention, RetentionSettings};
 use crate::sources::Sources;
-use crate::sparse::Sparse;
+use crate::sparse::LogRateLimiter;
 use copperroute_protocol::changes::encode_since;
 use copperroute_routing::calls::{ReconnectSchedule, ReconnectSettings};
 use copperroute_routing::interface::Nanos;
@@ -106,7 +106,7 @@
     followers: Followers,
     /// When followers were last looked through for slow ones.
     looked: Nanos,
-    refused: Sparse,
+    refused: LogRateLimiter,
     faults: Faults,
     effects: Vec<Effect>,
 }
@@ -138,7 +138,7 @@
             lines_behind: 0,
             followers: Followers::new(config.followers),
             looked: Nanos::ZERO,
-            refused: Sparse::default(),
+            refused: LogRateLimiter::default(),
             faults: Faults::default(),
             effects: Vec::new(),
         }
@@ -271,7 +271,7 @@
         let last = self.retention.last();
         let overlap = self.overlap && !self.faults.is(Fault::SkipOverlap);
         self.joined = if overlap { last.saturating_sub(1) } else { last };
-        self.heartbeats.asked(now);
+        self.heartbeats.request_sent(now);
         self.effects.push(Effect::Ask(self.stream, encode_since(self.joined)));
     }
 
--- a/crates/change-log-replica/src/core/stream.rs
+++ b/crates/change-log-replica/src/core/stream.rs
@@ -101,7 +101,7 @@
         if !fresh && !self.faults.is(Fault::TrustQueue) {
             return;
         }
-        self.heartbeats.vouch(now);
+        self.heartbeats.confirm(now);
         self.overlap = true;
         if self.phase == Phase::Calling {
             self.move_to(Phase::Current);
--- a/crates/change-log-replica/src/event_loop.rs
+++ b/crates/change-log-replica/src/event_loop.rs
@@ -4,7 +4,7 @@
 use crate::config::Config;
 use crate::core::{Core, Effect, Event, StreamId};
 use crate::followers::{FollowerId, ForFollower};
-use crate::sparse::Sparse;
+use crate::sparse::LogRateLimiter;
 use calloop::generic::Generic;
 use calloop::signals::{Signal, Signals};
 use calloop::{EventLoop, Interest, LoopHandle, Mode, PostAction, Readiness};
@@ -90,7 +90,7 @@
     dirty: Vec<Peer>,
     scratch: Vec<u8>,
     last_follower: u32,
-    complaints: Sparse,
+    complaints: LogRateLimiter,
     /// The loop is to stand still for a moment.
     pauses: bool,
 }
@@ -137,7 +137,7 @@
         dirty: Vec::new(),
         scratch: vec![0; READ_AT_ONCE],
         last_follower: 0,
-        complaints: Sparse::default(),
+        complaints: LogRateLimiter::default(),
         pauses: false,
     };
     let mut inbox = Inbox::default();
--- a/crates/change-log-replica/src/event_loop/connections.rs
+++ b/crates/change-log-replica/src/event_loop/connections.rs
@@ -1,7 +1,10 @@
 //! Sockets: accepted, connected, read, written and closed.
 
 use super::*;
-use crate::socket_errors::{AcceptError, ConnectError, TransferError, of_accept, of_connect, of_transfer};
+use crate::socket_errors::{
+    AcceptError, ConnectError, TransferError, classify_accept_error, classify_connect_error,
+    classify_transfer_error,
+};
 
 type Source = calloop::Dispatcher<'static, Generic<Rc<TcpStream>>, Inbox>;
 
@@ -36,10 +39,10 @@
             match (&*self.stream).write(&self.unwritten[self.at..]) {
                 Ok(0) => return Flushed::Broken,
                 Ok(count) => self.at += count,
-                Err(fault) => match of_transfer(&fault) {
+                Err(fault) => match classify_transfer_error(&fault) {
                     TransferError::NotReady => break,
                     TransferError::Interrupted if interrupted < REPEATS => interrupted += 1,
-                    TransferError::Interrupted | TransferError::OwnWant => {
+                    TransferError::Interrupted | TransferError::OutOfMemory => {
                         return Flushed::Hindered(self.at - before);
                     }
                     TransferError::Broken => return Flushed::Broken,
@@ -70,14 +73,14 @@
                         self.reduce(Event::FollowerCame(id));
                     }
                 }
-                Err(fault) => match of_accept(&fault) {
-                    AcceptError::Empty => return true,
+                Err(fault) => match classify_accept_error(&fault) {
+                    AcceptError::NoneWaiting => return true,
                     // Where nothing but errors comes, it isn't asked on and on.
-                    AcceptError::OfOneConnection => {
+                    AcceptError::ConnectionFailed => {
                         self.complain(format_args!("accept: {fault}"));
                         goes_on = false;
                     }
-                    AcceptError::NoDescriptors | AcceptError::Unable => {
+                    AcceptError::NoDescriptors | AcceptError::LocalError => {
                         self.complain(format_args!("accept: {fault}"));
                         return false;
                     }
@@ -187,9 +190,9 @@
                     Peer::Follower(id) => Event::FollowerSent(id, bytes),
                 });
             }
-            Err(fault) => match of_transfer(&fault) {
+            Err(fault) => match classify_transfer_error(&fault) {
                 TransferError::NotReady | TransferError::Interrupted => {}
-                TransferError::OwnWant => {
+                TransferError::OutOfMemory => {
                     self.complain(format_args!("connection: {fault}"));
                     self.pauses = true;
                 }
@@ -255,8 +258,8 @@
         match socket.connect(&address.into()) {
             Err(fault) if fault.kind() == ErrorKind::Interrupted => {}
             Err(fault) => {
-                return match of_connect(&fault) {
-                    ConnectError::UnderWay | ConnectError::Connected => Ok(()),
+                return match classify_connect_error(&fault) {
+                    ConnectError::InProgress | ConnectError::Connected => Ok(()),
                     _ => Err(fault),
                 };
             }
--- a/crates/change-log-replica/src/heartbeat.rs
+++ b/crates/change-log-replica/src/heartbeat.rs
@@ -26,7 +26,7 @@
     }
 
     /// The source is asked anew: what it answers is as it stands then or later.
-    pub fn asked(&mut self, now: Nanos) {
+    pub fn request_sent(&mut self, now: Nanos) {
         self.arrivals.request_sent(now);
     }
 
@@ -36,7 +36,7 @@
     }
 
     /// It told the number of the last event that was handed on: it is vouched for.
-    pub fn vouch(&mut self, now: Nanos) {
+    pub fn confirm(&mut self, now: Nanos) {
         self.vouched = Some(now);
     }
 
--- a/crates/change-log-replica/src/socket_errors.rs
+++ b/crates/change-log-replica/src/socket_errors.rs
@@ -8,26 +8,26 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AcceptError {
     /// Nobody waits.
-    Empty,
+    NoneWaiting,
     /// It was of the one connection that would have been accepted, or a signal came: the next may be accepted at once.
-    OfOneConnection,
+    ConnectionFailed,
     /// The process, or the machine, has no descriptor left.
     NoDescriptors,
     /// Anything else, as want of memory: trying again at once is of no use, nor is closing other connections.
-    Unable,
+    LocalError,
 }
 
 /// What an error of `socket` or `connect`, or of preparing a socket, means.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConnectError {
     /// It goes on in the background: the socket shows as writable once it has ended.
-    UnderWay,
+    InProgress,
     /// It has come up already.
     Connected,
     /// The process, or the machine, has no descriptor left. Says nothing of the other side.
     NoDescriptors,
     /// This machine lacks something else of its own, or can't do it: says nothing of the other side.
-    OwnFault,
+    LocalError,
     /// The other side, or the way to it.
     Unreachable,
 }
@@ -40,15 +40,15 @@
     /// A signal came before anything was done.
     Interrupted,
     /// This machine lacks memory: the connection is whole, and trying again at once is of no use.
-    OwnWant,
+    OutOfMemory,
     /// The connection is over, however that shows: a reset, a time-out, a way that has gone.
     Broken,
 }
 
 /// An error of `accept`.
-pub fn of_accept(fault: &io::Error) -> AcceptError {
+pub fn classify_accept_error(fault: &io::Error) -> AcceptError {
     match number(fault) {
-        libc::EAGAIN => AcceptError::Empty,
+        libc::EAGAIN => AcceptError::NoneWaiting,
         libc::EINTR
         | libc::ECONNABORTED
         | libc::ECONNRESET
@@ -62,16 +62,16 @@
         | libc::EHOSTUNREACH
         | libc::EOPNOTSUPP
         | libc::ENETUNREACH
-        | libc::ETIMEDOUT => AcceptError::OfOneConnection,
+        | libc::ETIMEDOUT => AcceptError::ConnectionFailed,
         libc::EMFILE | libc::ENFILE => AcceptError::NoDescriptors,
-        _ => AcceptError::Unable,
+        _ => AcceptError::LocalError,
     }
 }
 
 /// An error of `socket` or `connect`, or of preparing a socket, as the call returned it.
-pub fn of_connect(fault: &io::Error) -> ConnectError {
+pub fn classify_connect_error(fault: &io::Error) -> ConnectError {
     match number(fault) {
-        libc::EINPROGRESS | libc::EALREADY | libc::EINTR => ConnectError::UnderWay,
+        libc::EINPROGRESS | libc::EALREADY | libc::EINTR => ConnectError::InProgress,
         libc::EISCONN => ConnectError::Connected,
         libc::EMFILE | libc::ENFILE => ConnectError::NoDescriptors,
         libc::ENOMEM
@@ -93,17 +93,17 @@
         | libc::ENOTSOCK
         // Its own network, or its own table of routes: nothing was sent.
         | libc::ENETDOWN
-        | libc::ENETUNREACH => ConnectError::OwnFault,
+        | libc::ENETUNREACH => ConnectError::LocalError,
         _ => ConnectError::Unreachable,
     }
 }
 
 /// An error of a read or write.
-pub fn of_transfer(fault: &io::Error) -> TransferError {
+pub fn classify_transfer_error(fault: &io::Error) -> TransferError {
     match number(fault) {
         libc::EAGAIN => TransferError::NotReady,
         libc::EINTR => TransferError::Interrupted,
-        libc::ENOMEM | libc::ENOBUFS => TransferError::OwnWant,
+        libc::ENOMEM | libc::ENOBUFS => TransferError::OutOfMemory,
         _ => TransferError::Broken,
     }
 }
--- a/crates/change-log-replica/src/sparse.rs
+++ b/crates/change-log-replica/src/sparse.rs
@@ -8,27 +8,27 @@
 
 /// How many such lines were written lately.
 #[derive(Debug, Default)]
-pub struct Sparse {
+pub struct LogRateLimiter {
     since: Nanos,
     said: u32,
     left_out: u32,
 }
 
-impl Sparse {
+impl LogRateLimiter {
     /// Writes a line, if there were not many lately.
     pub fn warn(&mut self, now: Nanos, line: std::fmt::Arguments<'_>) {
-        if self.may_write(now) {
+        if self.allows(now) {
             log::warn!("{line}");
         }
     }
 
     /// Whether a line may be written now; if not, it is counted.
-    pub fn may_write(&mut self, now: Nanos) -> bool {
+    pub fn allows(&mut self, now: Nanos) -> bool {
         if now.since(self.since) > PERIOD {
             if self.left_out > 0 {
                 log::warn!("{} lines like those before left out", self.left_out);
             }
-            *self = Sparse { since: now, said: 0, left_out: 0 };
+            *self = LogRateLimiter { since: now, said: 0, left_out: 0 };
         }
         let may = self.said < LINES;
         match may {
--- a/crates/change-log-replica/tests/relay/socket_errors.rs
+++ b/crates/change-log-replica/tests/relay/socket_errors.rs
@@ -1,7 +1,8 @@
 //! Every error that Linux's manual names for calls on sockets, and what it means.
 
 use copperroute_change_log_replica::socket_errors::{
-    AcceptError, ConnectError, TransferError, of_accept, of_connect, of_transfer,
+    AcceptError, ConnectError, TransferError, classify_accept_error, classify_connect_error,
+    classify_transfer_error,
 };
 use std::io::{self, ErrorKind};
 
@@ -27,27 +28,27 @@
         libc::ETIMEDOUT,
     ];
     for number in of_one {
-        assert_eq!(of_accept(&error(&number)), AcceptError::OfOneConnection, "{number}");
+        assert_eq!(classify_accept_error(&error(&number)), AcceptError::ConnectionFailed, "{number}");
     }
     for number in [libc::EMFILE, libc::ENFILE] {
-        assert_eq!(of_accept(&error(&number)), AcceptError::NoDescriptors, "{number}");
+        assert_eq!(classify_accept_error(&error(&number)), AcceptError::NoDescriptors, "{number}");
     }
     for number in
         [libc::ENOBUFS, libc::ENOMEM, libc::ENOSR, libc::EBADF, libc::EFAULT, libc::EINVAL, libc::ENOTSOCK]
     {
-        assert_eq!(of_accept(&error(&number)), AcceptError::Unable, "{number}");
+        assert_eq!(classify_accept_error(&error(&number)), AcceptError::LocalError, "{number}");
     }
-    assert_eq!(of_accept(&error(&libc::EAGAIN)), AcceptError::Empty);
+    assert_eq!(classify_accept_error(&error(&libc::EAGAIN)), AcceptError::NoneWaiting);
 }
 
 #[test]
 fn what_lacks_on_this_machine_says_nothing_of_the_other_side() {
     for number in [libc::EINPROGRESS, libc::EALREADY, libc::EINTR] {
-        assert_eq!(of_connect(&error(&number)), ConnectError::UnderWay, "{number}");
+        assert_eq!(classify_connect_error(&error(&number)), ConnectError::InProgress, "{number}");
     }
-    assert_eq!(of_connect(&error(&libc::EISCONN)), ConnectError::Connected);
+    assert_eq!(classify_connect_error(&error(&libc::EISCONN)), ConnectError::Connected);
     for number in [libc::EMFILE, libc::ENFILE] {
-        assert_eq!(of_connect(&error(&number)), ConnectError::NoDescriptors, "{number}");
+        assert_eq!(classify_connect_error(&error(&number)), ConnectError::NoDescriptors, "{number}");
     }
     let own = [
         libc::ENOMEM,
@@ -69,11 +70,11 @@
         libc::ENETUNREACH,
     ];
     for number in own {
-        assert_eq!(of_connect(&error(&number)), ConnectError::OwnFault, "{number}");
+        assert_eq!(classify_connect_error(&error(&number)), ConnectError::LocalError, "{number}");
     }
     for number in [libc::ECONNREFUSED, libc::ECONNRESET, libc::ETIMEDOUT, libc::EHOSTUNREACH, libc::EHOSTDOWN]
     {
-        assert_eq!(of_connect(&error(&number)), ConnectError::Unreachable, "{number}");
+        assert_eq!(classify_connect_error(&error(&number)), ConnectError::Unreachable, "{number}");
     }
 }
 
@@ -106,12 +107,12 @@
         libc::EPERM,
     ];
     for number in broken {
-        assert_eq!(of_transfer(&error(&number)), TransferError::Broken, "{number}");
+        assert_eq!(classify_transfer_error(&error(&number)), TransferError::Broken, "{number}");
     }
-    assert_eq!(of_transfer(&error(&libc::EAGAIN)), TransferError::NotReady);
-    assert_eq!(of_transfer(&error(&libc::EINTR)), TransferError::Interrupted);
+    assert_eq!(classify_transfer_error(&error(&libc::EAGAIN)), TransferError::NotReady);
+    assert_eq!(classify_transfer_error(&error(&libc::EINTR)), TransferError::Interrupted);
     for number in [libc::ENOMEM, libc::ENOBUFS] {
-        assert_eq!(of_transfer(&error(&number)), TransferError::OwnWant, "{number}");
+        assert_eq!(classify_transfer_error(&error(&number)), TransferError::OutOfMemory, "{number}");
     }
-    assert_eq!(of_transfer(&ErrorKind::WriteZero.into()), TransferError::Broken);
+    assert_eq!(classify_transfer_error(&ErrorKind::WriteZero.into()), TransferError::Broken);
 }
--- a/crates/dispatcher/src/agreed.rs
+++ b/crates/dispatcher/src/agreed.rs
@@ -1,7 +1,7 @@
 //! What this dispatcher holds of the agreement on rules, and what its decisions are told of it.
 
 use crate::config::{Agreeing, Config};
-use crate::logs::Sparse;
+use crate::logs::LogRateLimiter;
 use copperroute_config_rollout::core::{Agreement, OutOfTouchReason};
 use copperroute_config_rollout::issue::{IssuedVersion, Refusal};
 use copperroute_config_rollout::lists::ListVersions;
@@ -17,7 +17,7 @@
     expiries: Vec<Nanos>,
     /// What was last said of it: version in force, the last heard, and why it is out of touch.
     said: Option<(u64, u64, Option<OutOfTouchReason>)>,
-    refused: Sparse,
+    refused: LogRateLimiter,
 }
 
 impl Agreed {
@@ -29,7 +29,7 @@
             settings: config.settings.clone(),
             expiries: config.offers.iter().map(|offer| offer.expiry).collect(),
             said: None,
-            refused: Sparse::default(),
+            refused: LogRateLimiter::default(),
         }
     }
 
--- a/crates/dispatcher/src/changes/mod.rs
+++ b/crates/dispatcher/src/changes/mod.rs
@@ -8,7 +8,7 @@
 mod told;
 
 use crate::effects::{Due, Effect};
-use crate::logs::Sparse;
+use crate::logs::LogRateLimiter;
 use copperroute_protocol::changes::{Change, Line};
 use copperroute_routing::calls::{ReconnectSchedule, ReconnectSettings};
 use copperroute_routing::change_log::{Arrival, Content, Heartbeat, Knowledge, Merge, Reason, Step};
@@ -36,7 +36,7 @@
     /// A stream is judged by another call since that was last asked.
     leads_anew: bool,
     knowledge: Knowledge,
-    contradictions: Sparse,
+    contradictions: LogRateLimiter,
 }
 
 impl ChangeLog {
@@ -51,7 +51,7 @@
             begun_anew: false,
             leads_anew: false,
             knowledge: Knowledge::started(Nanos::ZERO),
-            contradictions: Sparse::default(),
+            contradictions: LogRateLimiter::default(),
             settings,
         };
         for address in log.settings.addresses.clone() {
--- a/crates/dispatcher/src/changes/stream.rs
+++ b/crates/dispatcher/src/changes/stream.rs
@@ -6,7 +6,7 @@
 
 use super::link::Link;
 use crate::effects::{Due, Effect, Peer};
-use crate::logs::Sparse;
+use crate::logs::LogRateLimiter;
 use copperroute_protocol::changes::{Line, encode_since};
 use copperroute_protocol::incoming::Unreadable;
 use copperroute_routing::calls::{ConnectionState as CallState, ReconnectSchedule, ReconnectSettings};
@@ -44,7 +44,7 @@
     calls: ReconnectSchedule,
     /// It is one of several: lines name it.
     pub(super) named: bool,
-    ends: Sparse,
+    ends: LogRateLimiter,
 }
 
 impl fmt::Display for Stream {
@@ -59,7 +59,7 @@
 impl Stream {
     /// Not called yet.
     pub(super) fn new(address: SocketAddr, calls: ReconnectSchedule, named: bool) -> Self {
-        Stream { address, links: Vec::new(), leading: None, calls, named, ends: Sparse::default() }
+        Stream { address, links: Vec::new(), leading: None, calls, named, ends: LogRateLimiter::default() }
     }
 
     /// Whether it has this connection.
@@ -155,7 +155,7 @@
     fn end(&mut self, connection: u32, now: Nanos, why: &str, effects: &mut Vec<Effect>) {
         let Some(at) = self.links.iter().position(|link| link.connection == connection) else { return };
         let link = self.links.remove(at);
-        if self.ends.may_write(now) {
+        if self.ends.allows(now) {
             link.log_end(now, self.address, why);
         }
         self.leading = self.leading.filter(|leading| *leading != connection);
--- a/crates/dispatcher/src/event_loop/connections.rs
+++ b/crates/dispatcher/src/event_loop/connections.rs
@@ -1,7 +1,9 @@
 //! Connections: read, written and closed.
 
 use super::*;
-use copperroute_change_log_replica::socket_errors::{ConnectError, TransferError, of_connect, of_transfer};
+use copperroute_change_log_replica::socket_errors::{
+    ConnectError, TransferError, classify_connect_error, classify_transfer_error,
+};
 
 /// A connection, and what it has still to write.
 pub(super) struct Connection {
@@ -92,7 +94,9 @@
                     self.reduce(Event::Connected(peer));
                     self.closed(peer);
                 }
-                Ok(Some(fault)) if of_connect(&fault) == ConnectError::Unreachable => self.closed(peer),
+                Ok(Some(fault)) if classify_connect_error(&fault) == ConnectError::Unreachable => {
+                    self.closed(peer)
+                }
                 // Of this machine's own, or the call that asks has failed.
                 Ok(Some(fault)) | Err(fault) => {
                     self.complaints.warn(self.clock.now(), format_args!("connect: {fault}"));
@@ -163,9 +167,9 @@
                 count
             }
             Err(fault) => {
-                match of_transfer(&fault) {
+                match classify_transfer_error(&fault) {
                     TransferError::NotReady => {}
-                    TransferError::Interrupted | TransferError::OwnWant => self.wants(&fault),
+                    TransferError::Interrupted | TransferError::OutOfMemory => self.wants(&fault),
                     TransferError::Broken => self.closed(peer),
                 }
                 0
@@ -186,7 +190,7 @@
     /// A read or write could not be done for want of something of this machine's own, or was interrupted: it's tried again in
     /// the next turn, which doesn't come at once.
     pub(super) fn wants(&mut self, fault: &io::Error) {
-        if of_transfer(fault) == TransferError::OwnWant {
+        if classify_transfer_error(fault) == TransferError::OutOfMemory {
             self.complaints.warn(self.clock.now(), format_args!("connection: {fault}"));
         }
         self.pauses = true;
--- a/crates/dispatcher/src/event_loop/mod.rs
+++ b/crates/dispatcher/src/event_loop/mod.rs
@@ -5,7 +5,7 @@
 use crate::deadlines::Deadlines;
 use crate::effects::{Behind, Due, Effect, Event, Peer};
 use crate::freshness::{Freshness, PutOff};
-use crate::logs::{self, Sparse};
+use crate::logs::{self, LogRateLimiter};
 use crate::purge_cover::purges_are_told_after;
 use crate::reducer::Reducer;
 use crate::snapshot_writer::{self, SnapshotWriter};
@@ -121,7 +121,7 @@
     /// All that clients have sent is to be told, for the last time.
     reads_last: bool,
     last_client: u32,
-    complaints: Sparse,
+    complaints: LogRateLimiter,
     stopped: bool,
     /// The disk's thread, where there is one.
     disk: Option<Worker>,
@@ -187,7 +187,7 @@
         scratch: vec![0; READ_AT_ONCE],
         reads_last: false,
         last_client: 0,
-        complaints: Sparse::default(),
+        complaints: LogRateLimiter::default(),
         stopped: false,
         disk: None,
         snapshot_writer,
--- a/crates/dispatcher/src/event_loop/opening.rs
+++ b/crates/dispatcher/src/event_loop/opening.rs
@@ -2,7 +2,9 @@
 
 use super::*;
 use copperroute_change_log_replica::event_loop::begin_connecting;
-use copperroute_change_log_replica::socket_errors::{AcceptError, ConnectError, of_accept, of_connect};
+use copperroute_change_log_replica::socket_errors::{
+    AcceptError, ConnectError, classify_accept_error, classify_connect_error,
+};
 
 impl Carrier {
     /// Accepts those who wait, or lets the listener rest for a while, or ends its rest. What can't be done now is tried again.
@@ -45,10 +47,10 @@
                 }
                 Err(fault) => fault,
             };
-            match of_accept(&fault) {
-                AcceptError::Empty => return true,
+            match classify_accept_error(&fault) {
+                AcceptError::NoneWaiting => return true,
                 // Where nothing but errors comes, it isn't asked on and on.
-                AcceptError::OfOneConnection => {
+                AcceptError::ConnectionFailed => {
                     self.complaints.warn(self.clock.now(), format_args!("accept: {fault}"));
                     goes_on = false;
                 }
@@ -58,7 +60,7 @@
                     self.reduce(Event::NoDescriptors);
                     return false;
                 }
-                AcceptError::Unable => {
+                AcceptError::LocalError => {
                     self.complaints.warn(self.clock.now(), format_args!("accept: {fault}"));
                     return false;
                 }
@@ -76,14 +78,16 @@
         };
         let begun = begin().or_else(|fault| {
             // Being out of descriptors says nothing of the other side.
-            if of_connect(&fault) == ConnectError::NoDescriptors {
+            if classify_connect_error(&fault) == ConnectError::NoDescriptors {
                 self.make_room();
                 return begin();
             }
             Err(fault)
         });
         match begun {
-            Err(fault) if of_connect(&fault) == ConnectError::Unreachable => self.reduce(Event::Closed(peer)),
+            Err(fault) if classify_connect_error(&fault) == ConnectError::Unreachable => {
+                self.reduce(Event::Closed(peer))
+            }
             // Nothing was asked of the other side yet: what lacks is this machine's own.
             Err(fault) => {
                 self.complaints.warn(self.clock.now(), format_args!("connect: {fault}"));
--- a/crates/dispatcher/src/event_loop/writing.rs
+++ b/crates/dispatcher/src/event_loop/writing.rs
@@ -2,7 +2,7 @@
 
 use super::connections::REPEATS;
 use super::*;
-use copperroute_change_log_replica::socket_errors::{TransferError, of_transfer};
+use copperroute_change_log_replica::socket_errors::{TransferError, classify_transfer_error};
 
 impl Carrier {
     /// Writes what is left, then ends the sending side.
@@ -56,7 +56,7 @@
             self.reduce(Event::Written(peer, left));
         }
         match flushed {
-            Err(fault) if of_transfer(&fault) == TransferError::Broken => self.broken(peer),
+            Err(fault) if classify_transfer_error(&fault) == TransferError::Broken => self.broken(peer),
             Err(fault) => self.wants(&fault),
             Ok(()) => {}
         }
@@ -114,7 +114,7 @@
                     self.at += count;
                     self.left += count as u64;
                 }
-                Err(fault) => match of_transfer(&fault) {
+                Err(fault) => match classify_transfer_error(&fault) {
                     TransferError::NotReady => return Ok(()),
                     TransferError::Interrupted if interrupted < REPEATS => interrupted += 1,
                     _ => return Err(fault),
--- a/crates/dispatcher/src/nodes/mod.rs
+++ b/crates/dispatcher/src/nodes/mod.rs
@@ -2,7 +2,7 @@
 
 pub use crate::attempt::AttemptId;
 use crate::effects::{Due, Effect, Peer};
-use crate::logs::Sparse;
+use crate::logs::LogRateLimiter;
 use copperroute_protocol::hex::Hex;
 use copperroute_protocol::nodes::{Decoder, Fetch, Message, encode_abort, encode_alive, encode_fetch};
 use copperroute_routing::fleet::connection_back_off::{ConnectionBackOff, NodeBackOff};
@@ -82,7 +82,7 @@
     held_back: bool,
     /// Connections that rested are not to be trusted until then.
     doubt: Nanos,
-    complaints: Sparse,
+    complaints: LogRateLimiter,
     openings: ConnectionBackOff,
     /// Nodes that turned connections away, and until when none is opened there; not handed on yet.
     full: Vec<(NodeId, Nanos)>,
@@ -102,7 +102,7 @@
             last: 0,
             held_back: false,
             doubt: Nanos::ZERO,
-            complaints: Sparse::default(),
+            complaints: LogRateLimiter::default(),
             openings: ConnectionBackOff::new(seed),
             full: Vec::new(),
             probes: Probes::default(),
--- a/crates/dispatcher/src/reducer/mod.rs
+++ b/crates/dispatcher/src/reducer/mod.rs
@@ -10,7 +10,7 @@
 use crate::effects::{Due, Effect, Event, Peer};
 use crate::last_list::LastList;
 use crate::lingering::LINGERS_AT_END;
-use crate::logs::Sparse;
+use crate::logs::LogRateLimiter;
 use crate::nodes::{Pool, ProbeCounts, Start};
 use crate::outside_time::OutsideTime;
 use crate::phases::{Life, Phase};
@@ -104,7 +104,7 @@
     /// The longest that a client waits for each content type, under the rules in force.
     expiries: Vec<Nanos>,
     /// Lines that clients cause.
-    complaints: Sparse,
+    complaints: LogRateLimiter,
     /// What clients have shown of themselves.
     conduct: DuplicateFilter,
     /// What the program was started with, and what has been taken of it since.
@@ -154,7 +154,7 @@
             last_requests: false,
             drained: false,
             shut: false,
-            complaints: Sparse::default(),
+            complaints: LogRateLimiter::default(),
             conduct: DuplicateFilter::new(longest_expiry(&config), MAX_IDS),
             config,
         }
--- a/crates/model-checks/tests/checks/change_log/parts.rs
+++ b/crates/model-checks/tests/checks/change_log/parts.rs
@@ -101,9 +101,9 @@
     /// Current, with one heartbeat heard.
     pub(super) fn new() -> Self {
         let mut heartbeats = Heartbeats::new(PROPAGATION_BOUND);
-        heartbeats.asked(clock(0));
+        heartbeats.request_sent(clock(0));
         assert!(heartbeats.is_fresh(clock(0)), "it comes with the call");
-        heartbeats.vouch(clock(0));
+        heartbeats.confirm(clock(0));
         Replica { source: Link::up(), last: 0, is_current: true, heartbeats }
     }
 
@@ -122,7 +122,7 @@
     /// Calls the log, whose last event has this number.
     pub(super) fn call(&mut self, second: u64, log: u64) {
         self.source.call(self.last, log);
-        self.heartbeats.asked(clock(second));
+        self.heartbeats.request_sent(clock(second));
     }
 
     /// Takes what its source has told next; gives what is passed on to followers.
@@ -146,7 +146,7 @@
         if !self.heartbeats.is_fresh(clock(second)) {
             return None;
         }
-        self.heartbeats.vouch(clock(second));
+        self.heartbeats.confirm(clock(second));
         self.is_current = true;
         Some(Message::Heartbeat(last))
     }
