--- a/crates/dispatcher/src/changes/mod.rs
+++ b/crates/dispatcher/src/changes/mod.rs
@@ -16,7 +16,7 @@
 use std::net::SocketAddr;
 use stream::{Heard, Stream};
 use told::arrival;
-pub use told::{ChangeLogSettings, Told};
+pub use told::{ChangeLogSettings, ChangeLogUpdate};
 
 /// The change log as this dispatcher follows it.
 #[derive(Debug)]
@@ -77,7 +77,7 @@
     fn several_or_one(&mut self) {
         let several = self.streams.len() > 1;
         self.streams.iter_mut().for_each(|stream| stream.named = several);
-        self.merge.detect_log_restart(several || self.settings.looks_for_anew);
+        self.merge.detect_log_restart(several || self.settings.detects_log_restart);
     }
 
     /// When one last told that there was no more to tell.
@@ -121,7 +121,7 @@
     }
 
     /// Connects what is to be called now.
-    pub fn connect(&mut self, now: Nanos, effects: &mut Vec<Effect>) {
+    pub fn connect_due(&mut self, now: Nanos, effects: &mut Vec<Effect>) {
         (0..self.streams.len()).for_each(|of| self.connect_one(of, now, effects));
     }
 
@@ -223,7 +223,7 @@
     }
 
     /// Where one has been silent for too long the next call is made.
-    pub fn watch(&mut self, now: Nanos, effects: &mut Vec<Effect>) {
+    pub fn check_silence(&mut self, now: Nanos, effects: &mut Vec<Effect>) {
         self.streams.iter_mut().for_each(|stream| stream.watch(now, effects));
     }
 
@@ -245,7 +245,7 @@
     }
 
     /// What is told next, each event once and in order; nothing if there is none yet, or none to be had here.
-    pub fn next_told(&mut self, now: Nanos, effects: &mut Vec<Effect>) -> Option<Told> {
+    pub fn next_update(&mut self, now: Nanos, effects: &mut Vec<Effect>) -> Option<ChangeLogUpdate> {
         loop {
             let told = match self.merge.next_step(now) {
                 Some(step) => self.take(step, now, effects),
@@ -264,9 +264,16 @@
     }
 
     /// Takes a step of the merge.
-    fn take(&mut self, step: Step<Box<Change>>, now: Nanos, effects: &mut Vec<Effect>) -> Option<Told> {
+    fn take(
+        &mut self,
+        step: Step<Box<Change>>,
+        now: Nanos,
+        effects: &mut Vec<Effect>,
+    ) -> Option<ChangeLogUpdate> {
         match step {
-            Step::Apply { event, lost } => return Some(Told::Change { change: event, lost }),
+            Step::Apply { event, lost: after_gap } => {
+                return Some(ChangeLogUpdate::Change { change: event, after_gap });
+            }
             Step::Skip { number, why } => log::warn!("change log: event {number} left out: {why}"),
             Step::Reconnect { source, reason } => {
                 self.knowledge.events_missing();
@@ -277,15 +284,15 @@
                 let line =
                     format_args!("{stream}: event {number} says other than was applied; the stricter acts");
                 self.contradictions.warn(now, line);
-                let change = stricter::restrictions(&event).map(Box::new)?;
-                return Some(Told::Restriction { change });
+                let change = stricter::stricter_part(&event).map(Box::new)?;
+                return Some(ChangeLogUpdate::Restriction { change });
             }
         }
         None
     }
 
     /// Reads a line of any stream; `None` if there is none.
-    fn read(&mut self, now: Nanos, effects: &mut Vec<Effect>) -> Option<Option<Told>> {
+    fn read(&mut self, now: Nanos, effects: &mut Vec<Effect>) -> Option<Option<ChangeLogUpdate>> {
         for of in 0..self.streams.len() {
             match self.streams[of].next_line(now, effects) {
                 Ok(None) => continue,
@@ -300,7 +307,13 @@
         None
     }
 
-    fn line(&mut self, of: usize, heard: Heard, now: Nanos, effects: &mut Vec<Effect>) -> Option<Told> {
+    fn line(
+        &mut self,
+        of: usize,
+        heard: Heard,
+        now: Nanos,
+        effects: &mut Vec<Effect>,
+    ) -> Option<ChangeLogUpdate> {
         if heard.leads_anew {
             self.merge.request_sent(now, of);
             self.leads_anew = true;
@@ -336,7 +349,7 @@
         late_by: Nanos,
         now: Nanos,
         effects: &mut Vec<Effect>,
-    ) -> Option<Told> {
+    ) -> Option<ChangeLogUpdate> {
         let alone = self.streams.len() == 1;
         let caught_up = match self.merge.heartbeat(now, of, last) {
             Heartbeat::CaughtUp => true,
@@ -364,7 +377,7 @@
             (self.caught_up, self.told_all) = (true, now.since(late_by));
             self.knowledge.heartbeat_confirmed(now, late_by);
         }
-        Some(Told::Line { caught_up: caught_up && late_by <= self.settings.slack })
+        Some(ChangeLogUpdate::Heartbeat { caught_up: caught_up && late_by <= self.settings.slack })
     }
 
     /// All is to be asked for again, of all.
--- a/crates/dispatcher/src/changes/stricter.rs
+++ b/crates/dispatcher/src/changes/stricter.rs
@@ -10,7 +10,7 @@
 ///   list that calls itself whole counts for nothing, or a source with an empty list would take all nodes away;
 /// - a version of the rules is handed to the agreement, which takes two contents of one version as a fork and acts on
 ///   the strictest rules until it is settled; one that does not follow on the last it refuses.
-pub fn restrictions(second: &Change) -> Option<Change> {
+pub fn stricter_part(second: &Change) -> Option<Change> {
     let drains = |fleet: &Fleet| {
         let servers: Vec<_> =
             fleet.servers.iter().filter(|listed| listed.state != State::Active).cloned().collect();
--- a/crates/dispatcher/src/changes/told.rs
+++ b/crates/dispatcher/src/changes/told.rs
@@ -8,13 +8,13 @@
 
 /// What it tells, in order.
 #[derive(Debug)]
-pub enum Told {
+pub enum ChangeLogUpdate {
     /// An event. Where `lost`, what lies between it and the one before was not told; what it brings stands for that.
     Change {
         /// What it says.
         change: Box<Change>,
         /// Events before it were not told.
-        lost: bool,
+        after_gap: bool,
     },
     /// The part of another content of an event before that is stricter than what was told.
     Restriction {
@@ -22,7 +22,7 @@
         change: Box<Change>,
     },
     /// A second's line; `caught_up` if all that it knows of has been handed on, and it knows of all that was.
-    Line {
+    Heartbeat {
         /// All that was told has been handed on.
         caught_up: bool,
     },
@@ -44,7 +44,7 @@
     /// How long a line may take on its way.
     pub slack: Nanos,
     /// Whether it is looked for that a single log begins anew, with lower numbers; with two replicas it always is.
-    pub looks_for_anew: bool,
+    pub detects_log_restart: bool,
 }
 
 /// An event as the merge takes it. What it says is told from other contents where there are streams to compare.
--- a/crates/dispatcher/src/reducer/changes.rs
+++ b/crates/dispatcher/src/reducer/changes.rs
@@ -25,20 +25,20 @@
 
     /// Takes all that the change log has to tell by now; also what was held back and may wait no longer.
     pub(super) fn change_log_told(&mut self, now: Nanos) {
-        while let Some(told) = self.log.next_told(now, &mut self.request_table.effects) {
+        while let Some(told) = self.log.next_update(now, &mut self.request_table.effects) {
             if self.log.has_new_lead() {
                 self.agreed.iter_mut().for_each(|agreed| agreed.asked(now));
                 self.heartbeats.request_sent(now);
             }
             match told {
-                Told::Change { change, lost } => {
-                    if lost {
+                ChangeLogUpdate::Change { change, after_gap } => {
+                    if after_gap {
                         self.purges_lost(now, change.seq);
                     }
-                    self.apply(now, &change, lost);
+                    self.apply(now, &change, after_gap);
                 }
-                Told::Restriction { change } => self.restrict(now, &change),
-                Told::Line { caught_up } => {
+                ChangeLogUpdate::Restriction { change } => self.restrict(now, &change),
+                ChangeLogUpdate::Heartbeat { caught_up } => {
                     self.heartbeats.received(now, SLACK);
                     self.agreed.iter_mut().for_each(|agreed| agreed.line(now, caught_up));
                 }
--- a/crates/dispatcher/src/reducer/mod.rs
+++ b/crates/dispatcher/src/reducer/mod.rs
@@ -2,7 +2,7 @@
 //! connected or timed comes out as effects, which the event loop carries out.
 
 use crate::agreed::Agreed;
-use crate::changes::{ChangeLog, ChangeLogSettings, Told};
+use crate::changes::{ChangeLog, ChangeLogSettings, ChangeLogUpdate};
 use crate::clients::MOST_OPEN;
 use crate::clock::Epoch;
 use crate::config::{Agreeing, Config};
@@ -133,7 +133,7 @@
                 .agreeing
                 .as_ref()
                 .map_or(SLACK, |agreeing| agreeing.ground.timing.propagation_bound),
-            looks_for_anew: agreed.is_some(),
+            detects_log_restart: agreed.is_some(),
         });
         Reducer {
             agreed,
@@ -318,7 +318,7 @@
                 }
             }
             Due::Connect(number) => self.request_table.connect_overdue(number),
-            Due::ChangeLog => self.log.connect(now, &mut self.request_table.effects),
+            Due::ChangeLog => self.log.connect_due(now, &mut self.request_table.effects),
             Due::Sweep => {
                 self.request_table.sweep();
                 // No request in hand is older than the longest expiry.
@@ -335,7 +335,7 @@
                     self.request_table.close_when_answered(number);
                 }
                 self.request_table.clients.sweep(now, &mut self.request_table.effects);
-                self.log.watch(now, &mut self.request_table.effects);
+                self.log.check_silence(now, &mut self.request_table.effects);
                 self.change_log_told(now);
                 self.place_starts(now);
                 let unix_ms = self.outside.latest_ms(now);
--- a/crates/dispatcher/tests/dispatcher/two_streams.rs
+++ b/crates/dispatcher/tests/dispatcher/two_streams.rs
@@ -1,7 +1,7 @@
 //! The change log followed by streams from two replicas, seen from the reducer's connections.
 
 use crate::common::{CONFIG, LOOPBACK, Play, request};
-use copperroute_dispatcher::changes::stricter::restrictions;
+use copperroute_dispatcher::changes::stricter::stricter_part;
 use copperroute_dispatcher::config::Config;
 use copperroute_dispatcher::effects::{Event, Peer};
 use copperroute_protocol::changes::Change;
@@ -252,7 +252,7 @@
     ];
     let taken = contents.map(|content| {
         let change: Change = serde_json::from_str(content).expect("an event");
-        restrictions(&change).map_or("nothing\n".into(), |taken| json!(taken).to_string() + "\n")
+        stricter_part(&change).map_or("nothing\n".into(), |taken| json!(taken).to_string() + "\n")
     });
     expect![[r#"
         {"fleet":null,"invalidate":{"bucket":null,"object":"7f3a","time":1},"seq":2}
--- a/crates/dispatcher/tests/dispatcher/two_streams_sum.rs
+++ b/crates/dispatcher/tests/dispatcher/two_streams_sum.rs
@@ -48,7 +48,7 @@
             seed: stable_hash(name.as_bytes()),
             unix_zero,
             slack: Nanos(500_000_000),
-            looks_for_anew: false,
+            detects_log_restart: false,
         };
         Follower { log: ChangeLog::new(settings), armed: Vec::new(), connections: BTreeMap::new() }
     }
@@ -78,7 +78,7 @@
         self.armed.sort();
         for at in std::mem::take(&mut self.armed) {
             let mut effects = Vec::new();
-            self.log.connect(at, &mut effects);
+            self.log.connect_due(at, &mut effects);
             self.take(at, effects, calls);
         }
     }
@@ -94,7 +94,7 @@
                     self.log.connected(*connection, now, &mut effects);
                 }
                 self.log.received(*connection, now, b"1\n");
-                while self.log.next_told(now, &mut effects).is_some() {}
+                while self.log.next_update(now, &mut effects).is_some() {}
             }
         }
     }
--- a/crates/testbed/src/fleet_simulation/follower.rs
+++ b/crates/testbed/src/fleet_simulation/follower.rs
@@ -7,7 +7,7 @@
 use copperroute_config_rollout::issue::{IssuedVersion, ValidationContext};
 use copperroute_config_rollout::rules::RuleSet;
 use copperroute_config_rollout::terms::TimingBounds;
-use copperroute_dispatcher::changes::{ChangeLog, ChangeLogSettings, Told};
+use copperroute_dispatcher::changes::{ChangeLog, ChangeLogSettings, ChangeLogUpdate};
 use copperroute_dispatcher::effects::Effect;
 use copperroute_protocol::changes::Change;
 use copperroute_routing::calls::ReconnectSettings;
@@ -86,7 +86,7 @@
                 seed,
                 unix_zero,
                 slack: TERMS.propagation_bound,
-                looks_for_anew: false,
+                detects_log_restart: false,
             })
         };
         Follower {
@@ -123,7 +123,7 @@
     }
 
     pub(super) fn due(&mut self, stream: usize, now: Nanos, effects: &mut Vec<Effect>) {
-        self.streams[stream].connect(now, effects);
+        self.streams[stream].connect_due(now, effects);
     }
 
     pub(super) fn connected(
@@ -151,7 +151,7 @@
 
     /// Gives a silent stream up.
     pub(super) fn watch(&mut self, stream: usize, now: Nanos, effects: &mut Vec<Effect>) {
-        self.streams[stream].watch(now, effects);
+        self.streams[stream].check_silence(now, effects);
     }
 
     /// Brings what is agreed up to this time.
@@ -173,15 +173,15 @@
     ) -> Vec<News> {
         let mut news = Vec::new();
         self.streams[stream].received(connection, now, bytes);
-        while let Some(told) = self.streams[stream].next_told(now, effects) {
+        while let Some(told) = self.streams[stream].next_update(now, effects) {
             match told {
-                Told::Change { change, .. } if change.seq > self.newest => {
+                ChangeLogUpdate::Change { change, .. } if change.seq > self.newest => {
                     self.newest = change.seq;
                     self.take(now, &change);
                     news.push(News::Event(change.seq));
                 }
-                Told::Change { .. } | Told::Restriction { .. } => {}
-                Told::Line { caught_up } => {
+                ChangeLogUpdate::Change { .. } | ChangeLogUpdate::Restriction { .. } => {}
+                ChangeLogUpdate::Heartbeat { caught_up } => {
                     let current = caught_up && self.applied(stream) == self.newest;
                     self.agreement
                         .iter_mut()
