--- a/crates/dispatcher/src/changes/mod.rs
+++ b/crates/dispatcher/src/changes/mod.rs
@@ -7,7 +7,7 @@
 pub mod stricter;
 mod told;
 
-use crate::effects::{Due, Effect};
+use crate::effects::{Effect, TimerKind};
 use crate::logs::LogRateLimiter;
 use copperroute_protocol::changes::{Change, Line};
 use copperroute_routing::calls::{ReconnectSchedule, ReconnectSettings};
@@ -116,7 +116,7 @@
     fn call_at(&mut self, of: usize, at: Nanos, now: Nanos, effects: &mut Vec<Effect>) {
         match at <= now {
             true => self.connect_one(of, now, effects),
-            false => effects.push(Effect::Arm(at, Due::ChangeLog)),
+            false => effects.push(Effect::Arm(at, TimerKind::ConnectChangeLog)),
         }
     }
 
--- a/crates/dispatcher/src/changes/stream.rs
+++ b/crates/dispatcher/src/changes/stream.rs
@@ -5,7 +5,7 @@
 //! several may be open, [`MOST_LINKS`] at the most; once one of them tells lines in time, the others end.
 
 use super::link::Link;
-use crate::effects::{Due, Effect, Peer};
+use crate::effects::{Effect, Peer, TimerKind};
 use crate::logs::LogRateLimiter;
 use copperroute_protocol::changes::{Line, encode_since};
 use copperroute_protocol::incoming::Unreadable;
@@ -90,7 +90,7 @@
     /// Connects under a new number, if it is to be called now; tells whether it does.
     pub(super) fn connect(&mut self, connection: u32, now: Nanos, effects: &mut Vec<Effect>) -> bool {
         if let Some(at) = self.calls.skip_missed_turn(now) {
-            effects.push(Effect::Arm(at, Due::ChangeLog));
+            effects.push(Effect::Arm(at, TimerKind::ConnectChangeLog));
             return false;
         }
         if !self.calls.is_due(now) {
@@ -195,13 +195,13 @@
         if news {
             log::warn!("{self}: lost, {why}; called again in {:.1} s", at.since(now).secs());
         }
-        effects.push(Effect::Arm(at, Due::ChangeLog));
+        effects.push(Effect::Arm(at, TimerKind::ConnectChangeLog));
     }
 
     /// The connection could not be made for want of this machine's own: it is tried again.
     pub(super) fn unopened(&mut self, connection: u32, now: Nanos, effects: &mut Vec<Effect>) {
         self.links.retain(|link| link.connection != connection);
-        effects.push(Effect::Arm(self.calls.local_failure(now), Due::ChangeLog));
+        effects.push(Effect::Arm(self.calls.local_failure(now), TimerKind::ConnectChangeLog));
     }
 
     /// Where it has been silent for too long the next call is made beside those that are open.
--- a/crates/dispatcher/src/clients.rs
+++ b/crates/dispatcher/src/clients.rs
@@ -1,6 +1,6 @@
 //! Client connections: what is open on each, what has not left yet, and who is read from.
 
-use crate::effects::{Behind, Effect, Peer};
+use crate::effects::{Effect, Peer, TrailingInput};
 use crate::lingering::Lingering;
 use copperroute_protocol::clients::{Answer, Decoder, encode};
 use copperroute_routing::interface::{Nanos, RequestId, stable_hash};
@@ -202,12 +202,12 @@
 
     /// Lets go of a client; returns what was open on it, and what becomes of what it still sends: of one that can't be
     /// read no request is.
-    fn forget(&mut self, number: u32) -> Option<(Vec<RequestId>, Behind)> {
+    fn forget(&mut self, number: u32) -> Option<(Vec<RequestId>, TrailingInput)> {
         let client = self.by_number.remove(&number)?;
         self.unsent -= client.unsent();
         let mut open: Vec<_> = client.open.into_values().collect();
         open.sort_by_key(|request_id| request_id.0);
-        Some((open, if client.unreadable { Behind::Read } else { Behind::Unread }))
+        Some((open, if client.unreadable { TrailingInput::Discard } else { TrailingInput::LeaveUnread }))
     }
 
     /// A client's connection ends at once; returns what was open on it.
@@ -220,7 +220,7 @@
     /// A client's connection ends by a lingering close; returns what was open on it.
     pub fn shut(&mut self, number: u32, now: Nanos, effects: &mut Vec<Effect>) -> Vec<RequestId> {
         let Some((open, behind)) = self.forget(number) else { return Vec::new() };
-        effects.push(Effect::Shut(Peer::Client(number), behind));
+        effects.push(Effect::CloseLingering(Peer::Client(number), behind));
         let instead = self.lingering.begin(now, number);
         effects.extend(instead.map(|oldest| Effect::Close(Peer::Client(oldest))));
         open
@@ -234,7 +234,7 @@
         for number in numbers {
             let Some((_, behind)) = self.forget(number) else { continue };
             self.lingering.begin_last(now, number);
-            effects.push(Effect::Shut(Peer::Client(number), behind));
+            effects.push(Effect::CloseLingering(Peer::Client(number), behind));
         }
     }
 
--- a/crates/dispatcher/src/effects.rs
+++ b/crates/dispatcher/src/effects.rs
@@ -21,27 +21,27 @@
 
 /// What a timer is for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Due {
+pub enum TimerKind {
     /// The module's own, with its token.
-    Module(u64),
+    Routing(u64),
     /// A request expires.
     Expiry(RequestId, u64),
     /// An attempt of a request may be sent no more, by the request's serial.
     SendBy(AttemptId, u64),
     /// A connection to a node should have come up.
-    Connect(u32),
+    ConnectTimeout(u32),
     /// A copy should have been read from disk.
-    Disk(RequestId, u64),
+    DiskReadTimeout(RequestId, u64),
     /// The change log is to be connected to.
-    ChangeLog,
+    ConnectChangeLog,
     /// Connections and phases are looked after.
     Sweep,
     /// Nothing new can come any more.
-    LastRequests,
+    IntakeEnd,
     /// What is still open must be answered now.
-    Drained,
+    DrainDeadline,
     /// Connections have lingered for long enough: the program ends.
-    Lingered,
+    LingerDeadline,
 }
 
 /// What happens.
@@ -58,19 +58,19 @@
     /// So many bytes in all have left.
     Written(Peer, u64),
     /// What was to be written to a node has waited for long: what it says of time is old.
-    Stale(Peer),
+    OutputStale(Peer),
     /// What clients have sent and is told from now on may have lain unread for so long.
-    Unread(Nanos),
+    InputDelay(Nanos),
     /// A connection has ended, or could not be made.
     Closed(Peer),
     /// The other side sends no more; it may still read.
-    Ended(Peer),
+    EndOfStream(Peer),
     /// A connection could not be made for want of something of this machine's own, which says nothing of the other side.
-    Unopened(Peer),
+    ConnectFailedLocally(Peer),
     /// All that had come when `Effect::ReadLast` was asked for has been told.
-    ReadLast,
+    FinalReadDone,
     /// The time has come.
-    Due(Due),
+    TimerFired(TimerKind),
     /// The program is to end.
     Terminate,
     /// The configuration has been read again.
@@ -87,11 +87,11 @@
 
 /// What becomes of bytes behind the end of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Behind {
+pub enum TrailingInput {
     /// They are read and told, to be dropped.
-    Read,
+    Discard,
     /// They stay unread.
-    Unread,
+    LeaveUnread,
 }
 
 /// What the event loop is asked for.
@@ -102,29 +102,29 @@
     /// Write these bytes behind those before.
     Write(Peer, Vec<u8>),
     /// Read from a connection, or leave it alone for now.
-    Read(Peer, bool),
+    SetReading(Peer, bool),
     /// Of what was to be written, drop the bytes from this place on, counted from the first ever given; none has left.
-    Retract(Peer, u64),
+    TruncateOutput(Peer, u64),
     /// Write what is left, then end the sending side (lingering close: a close over unread bytes is a reset, which can
     /// take with it what was written). Either what still comes is read and told until `Close`, or nothing is read any more,
     /// as a request that was read is owed an answer.
-    Shut(Peer, Behind),
+    CloseLingering(Peer, TrailingInput),
     /// Close, whatever is unwritten.
     Close(Peer),
     /// Accept what waits, listen no more, and tell all that has come from clients.
-    ReadLast,
+    FinalRead,
     /// Report when this time has come.
-    Arm(Nanos, Due),
+    Arm(Nanos, TimerKind),
     /// Read a copy from disk for a ticket.
     ReadCopy(Key, u64),
     /// Keep a copy on disk at a rank.
     KeepCopy(Key, Facts, u8, Arc<[u8]>),
     /// An object was purged at a Unix millisecond, by the event with this number.
-    MarkObject([u8; 16], u64, u64),
+    MarkObjectPurged([u8; 16], u64, u64),
     /// A group was.
-    MarkGroup(u8, u64, u64),
+    MarkGroupPurged(u8, u64, u64),
     /// Keep this list over a restart.
-    KeepList(Vec<u8>),
+    SaveNodeList(Vec<u8>),
     /// End the program.
     Exit,
 }
--- a/crates/dispatcher/src/event_loop/connections.rs
+++ b/crates/dispatcher/src/event_loop/connections.rs
@@ -101,7 +101,7 @@
                 Ok(Some(fault)) | Err(fault) => {
                     self.complaints.warn(self.clock.now(), format_args!("connect: {fault}"));
                     self.close(peer);
-                    self.reduce(Event::Unopened(peer));
+                    self.reduce(Event::ConnectFailedLocally(peer));
                 }
             }
             return false;
@@ -152,7 +152,7 @@
         let came = match connection.read(&mut scratch) {
             // A client may still read, and is to hear what becomes of what it asked for.
             Ok(0) if matches!(peer, Peer::Client(_)) => {
-                self.reduce(Event::Ended(peer));
+                self.reduce(Event::EndOfStream(peer));
                 0
             }
             Ok(0) => {
@@ -183,7 +183,7 @@
     fn tell_unread(&mut self) {
         let unread = self.freshness.unread_for(self.clock.now());
         if std::mem::replace(&mut self.unread, unread) != unread {
-            self.reduce(Event::Unread(unread));
+            self.reduce(Event::InputDelay(unread));
         }
     }
 
@@ -226,7 +226,7 @@
                 reads += 1;
             }
         }
-        self.reduce(Event::ReadLast);
+        self.reduce(Event::FinalReadDone);
     }
 }
 
--- a/crates/dispatcher/src/event_loop/mod.rs
+++ b/crates/dispatcher/src/event_loop/mod.rs
@@ -3,7 +3,7 @@
 use crate::clock::Clock;
 use crate::config::{Config, Sources};
 use crate::deadlines::Deadlines;
-use crate::effects::{Behind, Due, Effect, Event, Peer};
+use crate::effects::{Effect, Event, Peer, TimerKind, TrailingInput};
 use crate::freshness::{Freshness, PutOff};
 use crate::logs::{self, LogRateLimiter};
 use crate::purge_cover::purges_are_told_after;
@@ -106,7 +106,7 @@
     effects: VecDeque<Effect>,
     carrying: bool,
     /// All that the reducer has armed and is not due yet.
-    deadlines: Deadlines<Due>,
+    deadlines: Deadlines<TimerKind>,
     /// Connections with something new to write.
     dirty: Vec<Peer>,
     /// Connections to nodes that are not written to before clients are looked at again.
@@ -260,7 +260,7 @@
         }
         std::mem::take(&mut inbox.disk).into_iter().for_each(|told| carrier.disk_told(told));
         if !put_off.puts_off(found, more && !due.is_empty()) {
-            due.drain(..).for_each(|due| carrier.reduce(Event::Due(due)));
+            due.drain(..).for_each(|due| carrier.reduce(Event::TimerFired(due)));
         }
         carrier.listen_on(std::mem::take(&mut inbox.accept));
         if std::mem::take(&mut carrier.reads_last) {
@@ -290,7 +290,7 @@
     }
 
     /// Arms a deadline. Once many stand, those of requests that have ended are forgotten.
-    fn arm(&mut self, at: Nanos, due: Due) {
+    fn arm(&mut self, at: Nanos, due: TimerKind) {
         self.deadlines.arm(at, due);
         if self.deadlines.are_crowded() {
             self.deadlines.forget(|due| self.reducer.waits_for(due));
@@ -330,16 +330,16 @@
         match effect {
             Effect::Connect(peer, address) => self.connect(peer, address),
             Effect::Write(peer, bytes) => self.write(peer, bytes),
-            Effect::Retract(peer, from) => self.retract(peer, from),
-            Effect::Read(peer, wanted) => {
+            Effect::TruncateOutput(peer, from) => self.retract(peer, from),
+            Effect::SetReading(peer, wanted) => {
                 if let Some(connection) = self.connections.get_mut(&peer) {
                     connection.reads = wanted;
                 }
                 self.set_interest(peer);
             }
-            Effect::Shut(peer, behind) => self.shut(peer, behind),
+            Effect::CloseLingering(peer, behind) => self.shut(peer, behind),
             Effect::Close(peer) => self.close(peer),
-            Effect::ReadLast => self.reads_last = true,
+            Effect::FinalRead => self.reads_last = true,
             Effect::Arm(at, due) => self.arm(at, due),
             Effect::ReadCopy(key, ticket) => {
                 if !self.disk.as_ref().is_some_and(|disk| disk.read(key, ticket)) {
@@ -351,13 +351,13 @@
                     disk.write(key, facts, rank, body);
                 }
             }
-            Effect::MarkObject(object, at_ms, seq) => {
+            Effect::MarkObjectPurged(object, at_ms, seq) => {
                 self.disk.iter().for_each(|disk| disk.purge_object(object, at_ms, seq));
             }
-            Effect::MarkGroup(group, at_ms, seq) => {
+            Effect::MarkGroupPurged(group, at_ms, seq) => {
                 self.disk.iter().for_each(|disk| disk.purge_group(group, at_ms, seq));
             }
-            Effect::KeepList(bytes) => {
+            Effect::SaveNodeList(bytes) => {
                 if let Some(snapshot_writer) = &self.snapshot_writer {
                     snapshot_writer.keep(bytes);
                 }
--- a/crates/dispatcher/src/event_loop/opening.rs
+++ b/crates/dispatcher/src/event_loop/opening.rs
@@ -91,11 +91,11 @@
             // Nothing was asked of the other side yet: what lacks is this machine's own.
             Err(fault) => {
                 self.complaints.warn(self.clock.now(), format_args!("connect: {fault}"));
-                self.reduce(Event::Unopened(peer));
+                self.reduce(Event::ConnectFailedLocally(peer));
             }
             Ok(stream) => {
                 if !self.insert(peer, stream, true) {
-                    self.reduce(Event::Unopened(peer));
+                    self.reduce(Event::ConnectFailedLocally(peer));
                 }
             }
         }
--- a/crates/dispatcher/src/event_loop/writing.rs
+++ b/crates/dispatcher/src/event_loop/writing.rs
@@ -6,10 +6,10 @@
 
 impl Carrier {
     /// Writes what is left, then ends the sending side.
-    pub(super) fn shut(&mut self, peer: Peer, behind: Behind) {
+    pub(super) fn shut(&mut self, peer: Peer, behind: TrailingInput) {
         if let Some(connection) = self.connections.get_mut(&peer) {
             connection.shuts = true;
-            connection.reads = behind == Behind::Read;
+            connection.reads = behind == TrailingInput::Discard;
             self.dirty.push(peer);
         }
     }
@@ -79,7 +79,7 @@
             && Freshness::are_stale(connection.asked_at, now)
         {
             connection.asked_at = now;
-            self.reduce(Event::Stale(peer));
+            self.reduce(Event::OutputStale(peer));
             // That took time as well.
             return self.has_to_write(peer) && self.may_leave(peer);
         }
--- a/crates/dispatcher/src/nodes/attempts.rs
+++ b/crates/dispatcher/src/nodes/attempts.rs
@@ -102,7 +102,8 @@
         }
         self.connections.insert(self.last, Connection::new(node, now));
         effects.push(Effect::Connect(Peer::Node(self.last), address));
-        effects.push(Effect::Arm(now.after(self.limits.connect_timeout), Due::Connect(self.last)));
+        effects
+            .push(Effect::Arm(now.after(self.limits.connect_timeout), TimerKind::ConnectTimeout(self.last)));
         self.last
     }
 
--- a/crates/dispatcher/src/nodes/connection.rs
+++ b/crates/dispatcher/src/nodes/connection.rs
@@ -110,7 +110,7 @@
             }
         }
         self.queued = from;
-        effects.push(Effect::Retract(Peer::Node(number), from));
+        effects.push(Effect::TruncateOutput(Peer::Node(number), from));
         let (kept, retracted): (Vec<_>, Vec<_>) = self.aborts.drain(..).partition(|(begin, _)| *begin < from);
         self.aborts.extend(kept);
         for (_, id) in retracted.into_iter().filter(|(_, id)| self.out.contains_key(id)).collect::<Vec<_>>() {
--- a/crates/dispatcher/src/nodes/connections.rs
+++ b/crates/dispatcher/src/nodes/connections.rs
@@ -9,7 +9,7 @@
         connection.up = true;
         connection.answered = now;
         if self.held_back {
-            effects.push(Effect::Read(Peer::Node(number), false));
+            effects.push(Effect::SetReading(Peer::Node(number), false));
         }
     }
 
@@ -181,7 +181,7 @@
         log::warn!("clients take too little: nodes are {}read from", if held_back { "not " } else { "" });
         let mut numbers: Vec<_> = self.connections.keys().copied().collect();
         numbers.sort();
-        effects.extend(numbers.into_iter().map(|number| Effect::Read(Peer::Node(number), !held_back)));
+        effects.extend(numbers.into_iter().map(|number| Effect::SetReading(Peer::Node(number), !held_back)));
     }
 
     /// Whether nodes are left alone for now.
--- a/crates/dispatcher/src/nodes/mod.rs
+++ b/crates/dispatcher/src/nodes/mod.rs
@@ -1,7 +1,7 @@
 //! Node connections: a few for each node, shared by its attempts.
 
 pub use crate::attempt::AttemptId;
-use crate::effects::{Due, Effect, Peer};
+use crate::effects::{Effect, Peer, TimerKind};
 use crate::logs::LogRateLimiter;
 use copperroute_protocol::hex::Hex;
 use copperroute_protocol::nodes::{Decoder, Fetch, Message, encode_abort, encode_alive, encode_fetch};
--- a/crates/dispatcher/src/reducer/changes.rs
+++ b/crates/dispatcher/src/reducer/changes.rs
@@ -176,7 +176,7 @@
 /// The marks of a purge for the disk.
 fn marks(object: Option<&str>, group: Option<u64>, at_ms: u64, seq: u64) -> Option<Effect> {
     match object {
-        Some(object) => Hex::read(object).map(|object| Effect::MarkObject(object.bytes(), at_ms, seq)),
-        None => group.and_then(|of| u8::try_from(of).ok()).map(|of| Effect::MarkGroup(of, at_ms, seq)),
+        Some(object) => Hex::read(object).map(|object| Effect::MarkObjectPurged(object.bytes(), at_ms, seq)),
+        None => group.and_then(|of| u8::try_from(of).ok()).map(|of| Effect::MarkGroupPurged(of, at_ms, seq)),
     }
 }
--- a/crates/dispatcher/src/reducer/clients.rs
+++ b/crates/dispatcher/src/reducer/clients.rs
@@ -146,10 +146,10 @@
             let generation = self.request_table.generation_of(request_id);
             self.reading.insert(request_id.0, Reading { generation, routing_request, key });
             self.request_table.effects.push(Effect::ReadCopy(key, ticket(request_id, generation)));
-            return self
-                .request_table
-                .effects
-                .push(Effect::Arm(now.after(DISK_PATIENCE), Due::Disk(request_id, generation)));
+            return self.request_table.effects.push(Effect::Arm(
+                now.after(DISK_PATIENCE),
+                TimerKind::DiskReadTimeout(request_id, generation),
+            ));
         }
         self.request_table.tell(&routing_request);
         self.module.request_arrived(now, &routing_request, &mut self.request_table);
--- a/crates/dispatcher/src/reducer/deadlines.rs
+++ b/crates/dispatcher/src/reducer/deadlines.rs
@@ -5,19 +5,19 @@
 impl Reducer {
     /// Whether a deadline can still change anything. One for which this is false once stays so, as serials are not used
     /// twice. The decisions' own deadlines are theirs to judge; they are short.
-    pub fn waits_for(&self, due: &Due) -> bool {
+    pub fn waits_for(&self, due: &TimerKind) -> bool {
         match *due {
             // Also for a client that has gone: where attempts are not cancelled, they end by this deadline.
-            Due::Expiry(request, generation) => self.request_table.generation_of(request) == generation,
-            Due::SendBy(attempt, generation) => self.request_table.is_out(attempt, generation),
-            Due::Disk(request_id, generation) => self.is_reading(request_id, generation),
-            Due::Module(_)
-            | Due::Connect(_)
-            | Due::ChangeLog
-            | Due::Sweep
-            | Due::LastRequests
-            | Due::Drained
-            | Due::Lingered => true,
+            TimerKind::Expiry(request, generation) => self.request_table.generation_of(request) == generation,
+            TimerKind::SendBy(attempt, generation) => self.request_table.is_out(attempt, generation),
+            TimerKind::DiskReadTimeout(request_id, generation) => self.is_reading(request_id, generation),
+            TimerKind::Routing(_)
+            | TimerKind::ConnectTimeout(_)
+            | TimerKind::ConnectChangeLog
+            | TimerKind::Sweep
+            | TimerKind::IntakeEnd
+            | TimerKind::DrainDeadline
+            | TimerKind::LingerDeadline => true,
         }
     }
 
--- a/crates/dispatcher/src/reducer/mod.rs
+++ b/crates/dispatcher/src/reducer/mod.rs
@@ -7,7 +7,7 @@
 use crate::clock::Epoch;
 use crate::config::{Agreeing, Config};
 use crate::copies::{self, Copies, Offered, Own};
-use crate::effects::{Due, Effect, Event, Peer};
+use crate::effects::{Effect, Event, Peer, TimerKind};
 use crate::last_list::LastList;
 use crate::lingering::LINGERS_AT_END;
 use crate::logs::LogRateLimiter;
@@ -219,32 +219,34 @@
             Event::Received(Peer::ChangeLog(number), bytes) => self.change_log_received(now, number, bytes),
             Event::Written(Peer::Client(number), total) => self.request_table.client_written(number, total),
             Event::Written(Peer::Node(number), total) => self.request_table.node_written(number, total),
-            Event::Stale(Peer::Node(number)) => self.request_table.renew(number),
-            Event::Unread(span) => self.request_table.unread = span,
+            Event::OutputStale(Peer::Node(number)) => self.request_table.renew(number),
+            Event::InputDelay(span) => self.request_table.unread = span,
             Event::Closed(Peer::Client(number)) => self.client_closed(now, number),
-            Event::Ended(Peer::Client(number)) => self.client_ended(now, number),
-            Event::Closed(Peer::Node(number)) | Event::Ended(Peer::Node(number)) => {
+            Event::EndOfStream(Peer::Client(number)) => self.client_ended(now, number),
+            Event::Closed(Peer::Node(number)) | Event::EndOfStream(Peer::Node(number)) => {
                 self.request_table.node_closed(number)
             }
-            Event::Unopened(Peer::Node(number)) => self.request_table.node_unopened(number),
-            Event::Unopened(Peer::ChangeLog(number)) => {
+            Event::ConnectFailedLocally(Peer::Node(number)) => self.request_table.node_unopened(number),
+            Event::ConnectFailedLocally(Peer::ChangeLog(number)) => {
                 self.log.unopened(number, now, &mut self.request_table.effects);
             }
-            Event::Closed(Peer::ChangeLog(number)) | Event::Ended(Peer::ChangeLog(number)) => {
+            Event::Closed(Peer::ChangeLog(number)) | Event::EndOfStream(Peer::ChangeLog(number)) => {
                 self.log.closed(number, now, &mut self.request_table.effects);
                 self.change_log_told(now);
             }
-            Event::ReadLast => {
+            Event::FinalReadDone => {
                 self.request_table.clients.shut_all(now, &mut self.request_table.effects);
                 self.shut = true;
-                self.request_table.effects.push(Effect::Arm(now.after(LINGERS_AT_END), Due::Lingered));
+                self.request_table
+                    .effects
+                    .push(Effect::Arm(now.after(LINGERS_AT_END), TimerKind::LingerDeadline));
             }
-            Event::Due(due) => self.due(now, due),
+            Event::TimerFired(due) => self.due(now, due),
             Event::Terminate => {
                 if self.life.move_to(Phase::Draining) {
                     let drained = self.longest_expiry().min(LONGEST_DRAIN).after(DRAINED_AFTER);
                     let drained = drained.max(SHORTEST_DRAIN);
-                    let armed = [(LAST_REQUESTS, Due::LastRequests), (drained, Due::Drained)];
+                    let armed = [(LAST_REQUESTS, TimerKind::IntakeEnd), (drained, TimerKind::DrainDeadline)];
                     self.request_table
                         .effects
                         .extend(armed.map(|(span, due)| Effect::Arm(now.after(span), due)));
@@ -264,8 +266,8 @@
                 self.request_table.clients.make_room(IDLE_AT_ONCE, now, &mut self.request_table.effects);
             }
             Event::Connected(Peer::Client(_))
-            | Event::Unopened(Peer::Client(_))
-            | Event::Stale(Peer::Client(_) | Peer::ChangeLog(_))
+            | Event::ConnectFailedLocally(Peer::Client(_))
+            | Event::OutputStale(Peer::Client(_) | Peer::ChangeLog(_))
             | Event::Written(Peer::ChangeLog(_), _) => {}
         }
         self.hand_on_ends(now);
@@ -274,7 +276,7 @@
         let over = self.drained || (self.last_requests && self.request_table.is_clear());
         if self.life.phase() == Phase::Draining && over {
             self.life.move_to(Phase::Closing);
-            self.request_table.effects.push(Effect::ReadLast);
+            self.request_table.effects.push(Effect::FinalRead);
         }
         if self.life.phase() == Phase::Closing && self.shut && self.request_table.clients.count() == 0 {
             self.life.move_to(Phase::Stopped);
@@ -305,21 +307,21 @@
         self.obey(now);
         let has_list = self.life.phase() == Phase::Serving;
         self.log.start(has_list, now, &mut self.request_table.effects);
-        self.request_table.effects.push(Effect::Arm(now.after(SWEEP), Due::Sweep));
+        self.request_table.effects.push(Effect::Arm(now.after(SWEEP), TimerKind::Sweep));
     }
 
-    fn due(&mut self, now: Nanos, due: Due) {
+    fn due(&mut self, now: Nanos, due: TimerKind) {
         match due {
-            Due::Module(token) => self.module.timer(now, token, &mut self.request_table),
-            Due::Expiry(request_id, generation) => self.expire(now, request_id, generation),
-            Due::Disk(request_id, generation) => {
+            TimerKind::Routing(token) => self.module.timer(now, token, &mut self.request_table),
+            TimerKind::Expiry(request_id, generation) => self.expire(now, request_id, generation),
+            TimerKind::DiskReadTimeout(request_id, generation) => {
                 if self.is_reading(request_id, generation) {
                     self.go_on(now, request_id);
                 }
             }
-            Due::Connect(number) => self.request_table.connect_overdue(number),
-            Due::ChangeLog => self.log.connect_due(now, &mut self.request_table.effects),
-            Due::Sweep => {
+            TimerKind::ConnectTimeout(number) => self.request_table.connect_overdue(number),
+            TimerKind::ConnectChangeLog => self.log.connect_due(now, &mut self.request_table.effects),
+            TimerKind::Sweep => {
                 self.request_table.sweep();
                 // No request in hand is older than the longest expiry.
                 for node in self.request_table.forget_nodes(self.longest_expiry().after(SWEEP)) {
@@ -340,13 +342,15 @@
                 self.place_starts(now);
                 let unix_ms = self.outside.latest_ms(now);
                 let list = self.last_list.as_mut().and_then(|list| list.due(now, unix_ms));
-                self.request_table.effects.extend(list.map(Effect::KeepList));
-                self.request_table.effects.push(Effect::Arm(now.after(SWEEP), Due::Sweep));
+                self.request_table.effects.extend(list.map(Effect::SaveNodeList));
+                self.request_table.effects.push(Effect::Arm(now.after(SWEEP), TimerKind::Sweep));
+            }
+            TimerKind::SendBy(attempt, generation) => self.request_table.too_late(attempt, generation),
+            TimerKind::IntakeEnd => self.last_requests = true,
+            TimerKind::LingerDeadline => {
+                self.request_table.clients.sweep(now, &mut self.request_table.effects)
             }
-            Due::SendBy(attempt, generation) => self.request_table.too_late(attempt, generation),
-            Due::LastRequests => self.last_requests = true,
-            Due::Lingered => self.request_table.clients.sweep(now, &mut self.request_table.effects),
-            Due::Drained => {
+            TimerKind::DrainDeadline => {
                 for (request_id, generation) in self.request_table.all_owed() {
                     self.expire(now, request_id, generation);
                 }
--- a/crates/dispatcher/src/request_table/actions.rs
+++ b/crates/dispatcher/src/request_table/actions.rs
@@ -14,7 +14,7 @@
         let connection = self.nodes.take(attempt.node, place, id, pending.once, self.now, &mut self.effects);
         let (at, number) = (self.now, connection.unwrap_or_default());
         if let Some(by) = attempt.send_by {
-            self.effects.push(Effect::Arm(by, Due::SendBy(place, pending.generation)));
+            self.effects.push(Effect::Arm(by, TimerKind::SendBy(place, pending.generation)));
         }
         pending.attempts.push(InFlightAttempt {
             attempt: *attempt,
@@ -43,7 +43,7 @@
     }
 
     fn arm_timer(&mut self, span: Nanos, token: u64) {
-        self.effects.push(Effect::Arm(self.now.after(span), Due::Module(token)));
+        self.effects.push(Effect::Arm(self.now.after(span), TimerKind::Routing(token)));
     }
 
     fn probe_load(&mut self, _node: NodeId) {}
--- a/crates/dispatcher/src/request_table/mod.rs
+++ b/crates/dispatcher/src/request_table/mod.rs
@@ -5,7 +5,7 @@
 use crate::clients::Clients;
 use crate::config::Limits;
 use crate::copies::{self, Offered};
-use crate::effects::{Due, Effect};
+use crate::effects::{Effect, TimerKind};
 use crate::nodes::{AttemptId, Next, Nodes, Pool, ProbeCounts, Start};
 use copperroute_cache_store::record::Facts;
 use copperroute_protocol::clients::{Answer, Request};
@@ -176,7 +176,7 @@
         // Its client waits since it asked.
         let waits = Nanos(request.timeout_ms.saturating_mul(1_000_000)).since(self.unread);
         let expires = self.now.after(waits);
-        self.effects.push(Effect::Arm(expires, Due::Expiry(request_id, self.generation)));
+        self.effects.push(Effect::Arm(expires, TimerKind::Expiry(request_id, self.generation)));
         self.asked.insert(request.id);
         let (id, of, part) = (request.id, &request.content_type, request.part);
         let (named, ms) = (request.object, request.timeout_ms);
--- a/crates/dispatcher/tests/dispatcher/clients.rs
+++ b/crates/dispatcher/tests/dispatcher/clients.rs
@@ -93,7 +93,7 @@
     let mut trace = large(&mut play, &["9b07", "9b08", "9b09"]);
     play.client(&request(10, "image", "9b10", ",need=100"));
     play.client(&message("ABORT", 10));
-    play.event(Event::Ended(Peer::Client(1)));
+    play.event(Event::EndOfStream(Peer::Client(1)));
     trace += &play.take();
     expect![[r#"
         Client(1) <- *4 $1 7 $2 OK $0  $240000 (240000 bytes)
--- a/crates/dispatcher/tests/dispatcher/common.rs
+++ b/crates/dispatcher/tests/dispatcher/common.rs
@@ -2,7 +2,7 @@
 
 use copperroute_dispatcher::clock::Epoch;
 use copperroute_dispatcher::config::Config;
-use copperroute_dispatcher::effects::{Behind, Due, Effect, Event, Peer};
+use copperroute_dispatcher::effects::{Effect, Event, Peer, TimerKind, TrailingInput};
 use copperroute_dispatcher::reducer::Reducer;
 use copperroute_routing::interface::Nanos;
 use std::collections::HashMap;
@@ -73,7 +73,7 @@
 pub(crate) struct Play {
     reducer: Reducer,
     now: Nanos,
-    armed: Vec<(Nanos, Due)>,
+    armed: Vec<(Nanos, TimerKind)>,
     /// Bytes given to each connection.
     given: HashMap<Peer, u64>,
     /// Where each connection leads.
@@ -149,22 +149,22 @@
                         self.event(Event::Written(peer, total));
                     }
                 }
-                Effect::Retract(peer, from) => {
+                Effect::TruncateOutput(peer, from) => {
                     let _ = writeln!(self.trace, "retract {peer:?} from {from}");
                     self.given.insert(peer, from);
                 }
-                Effect::Shut(peer, behind) => {
-                    let reads_on = if behind == Behind::Read { ", read on" } else { "" };
+                Effect::CloseLingering(peer, behind) => {
+                    let reads_on = if behind == TrailingInput::Discard { ", read on" } else { "" };
                     let _ = writeln!(self.trace, "shut {peer:?}{reads_on}");
                 }
                 Effect::Close(peer) => {
                     let _ = writeln!(self.trace, "close {peer:?}");
                 }
-                Effect::ReadLast => {
+                Effect::FinalRead => {
                     self.trace.push_str("read last\n");
-                    self.event(Event::ReadLast);
+                    self.event(Event::FinalReadDone);
                 }
-                Effect::Read(peer, wanted) => {
+                Effect::SetReading(peer, wanted) => {
                     let _ = writeln!(self.trace, "read {peer:?} {wanted}");
                 }
                 Effect::Arm(at, due) => self.armed.push((at, due)),
@@ -175,13 +175,13 @@
                 Effect::KeepCopy(key, _, _, body) => {
                     let _ = writeln!(self.trace, "disk: keep part {}, {} bytes", key.part, body.len());
                 }
-                Effect::MarkObject(_, at_ms, seq) => {
+                Effect::MarkObjectPurged(_, at_ms, seq) => {
                     let _ = writeln!(self.trace, "disk: mark {seq}, an object at {at_ms}");
                 }
-                Effect::MarkGroup(group, at_ms, seq) => {
+                Effect::MarkGroupPurged(group, at_ms, seq) => {
                     let _ = writeln!(self.trace, "disk: mark {seq}, group {group} at {at_ms}");
                 }
-                Effect::KeepList(bytes) => {
+                Effect::SaveNodeList(bytes) => {
                     let _ = writeln!(self.trace, "list: keep {} bytes", bytes.len());
                     self.kept = Some(bytes);
                 }
@@ -263,7 +263,7 @@
             let Some((at, _)) = next.min_by_key(|(_, timer)| timer.0) else { break };
             let (when, due) = self.armed.remove(at);
             self.now = self.now.max(when);
-            self.event(Event::Due(due));
+            self.event(Event::TimerFired(due));
         }
         self.now = end;
     }
--- a/crates/dispatcher/tests/dispatcher/driver/leaving.rs
+++ b/crates/dispatcher/tests/dispatcher/driver/leaving.rs
@@ -45,7 +45,7 @@
     pub(super) fn leave(&mut self, number: u32, half: bool) {
         let peer = Peer::Client(number);
         if half {
-            return self.event(Event::Ended(peer));
+            return self.event(Event::EndOfStream(peer));
         }
         self.asked.values_mut().filter(|asked| asked.client == number).for_each(|asked| asked.waits = false);
         self.event(Event::Closed(peer));
--- a/crates/dispatcher/tests/dispatcher/driver/world.rs
+++ b/crates/dispatcher/tests/dispatcher/driver/world.rs
@@ -4,7 +4,7 @@
 use crate::common::{CONFIG, LOOPBACK, request};
 use copperroute_dispatcher::clock::Epoch;
 use copperroute_dispatcher::config::Config;
-use copperroute_dispatcher::effects::{Due, Effect, Event, Peer};
+use copperroute_dispatcher::effects::{Effect, Event, Peer, TimerKind};
 use copperroute_dispatcher::reducer::Reducer;
 use copperroute_routing::interface::Nanos;
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -43,7 +43,7 @@
 pub(super) struct World {
     pub reducer: Reducer,
     pub now: Nanos,
-    pub timers: BTreeMap<(Nanos, u64), Due>,
+    pub timers: BTreeMap<(Nanos, u64), TimerKind>,
     pub count: u64,
     pub asked: BTreeMap<u64, Asked>,
     /// The connection that each client uses.
@@ -146,20 +146,20 @@
                         Peer::ChangeLog(_) => {}
                     }
                 }
-                Effect::Retract(Peer::Node(number), from) => {
+                Effect::TruncateOutput(Peer::Node(number), from) => {
                     let way = self.way(number);
                     assert!(from >= way.left, "bytes unsaid that have left");
                     way.unsent.truncate((from - way.left) as usize);
                 }
-                Effect::Close(peer) | Effect::Shut(peer, _) => {
+                Effect::Close(peer) | Effect::CloseLingering(peer, _) => {
                     self.ended.insert(peer);
                     if let Peer::Node(number) = peer {
                         self.ways.remove(&number);
                     }
                 }
-                Effect::ReadLast => {
+                Effect::FinalRead => {
                     self.closing = true;
-                    self.event(Event::ReadLast);
+                    self.event(Event::FinalReadDone);
                 }
                 Effect::Exit => self.exited = true,
                 _ => {}
@@ -232,7 +232,7 @@
                 let peer = Peer::Node(*number);
                 match how {
                     0 => self.node_ends(*number, Event::Closed(peer)),
-                    1 => self.node_ends(*number, Event::Unopened(peer)),
+                    1 => self.node_ends(*number, Event::ConnectFailedLocally(peer)),
                     _ => {
                         self.way(*number).up = true;
                         self.event(Event::Connected(peer));
@@ -331,17 +331,17 @@
             self.now = self.now.max(*at);
             let Some((_, due)) = self.timers.pop_first() else { break };
             // The change log says each second that there is no more.
-            if due == Due::Sweep {
+            if due == TimerKind::Sweep {
                 let line = format!("{}\n", self.seq);
                 self.event(Event::Received(Peer::ChangeLog(self.log), line.as_bytes()));
             }
             // The event loop may forget such a deadline: it must change nothing.
             if !self.reducer.waits_for(&due) {
-                let effects = self.reducer.reduce(self.now, Event::Due(due));
+                let effects = self.reducer.reduce(self.now, Event::TimerFired(due));
                 assert!(effects.is_empty(), "nobody waits for {due:?}, but it brings {effects:?}");
                 continue;
             }
-            self.event(Event::Due(due));
+            self.event(Event::TimerFired(due));
             if self.exited {
                 break;
             }
--- a/crates/dispatcher/tests/dispatcher/gone.rs
+++ b/crates/dispatcher/tests/dispatcher/gone.rs
@@ -33,7 +33,7 @@
 impl Leave {
     fn play(self, play: &mut Play) {
         let twice = message("HEALTH", 7);
-        let (ends, closes) = (Event::Ended(Peer::Client(1)), Event::Closed(Peer::Client(1)));
+        let (ends, closes) = (Event::EndOfStream(Peer::Client(1)), Event::Closed(Peer::Client(1)));
         match self {
             Leave::Aborts => play.client(&message("ABORT", 7)),
             Leave::Ends => play.event(ends),
--- a/crates/dispatcher/tests/dispatcher/storm.rs
+++ b/crates/dispatcher/tests/dispatcher/storm.rs
@@ -3,7 +3,7 @@
 use crate::common::{CONFIG, LOOPBACK, message, request};
 use copperroute_dispatcher::clock::Epoch;
 use copperroute_dispatcher::config::Config;
-use copperroute_dispatcher::effects::{Due, Effect, Event, Peer};
+use copperroute_dispatcher::effects::{Effect, Event, Peer, TimerKind};
 use copperroute_dispatcher::reducer::Reducer;
 use copperroute_routing::interface::Nanos;
 use copperroute_routing::structures::random::Random;
@@ -12,7 +12,7 @@
 
 /// What is to happen at a time.
 enum Later {
-    Due(Due),
+    Due(TimerKind),
     Up(Peer),
     Ends(Peer),
     Bytes(Peer, Vec<u8>),
@@ -117,17 +117,17 @@
                     }
                 }
                 Effect::Write(peer, bytes) => self.written(peer, &bytes),
-                Effect::Retract(peer, from) => {
+                Effect::TruncateOutput(peer, from) => {
                     let kept = from - self.left.get(&peer).copied().unwrap_or_default();
                     self.unsent.entry(peer).or_default().truncate(kept as usize);
                     self.total.insert(peer, from);
                 }
-                Effect::Shut(peer, _) | Effect::Close(peer) => self.gone(peer),
-                Effect::ReadLast => self.after(1, Later::ReadLast),
-                Effect::Read(..) => {}
+                Effect::CloseLingering(peer, _) | Effect::Close(peer) => self.gone(peer),
+                Effect::FinalRead => self.after(1, Later::ReadLast),
+                Effect::SetReading(..) => {}
                 Effect::ReadCopy(..) | Effect::KeepCopy(..) => {}
-                Effect::MarkObject(..) | Effect::MarkGroup(..) => {}
-                Effect::KeepList(_) => {}
+                Effect::MarkObjectPurged(..) | Effect::MarkGroupPurged(..) => {}
+                Effect::SaveNodeList(_) => {}
                 Effect::Exit => self.exited = true,
             }
         }
@@ -227,7 +227,7 @@
 
     fn happen(&mut self, later: Later) {
         match later {
-            Later::Due(due) => self.event(Event::Due(due)),
+            Later::Due(due) => self.event(Event::TimerFired(due)),
             Later::Up(peer) => self.event(Event::Connected(peer)),
             Later::Ends(peer) => {
                 self.gone(peer);
@@ -248,7 +248,7 @@
             Later::Asks => self.asks(),
             Later::Changes => self.changes(),
             Later::Terminate => self.event(Event::Terminate),
-            Later::ReadLast => self.event(Event::ReadLast),
+            Later::ReadLast => self.event(Event::FinalReadDone),
         }
     }
 
--- a/crates/dispatcher/tests/dispatcher/time_left.rs
+++ b/crates/dispatcher/tests/dispatcher/time_left.rs
@@ -36,7 +36,7 @@
     play.event(Event::Connected(Peer::Node(1)));
     play.take();
     play.pass(300);
-    play.event(Event::Stale(Peer::Node(1)));
+    play.event(Event::OutputStale(Peer::Node(1)));
     expect![[r#"
         retract Node(1) from 0
         Node(1) <- fetch 9b1f lane=image,name=7f3a,piece=0,ttl=1200 0
@@ -56,7 +56,7 @@
     play.event(Event::Written(Peer::Node(1), 10));
     play.take();
     play.pass(200);
-    play.event(Event::Stale(Peer::Node(1)));
+    play.event(Event::OutputStale(Peer::Node(1)));
     expect![[r#"
         retract Node(1) from 78
     "#]]
@@ -76,7 +76,7 @@
         let mut play = slow_network();
         play.calm = calm;
         // Half a millisecond is left.
-        play.event(Event::Unread(Nanos(99_500_000)));
+        play.event(Event::InputDelay(Nanos(99_500_000)));
         play.client(&request(7, "image", "9b1f", ",need=100,timeout=100"));
         play.event(Event::Connected(Peer::Node(1)));
         play.pass(1);
@@ -90,12 +90,12 @@
 #[test]
 fn what_lay_unread_is_taken_from_the_time_left() {
     let mut play = Play::of(CONFIG);
-    play.event(Event::Unread(Nanos(300_000_000)));
+    play.event(Event::InputDelay(Nanos(300_000_000)));
     play.client(&request(7, "image", "9b1f", ",need=100"));
     assert_eq!(told(&play.take()), Some(1_200));
     play.pass(1_200);
     assert_eq!(play.take().matches("Client(1) <-").count(), 1);
-    play.event(Event::Unread(Nanos::ZERO));
+    play.event(Event::InputDelay(Nanos::ZERO));
     play.client(&request(8, "image", "9b20", ",need=100"));
     assert_eq!(told(&play.take()), Some(1_500));
 }
--- a/crates/dispatcher/tests/dispatcher/two_streams_sum.rs
+++ b/crates/dispatcher/tests/dispatcher/two_streams_sum.rs
@@ -1,7 +1,7 @@
 //! The calls of 590 dispatchers, each of which follows two of six replicas, counted at each replica.
 
 use copperroute_dispatcher::changes::{ChangeLog, ChangeLogSettings};
-use copperroute_dispatcher::effects::{Due, Effect, Peer};
+use copperroute_dispatcher::effects::{Effect, Peer, TimerKind};
 use copperroute_routing::calls::ReconnectSettings;
 use copperroute_routing::change_log::{Replica, select_replicas};
 use copperroute_routing::interface::{Nanos, stable_hash};
@@ -57,7 +57,7 @@
     fn take(&mut self, now: Nanos, effects: Vec<Effect>, calls: &mut Calls) {
         for effect in effects {
             match effect {
-                Effect::Arm(at, Due::ChangeLog) => self.armed.push(at),
+                Effect::Arm(at, TimerKind::ConnectChangeLog) => self.armed.push(at),
                 Effect::Connect(Peer::ChangeLog(connection), address) => {
                     calls.entry(address).or_default().push(now);
                     self.connections.insert(connection, address);
--- a/crates/dispatcher/tests/dispatcher/unopened_change_log.rs
+++ b/crates/dispatcher/tests/dispatcher/unopened_change_log.rs
@@ -20,7 +20,7 @@
     let mut waits = Vec::new();
     for _ in 0..20 {
         let since = play.passed_ms();
-        play.event(Event::Unopened(Peer::ChangeLog(number)));
+        play.event(Event::ConnectFailedLocally(Peer::ChangeLog(number)));
         number = loop {
             play.pass(10);
             if let Some(number) = called(&play.take()) {
--- a/crates/dispatcher/tests/dispatcher/unsent.rs
+++ b/crates/dispatcher/tests/dispatcher/unsent.rs
@@ -34,7 +34,7 @@
             play.client(&request(7, "image", "9b1f", ",need=100"));
             match leave {
                 0 => play.client(&message("ABORT", 7)),
-                1 => play.event(Event::Ended(Peer::Client(1))),
+                1 => play.event(Event::EndOfStream(Peer::Client(1))),
                 _ => play.event(Event::Closed(Peer::Client(1))),
             }
             play.event(Event::Connected(Peer::Node(1)));
@@ -188,7 +188,9 @@
             if numbers.is_empty() {
                 break;
             }
-            numbers.into_iter().for_each(|number| play.event(Event::Unopened(Peer::Node(number))));
+            numbers
+                .into_iter()
+                .for_each(|number| play.event(Event::ConnectFailedLocally(Peer::Node(number))));
         }
     }
     play.calm = true;
--- a/crates/testbed/src/capacity/hollow/dispatcher.rs
+++ b/crates/testbed/src/capacity/hollow/dispatcher.rs
@@ -7,7 +7,7 @@
 use copperroute_dispatcher::clock::{Clock, Epoch};
 use copperroute_dispatcher::config::Config;
 use copperroute_dispatcher::deadlines::Deadlines;
-use copperroute_dispatcher::effects::{Due, Effect, Event, Peer};
+use copperroute_dispatcher::effects::{Effect, Event, Peer, TimerKind};
 use copperroute_dispatcher::reducer::Reducer;
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -44,7 +44,7 @@
     clock: Clock,
     reducer: Reducer,
     connections: HashMap<Peer, Connection>,
-    timers: Deadlines<Due>,
+    timers: Deadlines<TimerKind>,
     /// Connections that could not be made, to be told once what was asked for is carried out.
     unopened: VecDeque<Peer>,
     broken: VecDeque<Peer>,
@@ -161,7 +161,7 @@
     fn call_time(&mut self) {
         let mut due = Vec::new();
         self.timers.take_due(self.clock.now(), &mut due);
-        due.into_iter().for_each(|due| self.reduce(Event::Due(due)));
+        due.into_iter().for_each(|due| self.reduce(Event::TimerFired(due)));
     }
 
     /// Hands in an event, carries out what it asks for, and tells what has come of it.
@@ -174,7 +174,7 @@
             let next = match (self.unopened.pop_front(), self.broken.pop_front()) {
                 (Some(peer), broken) => {
                     self.broken.extend(broken);
-                    Event::Unopened(peer)
+                    Event::ConnectFailedLocally(peer)
                 }
                 (None, Some(peer)) => Event::Closed(peer),
                 (None, None) => break,
@@ -193,18 +193,18 @@
             // Nodes are out of reach for want of something of its own, which says nothing of them.
             Effect::Connect(peer, _) => self.unopened.push_back(peer),
             Effect::Write(peer, bytes) => self.write(peer, &bytes),
-            Effect::Close(peer) | Effect::Shut(peer, _) => drop(self.connections.remove(&peer)),
+            Effect::Close(peer) | Effect::CloseLingering(peer, _) => drop(self.connections.remove(&peer)),
             Effect::Arm(at, due) => self.timers.arm(at, due),
             Effect::Exit => self.exited = true,
             // It has neither clients nor a disk.
-            Effect::Read(..)
-            | Effect::Retract(..)
-            | Effect::ReadLast
+            Effect::SetReading(..)
+            | Effect::TruncateOutput(..)
+            | Effect::FinalRead
             | Effect::ReadCopy(..)
             | Effect::KeepCopy(..)
-            | Effect::MarkObject(..)
-            | Effect::MarkGroup(..)
-            | Effect::KeepList(_) => {}
+            | Effect::MarkObjectPurged(..)
+            | Effect::MarkGroupPurged(..)
+            | Effect::SaveNodeList(_) => {}
         }
     }
 
