--- a/crates/dispatcher/benches/deadlines.rs
+++ b/crates/dispatcher/benches/deadlines.rs
@@ -87,8 +87,8 @@
 fn ending_early(bencher: Bencher, load: Load) {
     let arm = |deadlines: &mut Deadlines<u64>, request: u64| {
         deadlines.arm(load.ends(request), request);
-        if deadlines.are_crowded() {
-            deadlines.forget(|other| other + OPEN > request);
+        if deadlines.needs_pruning() {
+            deadlines.prune(|other| other + OPEN > request);
         }
     };
     bencher
--- a/crates/dispatcher/src/deadlines.rs
+++ b/crates/dispatcher/src/deadlines.rs
@@ -15,7 +15,7 @@
 use std::collections::BTreeMap;
 
 /// With fewer deadlines than this none is looked for that nobody waits for: they take less than half a megabyte.
-pub const FORGOTTEN_FROM: usize = 4096;
+pub const PRUNE_THRESHOLD: usize = 4096;
 
 /// Deadlines, each with what it is for, in the order of their times; those of one time in the order of arming.
 #[derive(Debug)]
@@ -37,7 +37,7 @@
 
 impl<T> Default for Deadlines<T> {
     fn default() -> Self {
-        Deadlines { standing: BTreeMap::new(), armed: 0, crowded_from: FORGOTTEN_FROM }
+        Deadlines { standing: BTreeMap::new(), armed: 0, crowded_from: PRUNE_THRESHOLD }
     }
 }
 
@@ -66,12 +66,12 @@
     }
 
     /// Whether so many stand that those which nobody waits for are to be forgotten.
-    pub fn are_crowded(&self) -> bool {
+    pub fn needs_pruning(&self) -> bool {
         self.standing.len() >= self.crowded_from
     }
 
     /// Forgets the deadlines that nobody waits for any more.
-    pub fn forget(&mut self, is_wanted: impl Fn(&T) -> bool) {
+    pub fn prune(&mut self, is_wanted: impl Fn(&T) -> bool) {
         self.standing.retain(|_, what| is_wanted(what));
         self.crowded_from = twice(self.standing.len());
     }
@@ -84,5 +84,5 @@
 
 /// The number from which deadlines are crowded, if so many stand now.
 fn twice(count: usize) -> usize {
-    (2 * count).max(FORGOTTEN_FROM)
+    (2 * count).max(PRUNE_THRESHOLD)
 }
--- a/crates/dispatcher/src/event_loop/connections.rs
+++ b/crates/dispatcher/src/event_loop/connections.rs
@@ -181,7 +181,7 @@
 
     /// Tells for how long what is read now may have lain unread, where that has changed.
     fn tell_unread(&mut self) {
-        let unread = self.freshness.unread_for(self.clock.now());
+        let unread = self.freshness.input_delay(self.clock.now());
         if std::mem::replace(&mut self.unread, unread) != unread {
             self.reduce(Event::InputDelay(unread));
         }
--- a/crates/dispatcher/src/event_loop/mod.rs
+++ b/crates/dispatcher/src/event_loop/mod.rs
@@ -4,9 +4,9 @@
 use crate::config::{Config, Sources};
 use crate::deadlines::Deadlines;
 use crate::effects::{Effect, Event, Peer, TimerKind, TrailingInput};
-use crate::freshness::{Freshness, PutOff};
+use crate::freshness::{Freshness, TimerPostponement};
 use crate::logs::{self, LogRateLimiter};
-use crate::purge_cover::purges_are_told_after;
+use crate::purge_cover::covers_purges_after;
 use crate::reducer::Reducer;
 use crate::snapshot_writer::{self, SnapshotWriter};
 use calloop::channel::{Sender, channel};
@@ -193,7 +193,7 @@
         snapshot_writer,
     };
     let mut inbox = Inbox::default();
-    let (mut due, mut put_off) = (Vec::new(), PutOff::default());
+    let (mut due, mut put_off) = (Vec::new(), TimerPostponement::default());
     if let Some((location, disk)) = disk {
         let (tell, told) = channel();
         carrier
@@ -225,12 +225,12 @@
         carrier.flush_all();
         // What was put off, or held back, waits for nothing.
         let began = carrier.clock.now();
-        let at_once = put_off.is_on() || !carrier.dirty.is_empty();
+        let at_once = put_off.is_active() || !carrier.dirty.is_empty();
         let wait = if at_once { Some(Duration::ZERO) } else { carrier.until_first_deadline(began) };
         let dispatched = event_loop.dispatch(wait, &mut inbox);
         let found = carrier.clock.now();
         match dispatched {
-            Ok(()) => carrier.freshness.looked(began, wait, found),
+            Ok(()) => carrier.freshness.polled(began, wait, found),
             // What it has found before it failed is in the inbox; the rest shows again.
             Err(fault) => {
                 carrier.complaints.warn(found, format_args!("event loop: {fault}"));
@@ -259,7 +259,7 @@
             more |= carrier.ready(peer, readiness);
         }
         std::mem::take(&mut inbox.disk).into_iter().for_each(|told| carrier.disk_told(told));
-        if !put_off.puts_off(found, more && !due.is_empty()) {
+        if !put_off.postpone(found, more && !due.is_empty()) {
             due.drain(..).for_each(|due| carrier.reduce(Event::TimerFired(due)));
         }
         carrier.listen_on(std::mem::take(&mut inbox.accept));
@@ -292,8 +292,8 @@
     /// Arms a deadline. Once many stand, those of requests that have ended are forgotten.
     fn arm(&mut self, at: Nanos, due: TimerKind) {
         self.deadlines.arm(at, due);
-        if self.deadlines.are_crowded() {
-            self.deadlines.forget(|due| self.reducer.waits_for(due));
+        if self.deadlines.needs_pruning() {
+            self.deadlines.prune(|due| self.reducer.waits_for(due));
         }
     }
 
--- a/crates/dispatcher/src/event_loop/writing.rs
+++ b/crates/dispatcher/src/event_loop/writing.rs
@@ -71,12 +71,12 @@
     /// was encoded long ago is encoded anew.
     fn may_leave(&mut self, peer: Peer) -> bool {
         let now = self.clock.now();
-        if self.freshness.wants_look(now) {
+        if self.freshness.needs_poll(now) {
             self.held_back.push(peer);
             return false;
         }
         if let Some(connection) = self.connections.get_mut(&peer)
-            && Freshness::are_stale(connection.asked_at, now)
+            && Freshness::is_stale(connection.asked_at, now)
         {
             connection.asked_at = now;
             self.reduce(Event::OutputStale(peer));
--- a/crates/dispatcher/src/freshness.rs
+++ b/crates/dispatcher/src/freshness.rs
@@ -12,31 +12,31 @@
 const READ_AT_ONCE: Nanos = Nanos(20_000_000);
 /// So many looks in a row at most before bytes leave. After a stop one or two do. Of a program that is near its limit each
 /// look takes long itself, as it finds new requests: without a bound all that it has decided would wait on.
-pub const MOST_LOOKS: u32 = 4;
+pub const MAX_CONSECUTIVE_POLLS: u32 = 4;
 
 /// What is due waits for so many turns at most while bytes still come.
-pub const TURNS_FIRST: u32 = 16;
+pub const MAX_POSTPONED_TURNS: u32 = 16;
 /// It waits for so long at most, as turns can be long: half of what a final answer may come late by.
-pub const LONGEST_PUT_OFF: Nanos = Nanos(250_000_000);
+pub const MAX_POSTPONEMENT: Nanos = Nanos(250_000_000);
 
 /// Whether what is due is put off, as bytes that came before it may still lie unread.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct PutOff {
+pub struct TimerPostponement {
     turns: u32,
     since: Nanos,
 }
 
-impl PutOff {
+impl TimerPostponement {
     /// Whether something was put off in the last turn.
-    pub fn is_on(&self) -> bool {
+    pub fn is_active(&self) -> bool {
         self.turns > 0
     }
 
     /// Whether what is due is put off in a turn that began at a time, and in which more bytes may lie unread or not.
-    pub fn puts_off(&mut self, now: Nanos, more: bool) -> bool {
-        let since = if self.is_on() { self.since } else { now };
-        let is_on = more && self.turns < TURNS_FIRST && now.since(since) < LONGEST_PUT_OFF;
-        *self = PutOff { turns: if is_on { self.turns + 1 } else { 0 }, since };
+    pub fn postpone(&mut self, now: Nanos, more: bool) -> bool {
+        let since = if self.is_active() { self.since } else { now };
+        let is_on = more && self.turns < MAX_POSTPONED_TURNS && now.since(since) < MAX_POSTPONEMENT;
+        *self = TimerPostponement { turns: if is_on { self.turns + 1 } else { 0 }, since };
         is_on
     }
 }
@@ -61,7 +61,7 @@
     }
 
     /// A look at all sockets began at a time, was to wait for so long at most, and has found what there is.
-    pub fn looked(&mut self, began: Nanos, wait: Option<Duration>, found: Nanos) {
+    pub fn polled(&mut self, began: Nanos, wait: Option<Duration>, found: Nanos) {
         let waits_until = wait.map(|wait| began.after(Nanos(wait.as_nanos() as u64)));
         let busy = began.since(self.found);
         let overslept = waits_until.is_some_and(|until| found.since(until) > READ_AT_ONCE);
@@ -79,8 +79,8 @@
 
     /// Whether sockets are to be looked at again before anything leaves for a node. To be asked once for each that is
     /// held back or not; after `MOST_LOOKS` in a row it leaves all the same.
-    pub fn wants_look(&self, now: Nanos) -> bool {
-        now.since(self.looked) > STALE_AFTER && self.looks < MOST_LOOKS
+    pub fn needs_poll(&self, now: Nanos) -> bool {
+        now.since(self.looked) > STALE_AFTER && self.looks < MAX_CONSECUTIVE_POLLS
     }
 
     /// Counts a turn that ends with bytes held back for a look, or without.
@@ -89,13 +89,13 @@
     }
 
     /// For how long what is read now may have lain unread; nothing where that is no matter.
-    pub fn unread_for(&self, now: Nanos) -> Nanos {
+    pub fn input_delay(&self, now: Nanos) -> Nanos {
         let span = now.since(self.unread_since);
         if span > READ_AT_ONCE { span } else { Nanos::ZERO }
     }
 
     /// Whether bytes that were encoded at a time are to be encoded anew as they leave.
-    pub fn are_stale(encoded: Nanos, now: Nanos) -> bool {
+    pub fn is_stale(encoded: Nanos, now: Nanos) -> bool {
         now.since(encoded) > STALE_AFTER
     }
 }
--- a/crates/dispatcher/src/purge_cover.rs
+++ b/crates/dispatcher/src/purge_cover.rs
@@ -6,7 +6,7 @@
 /// Whether every purge later than those that are marked on disk is told by what is known, or will be told by the change
 /// log, which is asked for what comes after that. A disk that took no writes when purges came lacks their marks, so each
 /// event after the last mark has to be there: one that is not may have been a purge.
-pub fn purges_are_told_after(known: &Known, marked: u64) -> bool {
+pub fn covers_purges_after(known: &Known, marked: u64) -> bool {
     let Some(missing) = known.seq.checked_sub(marked) else { return false };
     let told = known.results.iter().filter(|change| tells_its_event(change)).map(|change| change.seq);
     let told: BTreeSet<_> = told.filter(|seq| *seq > marked && *seq <= known.seq).collect();
--- a/crates/dispatcher/tests/dispatcher/deadlines.rs
+++ b/crates/dispatcher/tests/dispatcher/deadlines.rs
@@ -1,6 +1,6 @@
 //! The event loop's deadlines: their order, what is due, what is forgotten, and what each costs.
 
-use copperroute_dispatcher::deadlines::{Deadlines, FORGOTTEN_FROM};
+use copperroute_dispatcher::deadlines::{Deadlines, PRUNE_THRESHOLD};
 use copperroute_routing::interface::Nanos;
 use proptest::prelude::*;
 use std::time::{Duration, Instant};
@@ -53,7 +53,7 @@
 fn what_nobody_waits_for_is_forgotten_and_the_rest_stays_in_order() {
     let mut deadlines = Deadlines::default();
     (0..10).for_each(|number| deadlines.arm(Nanos(7 + number / 4), number));
-    deadlines.forget(|number| number % 3 == 0);
+    deadlines.prune(|number| number % 3 == 0);
     assert_eq!(deadlines.count(), 4);
     assert_eq!(due_by(&mut deadlines, 20), [0, 3, 6, 9]);
 }
@@ -66,9 +66,9 @@
     let (mut most, mut passes) = (0, 0);
     for request in 0..300_000 {
         deadlines.arm(Nanos(60_000_000_000 + request * 20_000), request);
-        if deadlines.are_crowded() {
+        if deadlines.needs_pruning() {
             passes += 1;
-            deadlines.forget(|other| other + OPEN > request);
+            deadlines.prune(|other| other + OPEN > request);
         }
         most = most.max(deadlines.count());
     }
@@ -83,16 +83,16 @@
     let mut deadlines = Deadlines::default();
     for number in 0..100_000 {
         deadlines.arm(Nanos(number), number);
-        if deadlines.are_crowded() {
-            deadlines.forget(|_| true);
+        if deadlines.needs_pruning() {
+            deadlines.prune(|_| true);
         }
     }
-    assert!(!deadlines.are_crowded(), "all are waited for");
+    assert!(!deadlines.needs_pruning(), "all are waited for");
     assert_eq!(due_by(&mut deadlines, 99_999).len(), 100_000);
-    (0..FORGOTTEN_FROM as u64 - 1).for_each(|number| deadlines.arm(Nanos(number), number));
-    assert!(!deadlines.are_crowded());
+    (0..PRUNE_THRESHOLD as u64 - 1).for_each(|number| deadlines.arm(Nanos(number), number));
+    assert!(!deadlines.needs_pruning());
     deadlines.arm(Nanos(0), 0);
-    assert!(deadlines.are_crowded());
+    assert!(deadlines.needs_pruning());
 }
 
 /// What a deadline costs, armed and taken when due, with so many standing: the best of three times.
@@ -163,7 +163,7 @@
                     prop_assert_eq!(due_by(&mut deadlines, now), expected);
                 }
                 Step::Forget(rest) => {
-                    deadlines.forget(|number| number % 3 == rest);
+                    deadlines.prune(|number| number % 3 == rest);
                     model.retain(|(_, number)| number % 3 == rest);
                 }
             }
--- a/crates/dispatcher/tests/dispatcher/folders.rs
+++ b/crates/dispatcher/tests/dispatcher/folders.rs
@@ -2,7 +2,7 @@
 
 use crate::faulty::{Fault, Kind, Loss, Memory};
 use copperroute_dispatcher::last_list::{decode, encode};
-use copperroute_dispatcher::purge_cover::purges_are_told_after;
+use copperroute_dispatcher::purge_cover::covers_purges_after;
 use copperroute_dispatcher::snapshot_writer::{SnapshotWriter, find_among};
 use copperroute_protocol::changes::{Change, Known};
 use expect_test::expect;
@@ -30,7 +30,7 @@
 /// After which marks on disk all later purges are told.
 fn trusted(seq: u64, results: Vec<Change>) -> String {
     let known = Known { seq, results };
-    let marked = (0..=seq + 1).filter(|marked| purges_are_told_after(&known, *marked));
+    let marked = (0..=seq + 1).filter(|marked| covers_purges_after(&known, *marked));
     format!("{:?}\n", marked.collect::<Vec<_>>())
 }
 
