--- a/crates/dispatcher/src/event_loop/mod.rs
+++ b/crates/dispatcher/src/event_loop/mod.rs
@@ -293,7 +293,7 @@
     fn arm(&mut self, at: Nanos, due: TimerKind) {
         self.deadlines.arm(at, due);
         if self.deadlines.needs_pruning() {
-            self.deadlines.prune(|due| self.reducer.waits_for(due));
+            self.deadlines.prune(|due| self.reducer.is_timer_needed(due));
         }
     }
 
--- a/crates/dispatcher/src/event_loop/opening.rs
+++ b/crates/dispatcher/src/event_loop/opening.rs
@@ -114,7 +114,7 @@
 
     /// Reads those clients that would be closed for want of descriptors: what one has asked meanwhile is heard, and it stays.
     fn look_at_resting(&mut self) {
-        for number in self.reducer.resting(self.clock.now()) {
+        for number in self.reducer.idle_clients(self.clock.now()) {
             self.read(Peer::Client(number));
         }
     }
--- a/crates/dispatcher/src/reducer/changes.rs
+++ b/crates/dispatcher/src/reducer/changes.rs
@@ -4,7 +4,7 @@
 
 impl Reducer {
     /// The number of the version of the rules in force, where there is an agreement on them.
-    pub fn rules_in_force(&self) -> Option<u64> {
+    pub fn rules_version(&self) -> Option<u64> {
         self.agreed.as_ref().map(Agreed::in_force)
     }
 
--- a/crates/dispatcher/src/reducer/deadlines.rs
+++ b/crates/dispatcher/src/reducer/deadlines.rs
@@ -5,7 +5,7 @@
 impl Reducer {
     /// Whether a deadline can still change anything. One for which this is false once stays so, as serials are not used
     /// twice. The decisions' own deadlines are theirs to judge; they are short.
-    pub fn waits_for(&self, due: &TimerKind) -> bool {
+    pub fn is_timer_needed(&self, due: &TimerKind) -> bool {
         match *due {
             // Also for a client that has gone: where attempts are not cancelled, they end by this deadline.
             TimerKind::Expiry(request, generation) => self.request_table.generation_of(request) == generation,
--- a/crates/dispatcher/src/reducer/mod.rs
+++ b/crates/dispatcher/src/reducer/mod.rs
@@ -166,23 +166,23 @@
     }
 
     /// How many nodes there is a place for: those listed, and those that left not long ago.
-    pub fn nodes_kept(&self) -> u32 {
+    pub fn node_slot_count(&self) -> u32 {
         self.request_table.nodes_kept()
     }
 
     /// How many objects there is a place for.
-    pub fn objects_kept(&self) -> u32 {
+    pub fn object_slot_count(&self) -> u32 {
         self.request_table.objects_kept()
     }
 
     /// The clients that would be closed for want of descriptors, and as many more as may take their places.
-    pub fn resting(&self, now: Nanos) -> Vec<u32> {
+    pub fn idle_clients(&self, now: Nanos) -> Vec<u32> {
         self.request_table.clients.resting(2 * IDLE_AT_ONCE, now)
     }
 
     /// What is out at each node: as the decisions believe, and as it is.
-    pub fn out(&self) -> Vec<(u32, u32)> {
-        let nodes = (0..self.nodes_kept()).map(NodeId);
+    pub fn in_flight_counts(&self) -> Vec<(u32, u32)> {
+        let nodes = (0..self.node_slot_count()).map(NodeId);
         nodes.map(|node| (self.module.in_flight_at(node), self.request_table.out_at(node))).collect()
     }
 
--- a/crates/dispatcher/tests/dispatcher/common.rs
+++ b/crates/dispatcher/tests/dispatcher/common.rs
@@ -249,7 +249,7 @@
 
     /// How many nodes there is a place for.
     pub(crate) fn nodes_kept(&self) -> u32 {
-        self.reducer.nodes_kept()
+        self.reducer.node_slot_count()
     }
 
     /// Lets time pass, with all that falls due.
@@ -285,7 +285,7 @@
 
     /// How many objects there is a place for.
     pub(crate) fn objects_kept(&self) -> u32 {
-        self.reducer.objects_kept()
+        self.reducer.object_slot_count()
     }
 
     /// Forgets what this helper keeps of connections and ids, so that what is left is the dispatcher's.
--- a/crates/dispatcher/tests/dispatcher/driver/mod.rs
+++ b/crates/dispatcher/tests/dispatcher/driver/mod.rs
@@ -26,10 +26,10 @@
             prop_assert!(!asked.waits || asked.answers == 1, "{id}: {asked:?}");
         }
         // A program that has ended plays no more timers.
-        for (believed, out) in world.reducer.out().into_iter().filter(|_| !world.exited) {
+        for (believed, out) in world.reducer.in_flight_counts().into_iter().filter(|_| !world.exited) {
             prop_assert!(believed == 0 && out == 0, "{believed} and {out} out at the end");
         }
-        prop_assert!(world.reducer.nodes_kept() <= 5);
+        prop_assert!(world.reducer.node_slot_count() <= 5);
         world.event(Event::Terminate);
         world.pass(4_000);
         prop_assert!(world.exited, "no end");
--- a/crates/dispatcher/tests/dispatcher/driver/world.rs
+++ b/crates/dispatcher/tests/dispatcher/driver/world.rs
@@ -276,7 +276,7 @@
             Step::NoDescriptors => self.event(Event::NoDescriptors),
             Step::Pass { ms } => self.pass(ms),
         }
-        for (believed, out) in self.reducer.out() {
+        for (believed, out) in self.reducer.in_flight_counts() {
             assert_eq!(believed, out, "what is out");
         }
         self.nothing_is_to_begin_for_who_has_gone();
@@ -336,7 +336,7 @@
                 self.event(Event::Received(Peer::ChangeLog(self.log), line.as_bytes()));
             }
             // The event loop may forget such a deadline: it must change nothing.
-            if !self.reducer.waits_for(&due) {
+            if !self.reducer.is_timer_needed(&due) {
                 let effects = self.reducer.reduce(self.now, Event::TimerFired(due));
                 assert!(effects.is_empty(), "nobody waits for {due:?}, but it brings {effects:?}");
                 continue;
--- a/crates/dispatcher/tests/dispatcher/storm.rs
+++ b/crates/dispatcher/tests/dispatcher/storm.rs
@@ -269,7 +269,7 @@
             self.event(Event::Received(client, &message("ABORT", tag)));
         }
         // What the decisions believe of load is what is out.
-        for (node, (believed, out)) in self.reducer.out().into_iter().enumerate() {
+        for (node, (believed, out)) in self.reducer.in_flight_counts().into_iter().enumerate() {
             assert_eq!(believed, out, "node {node}");
         }
     }
--- a/crates/testbed/src/capacity/hollow/dispatcher.rs
+++ b/crates/testbed/src/capacity/hollow/dispatcher.rs
@@ -224,7 +224,7 @@
             self.applied = applied;
             self.records.push(Record::Applied { dispatcher, at_us: unix_us(), seq: applied });
         }
-        let version = self.reducer.rules_in_force();
+        let version = self.reducer.rules_version();
         if version != self.version {
             self.version = version;
             let number = version.unwrap_or_default();
