--- a/crates/change-log-replica/src/lines.rs
+++ b/crates/change-log-replica/src/lines.rs
@@ -1,7 +1,7 @@
 //! The change log's lines as bytes: each is read for its number and what a replica needs of it, and kept as it came.
 
 use copperroute_protocol::changes::{Change, heartbeat};
-use copperroute_protocol::incoming::{Incoming, Unreadable};
+use copperroute_protocol::incoming::{DecodeError, ReceiveBuffer};
 use copperroute_routing::interface::stable_hash;
 use serde::Deserialize;
 
@@ -56,7 +56,7 @@
 
 /// Decodes what a source tells.
 #[derive(Debug, Default)]
-pub struct Decoder(Incoming);
+pub struct Decoder(ReceiveBuffer);
 
 impl Decoder {
     /// Takes bytes as they came.
@@ -65,9 +65,9 @@
     }
 
     /// The next whole line; an error means that no more can be read here.
-    pub fn next_line(&mut self) -> Result<Option<Line>, Unreadable> {
-        let Some(line) = self.0.line(LONGEST_LINE)? else {
-            self.0.settle();
+    pub fn next_line(&mut self) -> Result<Option<Line>, DecodeError> {
+        let Some(line) = self.0.take_line(LONGEST_LINE)? else {
+            self.0.release_spare_memory();
             return Ok(None);
         };
         if let Some(last) = heartbeat(&line) {
@@ -77,7 +77,7 @@
             Ok(change) => (change.seq, kind(&change)),
             Err(fault) => match serde_json::from_str(&line) {
                 Ok(Numbered { seq }) => (seq, Kind::Unreadable),
-                Err(_) => return Err(Unreadable(fault.to_string())),
+                Err(_) => return Err(DecodeError(fault.to_string())),
             },
         };
         Ok(Some(Line::Event(EventLine { seq, kind, line: line.into() })))
@@ -109,13 +109,13 @@
 
 /// Reads the one line that a follower sends.
 #[derive(Debug, Default)]
-pub struct Ask(Incoming);
+pub struct Ask(ReceiveBuffer);
 
 impl Ask {
     /// Takes bytes as they came.
     pub fn feed(&mut self, bytes: &[u8]) -> Asked {
         self.0.feed(bytes);
-        let line = match self.0.line(LONGEST_ASK) {
+        let line = match self.0.take_line(LONGEST_ASK) {
             Ok(None) => return Asked::NotYet,
             Ok(Some(line)) => line,
             Err(fault) => return Asked::Unreadable(fault.to_string()),
--- a/crates/dispatcher/src/changes/link.rs
+++ b/crates/dispatcher/src/changes/link.rs
@@ -1,7 +1,7 @@
 //! One connection to the change log: its bytes, how late its lines are, and what its end is told with.
 
 use copperroute_protocol::changes::{Decoder, Line};
-use copperroute_protocol::incoming::Unreadable;
+use copperroute_protocol::incoming::DecodeError;
 use copperroute_routing::change_log::Lateness;
 use copperroute_routing::interface::Nanos;
 use std::net::SocketAddr;
@@ -54,13 +54,13 @@
     }
 
     /// The next whole line, if there is one.
-    pub(super) fn next_line(&mut self, now: Nanos) -> Result<Option<Line>, Unreadable> {
+    pub(super) fn next_line(&mut self, now: Nanos) -> Result<Option<Line>, DecodeError> {
         let line = self.decoder.next_line()?;
         if let Some(line) = &line {
             self.lines += 1;
             self.last_line = Some(now);
             self.lateness.line_received(now);
-            if matches!(line, Line::Last(_)) {
+            if matches!(line, Line::Heartbeat(_)) {
                 self.lateness.heartbeat_received(now);
             }
         }
@@ -69,7 +69,7 @@
 
     /// Whether its bytes end within a line.
     pub(super) fn is_midway(&self) -> bool {
-        self.decoder.is_midway()
+        self.decoder.has_partial_line()
     }
 
     /// Whether it has told a whole line.
--- a/crates/dispatcher/src/changes/mod.rs
+++ b/crates/dispatcher/src/changes/mod.rs
@@ -330,9 +330,9 @@
                 self.merge.arrived(of, Arrival { number, bytes, digest, content: Content::Unusable(why) });
                 None
             }
-            Line::Last(last) if heard.is_leading => self.last(of, last, late_by, now, effects),
+            Line::Heartbeat(last) if heard.is_leading => self.last(of, last, late_by, now, effects),
             // Of a call that is not judged by: it may have waited for long, and renews no lease.
-            Line::Last(last) => {
+            Line::Heartbeat(last) => {
                 if last == self.merge.applied() {
                     self.knowledge.heartbeat_confirmed(now, late_by);
                 }
--- a/crates/dispatcher/src/changes/stream.rs
+++ b/crates/dispatcher/src/changes/stream.rs
@@ -8,7 +8,7 @@
 use crate::effects::{Effect, Peer, TimerKind};
 use crate::logs::LogRateLimiter;
 use copperroute_protocol::changes::{Line, encode_since};
-use copperroute_protocol::incoming::Unreadable;
+use copperroute_protocol::incoming::DecodeError;
 use copperroute_routing::calls::{ConnectionState as CallState, ReconnectSchedule, ReconnectSettings};
 use copperroute_routing::interface::Nanos;
 use std::fmt;
@@ -223,7 +223,7 @@
         &mut self,
         now: Nanos,
         effects: &mut Vec<Effect>,
-    ) -> Result<Option<Heard>, (u32, Unreadable)> {
+    ) -> Result<Option<Heard>, (u32, DecodeError)> {
         for at in 0..self.links.len() {
             let link = &mut self.links[at];
             let line = link.next_line(now).map_err(|fault| (link.connection, fault))?;
--- a/crates/dispatcher/src/changes/stricter.rs
+++ b/crates/dispatcher/src/changes/stricter.rs
@@ -1,6 +1,6 @@
 //! What acts where two replicas contradict each other under one number.
 
-use copperroute_protocol::changes::{Change, Fleet, State};
+use copperroute_protocol::changes::{Change, Fleet, NodeState};
 
 /// The part of the second content that restricts; `None` if nothing does. The first content acts already, so that of
 /// both together the stricter acts:
@@ -13,7 +13,7 @@
 pub fn stricter_part(second: &Change) -> Option<Change> {
     let drains = |fleet: &Fleet| {
         let servers: Vec<_> =
-            fleet.servers.iter().filter(|listed| listed.state != State::Active).cloned().collect();
+            fleet.servers.iter().filter(|listed| listed.state != NodeState::Active).cloned().collect();
         (!servers.is_empty()).then_some(Fleet { version: None, full: false, servers })
     };
     let restricting = Change {
--- a/crates/dispatcher/src/clients.rs
+++ b/crates/dispatcher/src/clients.rs
@@ -107,8 +107,8 @@
     /// All that came has been decoded, as far as it is whole.
     pub fn pauses(&mut self, now: Nanos) {
         self.decoding = false;
-        self.decoder.settle();
-        let waits_for_rest = self.decoder.is_midway() && !self.closing;
+        self.decoder.release_spare_memory();
+        let waits_for_rest = self.decoder.has_partial_message() && !self.closing;
         self.midway = waits_for_rest.then(|| self.midway.unwrap_or(now));
     }
 
--- a/crates/dispatcher/src/config.rs
+++ b/crates/dispatcher/src/config.rs
@@ -3,7 +3,7 @@
 use copperroute_config_rollout::faults::Faults;
 use copperroute_config_rollout::issue::{IssuedVersion, ValidationContext};
 use copperroute_config_rollout::rules::RuleSet;
-use copperroute_protocol::changes::Known;
+use copperroute_protocol::changes::KnownEvents;
 use copperroute_routing::calls::ReconnectSettings;
 use copperroute_routing::change_log::{Replica, select_replicas};
 use copperroute_routing::interface::{Settings, stable_hash};
@@ -23,7 +23,7 @@
     limits: Limits,
     changelog: SocketAddr,
     #[serde(default)]
-    known: Known,
+    known: KnownEvents,
     settings: serde_json::Value,
     /// What the own link carries in bytes a second: one answer, and all.
     #[serde(default)]
@@ -60,7 +60,7 @@
     /// Where the change log is.
     pub changelog: SocketAddr,
     /// The events up to the start.
-    pub known: Known,
+    pub known: KnownEvents,
     /// What the module is told.
     pub settings: Settings,
     /// What connections to nodes are held to.
--- a/crates/dispatcher/src/copies.rs
+++ b/crates/dispatcher/src/copies.rs
@@ -220,7 +220,7 @@
 
     /// An object, or a group, was purged at a Unix millisecond. What has no such name here lets all copies go.
     pub fn purge(&mut self, object: Option<&str>, group: Option<u64>, at_ms: u64, now: Nanos) {
-        match (object.map(Hex::read), group.map(u8::try_from)) {
+        match (object.map(Hex::parse), group.map(u8::try_from)) {
             (Some(Some(object)), _) => {
                 let object = object.bytes();
                 self.memory.remove_all(|key, _| key.object == object);
--- a/crates/dispatcher/src/event_loop/mod.rs
+++ b/crates/dispatcher/src/event_loop/mod.rs
@@ -17,7 +17,7 @@
 use copperroute_cache_store::disk::{Disk, Found, Limits, Location, Sync};
 use copperroute_cache_store::record::Facts;
 use copperroute_cache_store::worker::{Answers, Worker};
-use copperroute_protocol::changes::Known;
+use copperroute_protocol::changes::KnownEvents;
 use copperroute_routing::interface::Nanos;
 use copperroute_settings::operator::{Numbers, SyncWhen};
 use socket2::{Domain, Protocol, Socket, Type};
--- a/crates/dispatcher/src/event_loop/startup.rs
+++ b/crates/dispatcher/src/event_loop/startup.rs
@@ -44,7 +44,7 @@
 }
 
 /// A disk as it may be used: with what was found, or with nothing where that can't be judged.
-fn judged(mut disk: Disk, found: Found, known: Option<&Known>) -> io::Result<Disk> {
+fn judged(mut disk: Disk, found: Found, known: Option<&KnownEvents>) -> io::Result<Disk> {
     let trusted = known.is_some_and(|known| covers_purges_after(known, disk.seq()));
     if !trusted && found.copies > 0 {
         disk.clear()?;
--- a/crates/dispatcher/src/last_list.rs
+++ b/crates/dispatcher/src/last_list.rs
@@ -4,7 +4,7 @@
 //! configuration's `known`. SAVED is the Unix millisecond at which the service was last heard, OF tells whose it is,
 //! CRC is CRC-32C of all before it on the line and of the JSON.
 
-use copperroute_protocol::changes::{Change, Fleet, Known, Listed, Purge, State};
+use copperroute_protocol::changes::{Change, Fleet, KnownEvents, ListedNode, NodeState, Purge};
 use copperroute_routing::interface::Nanos;
 use std::collections::BTreeMap;
 
@@ -26,7 +26,7 @@
 pub struct LastList {
     of: u64,
     keep_purges: Nanos,
-    nodes: BTreeMap<String, Listed>,
+    nodes: BTreeMap<String, ListedNode>,
     /// Purges, each with when it was heard of.
     purges: Vec<(Nanos, Change)>,
     /// Versions of the rules: those to come, and the last one before.
@@ -66,7 +66,7 @@
             }
             for listed in &fleet.servers {
                 match listed.state {
-                    State::Left => drop(self.nodes.remove(&listed.id)),
+                    NodeState::Left => drop(self.nodes.remove(&listed.id)),
                     _ => drop(self.nodes.insert(listed.id.clone(), listed.clone())),
                 }
             }
@@ -111,7 +111,7 @@
         let fleet = Some(Fleet { version: self.version, full: true, servers });
         let list = Change { seq: self.seq, fleet, invalidate: None, rules: None, agreed: None };
         let results = [vec![list], purges, self.rules.clone()].concat();
-        Some(encode(&Known { seq: self.seq, results }, unix_ms, self.of))
+        Some(encode(&KnownEvents { seq: self.seq, results }, unix_ms, self.of))
     }
 }
 
@@ -121,7 +121,7 @@
 }
 
 /// A list as it stands in its file.
-pub fn encode(known: &Known, saved_ms: u64, of: u64) -> Vec<u8> {
+pub fn encode(known: &KnownEvents, saved_ms: u64, of: u64) -> Vec<u8> {
     let body = serde_json::to_vec(known).unwrap_or_default();
     let line = format!("{MAGIC} {} {saved_ms} {of:016x} {}", known.seq, body.len());
     let sum = crc32c::crc32c_append(crc32c::crc32c(line.as_bytes()), &body);
@@ -136,7 +136,7 @@
     of: u64,
     most_age_ms: u64,
     known: u64,
-) -> Result<(Known, u64), String> {
+) -> Result<(KnownEvents, u64), String> {
     let end = bytes.iter().position(|byte| *byte == b'\n').ok_or("torn: no first line")?;
     let line = std::str::from_utf8(&bytes[..end]).map_err(|_| "no list: its first line is no text")?;
     let body = &bytes[end + 1..];
--- a/crates/dispatcher/src/nodes/connections.rs
+++ b/crates/dispatcher/src/nodes/connections.rs
@@ -51,10 +51,10 @@
         let Some(connection) = self.connections.get_mut(&number) else { return Next::Nothing };
         match connection.decoder.next_message() {
             Ok(None) => {
-                connection.decoder.settle();
+                connection.decoder.release_spare_memory();
                 Next::Nothing
             }
-            Ok(Some(Message::Alive { tag, takes_work })) => {
+            Ok(Some(Message::ProbeAnswer { tag, takes_work })) => {
                 let node = connection.node;
                 match tag.and_then(|tag| self.probes.answered(tag, node, takes_work)) {
                     Some(asked) => Next::Alive(node, asked, takes_work),
@@ -142,7 +142,8 @@
 
     /// The connections on which an answer has begun and does not go on: they are of no further use.
     pub fn stuck(&mut self, now: Nanos) -> Vec<u32> {
-        let stuck = |c: &Connection| !self.held_back && c.decoder.is_midway() && now.since(c.heard) > STUCK;
+        let stuck =
+            |c: &Connection| !self.held_back && c.decoder.has_partial_message() && now.since(c.heard) > STUCK;
         let mut stuck: Vec<_> = self.connections.iter().filter(|(_, c)| stuck(c)).map(|(n, _)| *n).collect();
         stuck.sort();
         for connection in stuck.iter().filter_map(|number| self.connections.get(number)) {
--- a/crates/dispatcher/src/nodes/mod.rs
+++ b/crates/dispatcher/src/nodes/mod.rs
@@ -4,7 +4,7 @@
 use crate::effects::{Effect, Peer, TimerKind};
 use crate::logs::LogRateLimiter;
 use copperroute_protocol::hex::Hex;
-use copperroute_protocol::nodes::{Decoder, Fetch, Message, encode_abort, encode_alive, encode_fetch};
+use copperroute_protocol::nodes::{Decoder, Fetch, Message, encode_abort, encode_fetch, encode_probe};
 use copperroute_routing::fleet::connection_back_off::{ConnectionBackOff, NodeBackOff};
 use copperroute_routing::interface::{Nanos, NodeId, Outcome, Readiness};
 use copperroute_routing::state::Slots;
--- a/crates/dispatcher/src/nodes/probes.rs
+++ b/crates/dispatcher/src/nodes/probes.rs
@@ -35,7 +35,7 @@
     /// A new probe of a node; `None` if no tag can be made.
     fn ask(&mut self, node: NodeId, now: Nanos) -> Option<Hex> {
         self.last = self.last.wrapping_add(1);
-        let tag = Hex::read(&format!("{:016x}", self.last))?;
+        let tag = Hex::parse(&format!("{:016x}", self.last))?;
         if self.open.len() >= MOST_OPEN {
             self.open.pop_front();
         }
@@ -72,7 +72,7 @@
             return;
         };
         let mut bytes = Vec::new();
-        encode_alive(tag, &mut bytes);
+        encode_probe(tag, &mut bytes);
         connection.queued += bytes.len() as u64;
         effects.push(Effect::Write(Peer::Node(number), bytes));
     }
--- a/crates/dispatcher/src/reducer/changes.rs
+++ b/crates/dispatcher/src/reducer/changes.rs
@@ -148,7 +148,7 @@
         self.life.move_to(Phase::Serving);
     }
 
-    pub(super) fn entry(&mut self, now: Nanos, listed: &Listed, is_live: bool) -> NodeEntry {
+    pub(super) fn entry(&mut self, now: Nanos, listed: &ListedNode, is_live: bool) -> NodeEntry {
         let place = |names: &[String], name: &str| place(names, name).unwrap_or(UNKNOWN_ID);
         let readiness = listed.state.into();
         let start = self.start_of(now, listed, is_live);
@@ -176,7 +176,7 @@
 /// The marks of a purge for the disk.
 fn marks(object: Option<&str>, group: Option<u64>, at_ms: u64, seq: u64) -> Option<Effect> {
     match object {
-        Some(object) => Hex::read(object).map(|object| Effect::MarkObjectPurged(object.bytes(), at_ms, seq)),
+        Some(object) => Hex::parse(object).map(|object| Effect::MarkObjectPurged(object.bytes(), at_ms, seq)),
         None => group.and_then(|of| u8::try_from(of).ok()).map(|of| Effect::MarkGroupPurged(of, at_ms, seq)),
     }
 }
--- a/crates/dispatcher/src/reducer/clients.rs
+++ b/crates/dispatcher/src/reducer/clients.rs
@@ -122,7 +122,7 @@
         let once = self.settings.content_types[content_type as usize].retry_safety != RetrySafety::Retriable;
         let object_hash = stable_hash(request.object.as_str().as_bytes());
         let (part, group) = (request.part, request.group);
-        let (is_retry, size_kb) = (request.repeat, request.size_kb);
+        let (is_retry, size_kb) = (request.is_retry, request.size_kb);
         let body_hash = if request.body.is_empty() { 0 } else { stable_hash(&request.body) };
         let from = self.request_table.clients.from(client);
         let (request_id, object, deadline) = self.request_table.open(client, tag, request, of_copies, once);
@@ -160,7 +160,7 @@
         self.module.served_from_own_copy(now, routing_request, &mut self.request_table);
         match own {
             Own::Bytes(body) => self.request_table.answer(routing_request.request_id, Answer::Served(&body)),
-            Own::Current => self.request_table.answer(routing_request.request_id, Answer::Current),
+            Own::Current => self.request_table.answer(routing_request.request_id, Answer::NotModified),
         }
         self.request_table.release(routing_request.request_id);
     }
--- a/crates/dispatcher/src/reducer/mod.rs
+++ b/crates/dispatcher/src/reducer/mod.rs
@@ -17,7 +17,7 @@
 use crate::request_table::RequestTable;
 use copperroute_cache_store::record::{Facts, Key};
 use copperroute_config_rollout::rules::RuleSet;
-use copperroute_protocol::changes::{Change, Fleet, Listed, Purge};
+use copperroute_protocol::changes::{Change, Fleet, ListedNode, Purge};
 use copperroute_protocol::clients::{Answer, Message, Request};
 use copperroute_protocol::hex::Hex;
 use copperroute_routing::change_log::{Heartbeats, Knowledge};
--- a/crates/dispatcher/src/reducer/moments.rs
+++ b/crates/dispatcher/src/reducer/moments.rs
@@ -31,7 +31,7 @@
     }
 
     /// When a node started, at the earliest, as its line tells it: no later than that was first heard.
-    pub(super) fn start_of(&self, now: Nanos, listed: &Listed, is_live: bool) -> Option<Start> {
+    pub(super) fn start_of(&self, now: Nanos, listed: &ListedNode, is_live: bool) -> Option<Start> {
         let unix_ms = listed.started_ms.filter(|ms| *ms > 0)?;
         let before = self.request_table.start(&listed.id);
         if let Some(same) = before.filter(|before| before.unix_ms == unix_ms) {
--- a/crates/dispatcher/src/request_table/attempts.rs
+++ b/crates/dispatcher/src/request_table/attempts.rs
@@ -28,15 +28,15 @@
             let short = self.is_short_for(client);
             self.answer(
                 attempt.request_id,
-                match told.current {
-                    true => Answer::Current,
+                match told.not_modified {
+                    true => Answer::NotModified,
                     // It may have run, so nothing is promised; others are served from what memory is left.
                     false if short => Answer::Failed,
                     false => Answer::Served(&told.body),
                 },
             );
         }
-        let first_byte_wait = told.and_then(|told| told.waited);
+        let first_byte_wait = told.and_then(|told| told.first_byte_wait);
         let remark = told.map_or(Remark::None, |told| told.remark);
         let report = told.map_or(LoadReport::default(), |told| told.report);
         self.ended.push_back((
@@ -83,12 +83,12 @@
                 content_type: &request.content_type,
                 object: request.object,
                 part: request.part,
-                wait: out.until(pending).since(now),
+                timeout: out.until(pending).since(now),
                 source: out.source.as_deref(),
                 // The age means the same moment as when it was ordered.
-                order: Attempt { max_age: order.max_age.map(|age| age.after(now.since(out.at))), ..*order },
-                held: request.held,
-                mark: request.mark.as_deref(),
+                attempt: Attempt { max_age: order.max_age.map(|age| age.after(now.since(out.at))), ..*order },
+                cached_tag: request.cached_tag,
+                idempotency_key: request.idempotency_key.as_deref(),
                 body: &request.body,
             };
             Some((fetch, pending.expires, pending.once))
@@ -142,8 +142,8 @@
     pub(super) fn is_sound(&self, attempt: AttemptId, answer: &nodes::Answer) -> bool {
         let Some(pending) = self.pending.get(attempt.request_id.0) else { return true };
         let copy = answer.copy.is_some() || !pending.of_copies;
-        let current = pending.request.held.is_some() && answer.body.is_empty();
-        answer.outcome != Outcome::Served || (copy && (current || !answer.current))
+        let current = pending.request.cached_tag.is_some() && answer.body.is_empty();
+        answer.outcome != Outcome::Served || (copy && (current || !answer.not_modified))
     }
 
     /// A connection to a node is over, or never came up: what had not left whole never ran.
--- a/crates/dispatcher/src/request_table/mod.rs
+++ b/crates/dispatcher/src/request_table/mod.rs
@@ -76,7 +76,7 @@
 impl PendingRequest {
     /// The copy that an answer brings, for those who keep them.
     fn offer(&self, answer: &nodes::Answer) -> Option<(RoutingRequest, Offered)> {
-        let (routing_request, (etag, made_ms)) = (self.told?, answer.copy.filter(|_| !answer.current)?);
+        let (routing_request, (etag, made_ms)) = (self.told?, answer.copy.filter(|_| !answer.not_modified)?);
         let key = copies::key(routing_request.content_type.0, self.request.object, self.request.part)?;
         let group = self.request.group.and_then(|group| u8::try_from(group).ok());
         let facts = Facts { etag: etag.bytes(), made_ms, group };
@@ -213,7 +213,7 @@
     pub fn asked_for(&self, request_id: RequestId) -> Option<(Hex, u64, Option<Hex>)> {
         self.pending
             .get(request_id.0)
-            .map(|pending| (pending.request.object, pending.request.part, pending.request.held))
+            .map(|pending| (pending.request.object, pending.request.part, pending.request.cached_tag))
     }
 
     /// The module is told of a request in these words.
--- a/crates/dispatcher/src/snapshot_writer.rs
+++ b/crates/dispatcher/src/snapshot_writer.rs
@@ -4,7 +4,7 @@
 use crate::last_list::{self, LARGEST};
 use copperroute_cache_store::files::{FileSystem, Files, read_whole, replace};
 use copperroute_cache_store::reopening::Reopening;
-use copperroute_protocol::changes::Known;
+use copperroute_protocol::changes::KnownEvents;
 use copperroute_routing::interface::Nanos;
 use std::io;
 use std::path::{Path, PathBuf};
@@ -26,7 +26,7 @@
     of: u64,
     most_age_ms: u64,
     known: u64,
-) -> Result<Option<(Known, u64)>, String> {
+) -> Result<Option<(KnownEvents, u64)>, String> {
     find_among(&FileSystem, folder, unix_ms, of, most_age_ms, known)
 }
 
@@ -38,7 +38,7 @@
     of: u64,
     most_age_ms: u64,
     known: u64,
-) -> Result<Option<(Known, u64)>, String> {
+) -> Result<Option<(KnownEvents, u64)>, String> {
     let path = folder.join(NAME);
     let named = |why: String| format!("{}: {why}", path.display());
     let Some(bytes) = read_whole(files, &path, LARGEST).map_err(|fault| named(fault.to_string()))? else {
--- a/crates/dispatcher/tests/dispatcher/folders.rs
+++ b/crates/dispatcher/tests/dispatcher/folders.rs
@@ -4,7 +4,7 @@
 use copperroute_dispatcher::last_list::{decode, encode};
 use copperroute_dispatcher::purge_cover::covers_purges_after;
 use copperroute_dispatcher::snapshot_writer::{SnapshotWriter, find_among};
-use copperroute_protocol::changes::{Change, Known};
+use copperroute_protocol::changes::{Change, KnownEvents};
 use expect_test::expect;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -29,7 +29,7 @@
 
 /// After which marks on disk all later purges are told.
 fn trusted(seq: u64, results: Vec<Change>) -> String {
-    let known = Known { seq, results };
+    let known = KnownEvents { seq, results };
     let marked = (0..=seq + 1).filter(|marked| covers_purges_after(&known, *marked));
     format!("{:?}\n", marked.collect::<Vec<_>>())
 }
@@ -61,7 +61,7 @@
 }
 
 fn kept(seq: u64) -> Vec<u8> {
-    encode(&Known { seq, results: vec![list(seq, true), purge(seq)] }, NOW, 7)
+    encode(&KnownEvents { seq, results: vec![list(seq, true), purge(seq)] }, NOW, 7)
 }
 
 fn found(files: &Memory) -> Result<Option<u64>, String> {
--- a/crates/dispatcher/tests/dispatcher/last_list.rs
+++ b/crates/dispatcher/tests/dispatcher/last_list.rs
@@ -4,7 +4,7 @@
 use copperroute_dispatcher::config::Config;
 use copperroute_dispatcher::last_list::{LastList, decode, encode};
 use copperroute_dispatcher::snapshot_writer::{SnapshotWriter, find};
-use copperroute_protocol::changes::{Change, Known};
+use copperroute_protocol::changes::{Change, KnownEvents};
 use copperroute_routing::interface::Nanos;
 use copperroute_settings::operator::LastList as Told;
 use expect_test::expect;
@@ -78,7 +78,7 @@
 
 #[test]
 fn foreign_old_and_future_lists_are_refused_in_one_line() {
-    let known = Known { seq: 9, results: vec![fleet(9, true, &[node("s-a", "active")])] };
+    let known = KnownEvents { seq: 9, results: vec![fleet(9, true, &[node("s-a", "active")])] };
     let bytes = encode(&known, NOW, 7);
     let tries = [
         ("as it is", decode(&bytes, NOW + 5_000, 7, HOUR, 8)),
@@ -139,7 +139,7 @@
     let snapshot_writer = SnapshotWriter::start(folder.clone()).expect("a folder");
     assert_eq!(find(&folder, NOW, 7, HOUR, 0), Ok(None));
     let last =
-        |seq| encode(&Known { seq, results: vec![fleet(seq, true, &[node("s-a", "active")])] }, NOW, 7);
+        |seq| encode(&KnownEvents { seq, results: vec![fleet(seq, true, &[node("s-a", "active")])] }, NOW, 7);
     for seq in 1..200 {
         snapshot_writer.keep(last(seq));
         // Whenever it is looked at, there is a whole list or none.
--- a/crates/protocol/src/changes.rs
+++ b/crates/protocol/src/changes.rs
@@ -1,6 +1,6 @@
 //! The change log: one JSON value a line, and the events that the configuration holds from before.
 
-use crate::incoming::{Incoming, Unreadable};
+use crate::incoming::{DecodeError, ReceiveBuffer};
 use copperroute_routing::interface::Readiness;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -9,7 +9,7 @@
 
 /// A node as the change log lists it.
 #[derive(Debug, Clone, PartialEq, Deserialize, Serialize)]
-pub struct Listed {
+pub struct ListedNode {
     /// Its id.
     pub id: String,
     /// Where it listens; one that has gone may have none.
@@ -24,7 +24,7 @@
     #[serde(default)]
     pub cell: Option<u32>,
     /// Whether it takes work.
-    pub state: State,
+    pub state: NodeState,
     /// Its size in relation to others.
     #[serde(default)]
     pub weight: Option<f64>,
@@ -36,7 +36,7 @@
 /// The states of a node.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum State {
+pub enum NodeState {
     /// Takes work.
     Active,
     /// Is draining.
@@ -45,12 +45,12 @@
     Left,
 }
 
-impl From<State> for Readiness {
-    fn from(state: State) -> Self {
+impl From<NodeState> for Readiness {
+    fn from(state: NodeState) -> Self {
         match state {
-            State::Active => Readiness::Ready,
-            State::Leaving => Readiness::Draining,
-            State::Left => Readiness::Gone,
+            NodeState::Active => Readiness::Ready,
+            NodeState::Leaving => Readiness::Draining,
+            NodeState::Left => Readiness::Gone,
         }
     }
 }
@@ -65,7 +65,7 @@
     #[serde(default)]
     pub full: bool,
     /// The nodes that it tells of.
-    pub servers: Vec<Listed>,
+    pub servers: Vec<ListedNode>,
 }
 
 /// A purge of an object or a group.
@@ -98,7 +98,7 @@
 
 /// The events up to the start.
 #[derive(Debug, Clone, Default, PartialEq, Deserialize, Serialize)]
-pub struct Known {
+pub struct KnownEvents {
     /// The number of the last.
     pub seq: u64,
     /// The events.
@@ -109,7 +109,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Line {
     /// The last number, once a second.
-    Last(u64),
+    Heartbeat(u64),
     /// An event.
     Change(Box<Change>),
     /// The number of an event that can't be used, and why.
@@ -148,7 +148,7 @@
 
 /// Decodes the change log.
 #[derive(Debug, Default)]
-pub struct Decoder(Incoming);
+pub struct Decoder(ReceiveBuffer);
 
 impl Decoder {
     /// Takes bytes as they came.
@@ -157,15 +157,15 @@
     }
 
     /// Whether part of a line has come and the rest has not.
-    pub fn is_midway(&self) -> bool {
+    pub fn has_partial_line(&self) -> bool {
         !self.0.is_empty()
     }
 
     /// The next whole line; an error means that no more can be read here.
-    pub fn next_line(&mut self) -> Result<Option<Line>, Unreadable> {
-        let Some(line) = self.0.line(LONGEST_LINE)? else { return Ok(None) };
+    pub fn next_line(&mut self) -> Result<Option<Line>, DecodeError> {
+        let Some(line) = self.0.take_line(LONGEST_LINE)? else { return Ok(None) };
         if let Some(last) = heartbeat(&line) {
-            return Ok(Some(Line::Last(last)));
+            return Ok(Some(Line::Heartbeat(last)));
         }
         let fault = match serde_json::from_str(&line) {
             Ok(change) => return Ok(Some(Line::Change(Box::new(change)))),
@@ -173,7 +173,7 @@
         };
         match serde_json::from_str(&line) {
             Ok(Numbered { seq }) => Ok(Some(Line::Unusable(seq, fault))),
-            Err(_) => Err(Unreadable(fault)),
+            Err(_) => Err(DecodeError(fault)),
         }
     }
 }
--- a/crates/protocol/src/clients.rs
+++ b/crates/protocol/src/clients.rs
@@ -1,7 +1,7 @@
 //! Clients: RESP arrays of bulk strings.
 
 use crate::hex::Hex;
-use crate::incoming::{Incoming, Unreadable, digits};
+use crate::incoming::{DecodeError, ReceiveBuffer, parse_decimal};
 
 /// The most bytes of each item of a message: verb, tag, content type, fields, body.
 const ITEMS: [usize; 5] = [16, 20, 128, 4096, 48_000];
@@ -23,7 +23,7 @@
     /// How long the client waits, in milliseconds.
     pub timeout_ms: u64,
     /// A client's retry.
-    pub repeat: bool,
+    pub is_retry: bool,
     /// The object.
     pub object: Hex,
     /// The part of it.
@@ -33,9 +33,9 @@
     /// The size of the part, as the deployment counts it.
     pub size_kb: Option<f64>,
     /// The tag of a copy that the client holds.
-    pub held: Option<Hex>,
+    pub cached_tag: Option<Hex>,
     /// The mark by which a repeat of a deduped request is known, passed on unchanged.
-    pub mark: Option<String>,
+    pub idempotency_key: Option<String>,
     /// What a write brings.
     pub body: Vec<u8>,
 }
@@ -59,7 +59,7 @@
     /// Served, with the bytes.
     Served(&'a [u8]),
     /// Served: the client's own copy is the one.
-    Current,
+    NotModified,
     /// Trying again is harmless, after so many milliseconds if given.
     Rejected(Option<u64>),
     /// Nothing is promised.
@@ -73,7 +73,7 @@
 /// Decodes what one client sends.
 #[derive(Debug, Default)]
 pub struct Decoder {
-    incoming: Incoming,
+    incoming: ReceiveBuffer,
     /// Items still to come of the array at hand.
     missing: usize,
     /// The length of the item at hand.
@@ -81,9 +81,9 @@
     items: Vec<Vec<u8>>,
 }
 
-fn count(line: &str, mark: char, most: usize) -> Result<usize, Unreadable> {
-    let number = line.strip_prefix(mark).and_then(|number| digits(number, most as u64));
-    let expected = || Unreadable(format!("expected '{mark}' and a length up to {most}, found '{line}'"));
+fn count(line: &str, mark: char, most: usize) -> Result<usize, DecodeError> {
+    let number = line.strip_prefix(mark).and_then(|number| parse_decimal(number, most as u64));
+    let expected = || DecodeError(format!("expected '{mark}' and a length up to {most}, found '{line}'"));
     number.map(|number| number as usize).ok_or_else(expected)
 }
 
@@ -113,21 +113,21 @@
         }
     }
     let wrong = |at: usize| format!("{}: can't be '{}'", names[at], values[at].unwrap_or_default());
-    let hex = |at: usize| values[at].map(|value| Hex::read(value).ok_or_else(|| wrong(at))).transpose();
+    let hex = |at: usize| values[at].map(|value| Hex::parse(value).ok_or_else(|| wrong(at))).transpose();
     let number = |at: usize, most: u64| {
-        values[at].map(|value| digits(value, most).ok_or_else(|| wrong(at))).transpose()
+        values[at].map(|value| parse_decimal(value, most).ok_or_else(|| wrong(at))).transpose()
     };
     Ok(Request {
         content_type: text(content_type)?.to_string(),
         id: hex(0)?.ok_or_else(|| wrong(0))?,
         timeout_ms: number(1, u64::MAX)?.filter(|ms| *ms > 0).ok_or_else(|| wrong(1))?,
-        repeat: number(2, 1)? == Some(1),
+        is_retry: number(2, 1)? == Some(1),
         object: hex(3)?.ok_or_else(|| wrong(3))?,
         part: number(4, MOST_PART)?.unwrap_or_default(),
         group: number(5, MOST_GROUP)?,
         size_kb: values[6].map(|value| size(value).ok_or_else(|| wrong(6))).transpose()?,
-        held: hex(7)?,
-        mark: values[8].map(|value| mark(value).ok_or_else(|| wrong(8))).transpose()?,
+        cached_tag: hex(7)?,
+        idempotency_key: values[8].map(|value| mark(value).ok_or_else(|| wrong(8))).transpose()?,
         body,
     })
 }
@@ -139,35 +139,37 @@
     }
 
     /// Whether part of a message has come and the rest has not.
-    pub fn is_midway(&self) -> bool {
+    pub fn has_partial_message(&self) -> bool {
         self.missing > 0 || !self.incoming.is_empty()
     }
 
     /// Lets go of room that is not needed until more comes.
-    pub fn settle(&mut self) {
-        self.incoming.settle();
+    pub fn release_spare_memory(&mut self) {
+        self.incoming.release_spare_memory();
     }
 
     /// Bytes that wait for the rest of their message.
-    pub fn waiting(&self) -> usize {
+    pub fn buffered_bytes(&self) -> usize {
         self.incoming.len() + self.items.iter().map(Vec::len).sum::<usize>()
     }
 
     /// The next whole message; an error means that no more can be read here.
-    pub fn next_message(&mut self) -> Result<Option<Message>, Unreadable> {
+    pub fn next_message(&mut self) -> Result<Option<Message>, DecodeError> {
         while self.missing > 0 || self.items.is_empty() {
             if self.missing == 0 {
-                let Some(line) = self.incoming.line(LONGEST_LINE)? else { return Ok(None) };
+                let Some(line) = self.incoming.take_line(LONGEST_LINE)? else { return Ok(None) };
                 self.missing = count(&line, '*', ITEMS.len())?;
                 if self.missing == 0 {
-                    return Err(Unreadable("an empty array".into()));
+                    return Err(DecodeError("an empty array".into()));
                 }
             }
             if self.length.is_none() {
-                let Some(line) = self.incoming.line(LONGEST_LINE)? else { return Ok(None) };
+                let Some(line) = self.incoming.take_line(LONGEST_LINE)? else { return Ok(None) };
                 self.length = Some(count(&line, '$', ITEMS[self.items.len()])?);
             }
-            let Some(item) = self.incoming.block(self.length.unwrap_or_default())? else { return Ok(None) };
+            let Some(item) = self.incoming.take_block(self.length.unwrap_or_default())? else {
+                return Ok(None);
+            };
             self.items.push(item);
             self.length = None;
             self.missing -= 1;
@@ -175,12 +177,15 @@
         Self::message(std::mem::take(&mut self.items)).map(Some)
     }
 
-    fn message(items: Vec<Vec<u8>>) -> Result<Message, Unreadable> {
+    fn message(items: Vec<Vec<u8>>) -> Result<Message, DecodeError> {
         let mut items = items.into_iter();
         let verb = items.next().unwrap_or_default();
         let tag = items.next().unwrap_or_default();
-        let tag = std::str::from_utf8(&tag).ok().and_then(|tag| digits(tag, MOST_TAG)).filter(|tag| *tag > 0);
-        let tag = tag.ok_or_else(|| Unreadable("a message without a tag".into()))?;
+        let tag = std::str::from_utf8(&tag)
+            .ok()
+            .and_then(|tag| parse_decimal(tag, MOST_TAG))
+            .filter(|tag| *tag > 0);
+        let tag = tag.ok_or_else(|| DecodeError("a message without a tag".into()))?;
         match verb.as_slice() {
             b"REQ" if items.len() < 2 => Ok(Message::Unusable(tag, "a request without its fields".into())),
             b"REQ" => {
@@ -202,7 +207,7 @@
     /// The word that it is written with.
     pub fn word(&self) -> &'static str {
         match self {
-            Answer::Served(_) | Answer::Current => "OK",
+            Answer::Served(_) | Answer::NotModified => "OK",
             Answer::Rejected(_) => "BUSY",
             Answer::Failed => "FAILED",
             Answer::Up => "UP",
@@ -215,7 +220,7 @@
 pub fn encode(tag: u64, answer: Answer<'_>) -> Vec<u8> {
     let (fields, body): (String, &[u8]) = match answer {
         Answer::Served(body) => (String::new(), body),
-        Answer::Current => ("keep=1".into(), b""),
+        Answer::NotModified => ("keep=1".into(), b""),
         Answer::Rejected(Some(ms)) => (format!("holdoff={ms}"), b""),
         _ => (String::new(), b""),
     };
--- a/crates/protocol/src/hex.rs
+++ b/crates/protocol/src/hex.rs
@@ -8,7 +8,7 @@
 
 impl Hex {
     /// From a text of that form.
-    pub fn read(text: &str) -> Option<Hex> {
+    pub fn parse(text: &str) -> Option<Hex> {
         let digits: [u8; 16] = text.as_bytes().try_into().ok()?;
         digits.iter().all(u8::is_ascii_hexdigit).then_some(Hex(digits))
     }
--- a/crates/protocol/src/nodes.rs
+++ b/crates/protocol/src/nodes.rs
@@ -1,7 +1,7 @@
 //! Nodes: lines of words; where the last word is a length, so many bytes follow.
 
 use crate::hex::Hex;
-use crate::incoming::{Incoming, Unreadable, digits, fields};
+use crate::incoming::{DecodeError, ReceiveBuffer, parse_decimal, parse_fields};
 use copperroute_routing::interface::{Attempt, LoadReport, Nanos, Outcome, Remark};
 use std::fmt::Write as _;
 
@@ -21,15 +21,15 @@
     /// The part of it.
     pub part: u64,
     /// How long it is waited for.
-    pub wait: Nanos,
+    pub timeout: Nanos,
     /// Who fills a miss; nobody if absent.
     pub source: Option<&'a str>,
     /// The attempt as it was ordered; its age limit is that of the moment of writing.
-    pub order: Attempt,
+    pub attempt: Attempt,
     /// The tag of the client's copy.
-    pub held: Option<Hex>,
+    pub cached_tag: Option<Hex>,
     /// The mark by which a repeat is known.
-    pub mark: Option<&'a str>,
+    pub idempotency_key: Option<&'a str>,
     /// What a write brings.
     pub body: &'a [u8],
 }
@@ -42,13 +42,13 @@
     /// How the attempt ended.
     pub outcome: Outcome,
     /// The client's copy is the one.
-    pub current: bool,
+    pub not_modified: bool,
     /// The tag of the copy and the Unix millisecond at which it was made, where both are told.
     pub copy: Option<(Hex, u64)>,
     /// How it came about.
     pub remark: Remark,
     /// The time waited for the source.
-    pub waited: Option<Nanos>,
+    pub first_byte_wait: Option<Nanos>,
     /// The load report.
     pub report: LoadReport,
     /// The bytes.
@@ -61,7 +61,7 @@
     /// An attempt has ended.
     Answer(Answer),
     /// A probe is answered.
-    Alive {
+    ProbeAnswer {
         /// The probe's tag; nothing if it has not the form of one.
         tag: Option<Hex>,
         /// The node takes work.
@@ -82,11 +82,11 @@
         fetch.content_type,
         fetch.object,
         fetch.part,
-        millis(fetch.wait)
+        millis(fetch.timeout)
     );
     // Writing to a string cannot fail.
     let _ = fetch.source.map_or(Ok(()), |source| write!(line, ",src={source}"));
-    let order = &fetch.order;
+    let order = &fetch.attempt;
     let _ = if order.rank > 0 { write!(line, ",keep={}", order.rank) } else { Ok(()) };
     let _ = order.max_age.map_or(Ok(()), |age| write!(line, ",maxage={}", millis(age)));
     let flags = [
@@ -97,8 +97,8 @@
     ];
     let flags: Vec<_> = flags.iter().filter(|flag| flag.0).map(|flag| flag.1).collect();
     let _ = if flags.is_empty() { Ok(()) } else { write!(line, ",flags={}", flags.join("+")) };
-    let _ = fetch.held.map_or(Ok(()), |tag| write!(line, ",have={tag}"));
-    let _ = fetch.mark.map_or(Ok(()), |mark| write!(line, ",dedupe={mark}"));
+    let _ = fetch.cached_tag.map_or(Ok(()), |tag| write!(line, ",have={tag}"));
+    let _ = fetch.idempotency_key.map_or(Ok(()), |mark| write!(line, ",dedupe={mark}"));
     let _ = write!(line, " {}\r\n", fetch.body.len());
     bytes.extend_from_slice(line.as_bytes());
     bytes.extend_from_slice(fetch.body);
@@ -111,14 +111,14 @@
 }
 
 /// Writes a probe to the end of `bytes`: whether the node takes work.
-pub fn encode_alive(tag: Hex, bytes: &mut Vec<u8>) {
+pub fn encode_probe(tag: Hex, bytes: &mut Vec<u8>) {
     bytes.extend_from_slice(format!("alive {tag}\r\n").as_bytes());
 }
 
 /// Decodes what one node answers.
 #[derive(Debug, Default)]
 pub struct Decoder {
-    incoming: Incoming,
+    incoming: ReceiveBuffer,
     /// A message whose bytes are still to come, and how many.
     begun: Option<(Message, usize)>,
 }
@@ -150,15 +150,15 @@
 }
 
 /// The head of a message and the length of its bytes.
-fn head(line: &str) -> Result<(Message, usize), Unreadable> {
+fn head(line: &str) -> Result<(Message, usize), DecodeError> {
     let shown: String = line.chars().take(80).collect();
-    let unreadable = || Unreadable(format!("expected an answer, found '{}'", shown.escape_debug()));
+    let unreadable = || DecodeError(format!("expected an answer, found '{}'", shown.escape_debug()));
     let words: Vec<_> = line.split(' ').collect();
     let [id, word, list, length] = words[..] else { return Err(unreadable()) };
-    let length = digits(length, LONGEST_BODY).ok_or_else(unreadable)? as usize;
+    let length = parse_decimal(length, LONGEST_BODY).ok_or_else(unreadable)? as usize;
     let outcome = match word {
         "yes" | "no" => {
-            return Ok((Message::Alive { tag: Hex::read(id), takes_work: word == "yes" }, length));
+            return Ok((Message::ProbeAnswer { tag: Hex::parse(id), takes_work: word == "yes" }, length));
         }
         "ok" | "current" => Outcome::Served,
         "nothing" => Outcome::Missed,
@@ -168,24 +168,24 @@
         _ => return Err(unreadable()),
     };
     let mut answer = Answer {
-        id: Hex::read(id),
+        id: Hex::parse(id),
         outcome,
-        current: word == "current",
+        not_modified: word == "current",
         copy: None,
         remark: Remark::None,
-        waited: None,
+        first_byte_wait: None,
         report: LoadReport::default(),
         body: Vec::new(),
     };
     let (mut tag, mut made) = (None, None);
-    for (name, value) in fields(list) {
+    for (name, value) in parse_fields(list) {
         match name {
-            "etag" => tag = Hex::read(value),
-            "made" => made = digits(value, u64::MAX),
+            "etag" => tag = Hex::parse(value),
+            "made" => made = parse_decimal(value, u64::MAX),
             "why" => answer.remark = remark(value),
             "ttfb" => {
                 let waited = value.parse::<f64>().ok().filter(|ms| ms.is_finite() && *ms > 0.0);
-                answer.waited = waited.map(|ms| Nanos::from_secs(ms / 1e3));
+                answer.first_byte_wait = waited.map(|ms| Nanos::from_secs(ms / 1e3));
             }
             "rep" => answer.report = report(value),
             _ => {}
@@ -202,26 +202,26 @@
     }
 
     /// Lets go of room that is not needed until more comes.
-    pub fn settle(&mut self) {
-        self.incoming.settle();
+    pub fn release_spare_memory(&mut self) {
+        self.incoming.release_spare_memory();
     }
 
     /// Whether part of a message has come and the rest has not.
-    pub fn is_midway(&self) -> bool {
+    pub fn has_partial_message(&self) -> bool {
         self.begun.is_some() || !self.incoming.is_empty()
     }
 
     /// The next whole message; an error means that no more can be read here.
-    pub fn next_message(&mut self) -> Result<Option<Message>, Unreadable> {
+    pub fn next_message(&mut self) -> Result<Option<Message>, DecodeError> {
         if self.begun.is_none() {
-            let Some(line) = self.incoming.line(LONGEST_LINE)? else { return Ok(None) };
+            let Some(line) = self.incoming.take_line(LONGEST_LINE)? else { return Ok(None) };
             self.begun = Some(head(&line)?);
         }
         let Some((_, length)) = &self.begun else { return Ok(None) };
-        let Some(body) = self.incoming.block(*length)? else { return Ok(None) };
+        let Some(body) = self.incoming.take_block(*length)? else { return Ok(None) };
         Ok(self.begun.take().map(|(message, _)| match message {
             Message::Answer(answer) => Message::Answer(Answer { body, ..answer }),
-            alive @ Message::Alive { .. } => alive,
+            alive @ Message::ProbeAnswer { .. } => alive,
         }))
     }
 }
--- a/crates/protocol/tests/codecs.rs
+++ b/crates/protocol/tests/codecs.rs
@@ -7,7 +7,7 @@
 use expect_test::expect;
 
 fn hex(text: &str) -> Hex {
-    Hex::read(text).expect("sixteen hex digits")
+    Hex::parse(text).expect("sixteen hex digits")
 }
 
 /// What a decoder makes of bytes in any cuts, which must be the same for all of them.
@@ -139,7 +139,7 @@
 #[test]
 fn answers_to_clients() {
     use clients::Answer::*;
-    let answers = [Served(b"\r\n"), Current, Rejected(None), Rejected(Some(120)), Failed, Up, Down];
+    let answers = [Served(b"\r\n"), NotModified, Rejected(None), Rejected(Some(120)), Failed, Up, Down];
     let encoded = answers.map(|answer| clients::encode(7, answer).escape_ascii().to_string() + "\n");
     expect![[r#"
         *4\r\n$1\r\n7\r\n$2\r\nOK\r\n$0\r\n\r\n$2\r\n\r\n\r\n
@@ -160,9 +160,9 @@
         content_type: "segment",
         object: hex("7f3a9c21e0b4d655"),
         part: 3,
-        wait: Nanos(1_500_900_000),
+        timeout: Nanos(1_500_900_000),
         source: None,
-        order: Attempt {
+        attempt: Attempt {
             node: NodeId(0),
             source: NodeId(0),
             time_limit: None,
@@ -174,13 +174,13 @@
             no_parent_copy: false,
             renew: false,
         },
-        held: None,
-        mark: None,
+        cached_tag: None,
+        idempotency_key: None,
         body: b"",
     };
     let full = nodes::Fetch {
         source: Some("p-1"),
-        order: Attempt {
+        attempt: Attempt {
             rank: 3,
             // Under a millisecond must not become 0, which stands for no limit.
             max_age: Some(Nanos(900_000)),
@@ -188,10 +188,10 @@
             held_only: true,
             no_parent_copy: true,
             renew: true,
-            ..plain.order
+            ..plain.attempt
         },
-        held: Some(hex("4be0c1927d55a6f3")),
-        mark: Some("cbd3d4163e11037e316e8180a6e9f325"),
+        cached_tag: Some(hex("4be0c1927d55a6f3")),
+        idempotency_key: Some("cbd3d4163e11037e316e8180a6e9f325"),
         body: b"\r\nx",
         ..plain.clone()
     };
@@ -199,7 +199,7 @@
     nodes::encode_fetch(&plain, &mut bytes);
     nodes::encode_fetch(&full, &mut bytes);
     nodes::encode_abort(hex("9b1f03aa5c7e2d41"), &mut bytes);
-    nodes::encode_alive(hex("9b1f03aa5c7e2d41"), &mut bytes);
+    nodes::encode_probe(hex("9b1f03aa5c7e2d41"), &mut bytes);
     expect![[r#"
         fetch 9b1f03aa5c7e2d41 lane=segment,name=7f3a9c21e0b4d655,piece=3,ttl=1500 0\r\n
         \r\n
--- a/crates/testbed/src/capacity/caches.rs
+++ b/crates/testbed/src/capacity/caches.rs
@@ -3,7 +3,7 @@
 //! the dispatcher had acted on a purge of the object.
 
 use super::clock::unix_us;
-use copperroute_protocol::incoming::Incoming;
+use copperroute_protocol::incoming::ReceiveBuffer;
 use std::net::SocketAddr;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -30,11 +30,11 @@
 
 async fn answer_all(mut stream: TcpStream) {
     let _ = stream.set_nodelay(true);
-    let (mut incoming, mut scratch) = (Incoming::default(), vec![0; LONGEST_LINE]);
+    let (mut incoming, mut scratch) = (ReceiveBuffer::default(), vec![0; LONGEST_LINE]);
     while let Ok(count) = stream.read(&mut scratch).await {
         incoming.feed(&scratch[..count]);
         let mut answers = Vec::new();
-        while let Ok(Some(line)) = incoming.line(LONGEST_LINE) {
+        while let Ok(Some(line)) = incoming.take_line(LONGEST_LINE) {
             answers.extend(answer(&line).unwrap_or_default());
         }
         if count == 0 || stream.write_all(&answers).await.is_err() {
--- a/crates/testbed/src/capacity/clients.rs
+++ b/crates/testbed/src/capacity/clients.rs
@@ -5,7 +5,7 @@
 use super::layout::{CONTENT_TYPE, EXPIRY_MS};
 use super::ledger::{Ledger, Probe};
 use super::log::{Issued, Kind};
-use copperroute_protocol::incoming::{Incoming, Unreadable};
+use copperroute_protocol::incoming::{DecodeError, ReceiveBuffer};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::net::SocketAddr;
@@ -36,14 +36,14 @@
     pub unserved: AtomicU64,
 }
 
-fn unreadable(fault: Unreadable) -> std::io::Error {
+fn unreadable(fault: DecodeError) -> std::io::Error {
     std::io::Error::other(fault.to_string())
 }
 
 /// A connection that asks for one object after the other.
 struct Requester {
     stream: TcpStream,
-    incoming: Incoming,
+    incoming: ReceiveBuffer,
     tag: u64,
 }
 
@@ -51,7 +51,7 @@
     async fn connect(to: SocketAddr) -> std::io::Result<Requester> {
         let stream = TcpStream::connect(to).await?;
         stream.set_nodelay(true)?;
-        Ok(Requester { stream, incoming: Incoming::default(), tag: 0 })
+        Ok(Requester { stream, incoming: ReceiveBuffer::default(), tag: 0 })
     }
 
     /// The body of the answer; nothing where it is not served. An error ends the connection's use.
@@ -85,7 +85,7 @@
 
     async fn number(&mut self, mark: char) -> std::io::Result<usize> {
         loop {
-            if let Some(line) = self.incoming.line(LONGEST_LINE).map_err(unreadable)? {
+            if let Some(line) = self.incoming.take_line(LONGEST_LINE).map_err(unreadable)? {
                 let number = line.strip_prefix(mark).and_then(|number| number.parse().ok());
                 return number
                     .ok_or_else(|| std::io::Error::other(format!("expected {mark}, found '{line}'")));
@@ -96,7 +96,7 @@
 
     async fn block(&mut self, length: usize) -> std::io::Result<Vec<u8>> {
         loop {
-            if let Some(block) = self.incoming.block(length).map_err(unreadable)? {
+            if let Some(block) = self.incoming.take_block(length).map_err(unreadable)? {
                 return Ok(block);
             }
             self.more().await?;
--- a/crates/testbed/src/clients.rs
+++ b/crates/testbed/src/clients.rs
@@ -4,7 +4,7 @@
 use crate::results::Results;
 use crate::scenario::ContentType;
 use crate::world::World;
-use copperroute_protocol::incoming::Incoming;
+use copperroute_protocol::incoming::ReceiveBuffer;
 use copperroute_routing::interface::stable_hash;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -51,7 +51,7 @@
 
 struct Connection {
     stream: TcpStream,
-    incoming: Incoming,
+    incoming: ReceiveBuffer,
     tag: u64,
     reconnects: u64,
 }
@@ -165,7 +165,7 @@
         socket.bind(SocketAddr::from((from, 0)))?;
         let stream = tokio::time::timeout(Duration::from_secs(1), socket.connect(dispatcher)).await??;
         stream.set_nodelay(true)?;
-        Ok(Connection { stream, incoming: Incoming::default(), tag: 0, reconnects })
+        Ok(Connection { stream, incoming: ReceiveBuffer::default(), tag: 0, reconnects })
     }
 
     async fn one_try(
@@ -305,7 +305,7 @@
         loop {
             loop {
                 if let Some(bytes) = length {
-                    let Some(item) = self.incoming.block(bytes).map_err(drop)? else { break };
+                    let Some(item) = self.incoming.take_block(bytes).map_err(drop)? else { break };
                     items.push(item);
                     (missing, length) = (missing - 1, None);
                     if missing == 0 {
@@ -315,7 +315,7 @@
                         return Ok((tag, word, list, items.into_iter().nth(3).unwrap_or_default()));
                     }
                 }
-                let Some(line) = self.incoming.line(MOST_LINE).map_err(drop)? else { break };
+                let Some(line) = self.incoming.take_line(MOST_LINE).map_err(drop)? else { break };
                 match line.split_at_checked(1) {
                     Some(("*", count)) => missing = count.parse().map_err(drop)?,
                     Some(("$", bytes)) if missing > 0 => length = Some(bytes.parse().map_err(drop)?),
--- a/crates/testbed/src/nodes/connections.rs
+++ b/crates/testbed/src/nodes/connections.rs
@@ -2,7 +2,7 @@
 
 use super::wire::{read_fetch, write_reply};
 use super::{Busy, Fleet, Node};
-use copperroute_protocol::incoming::Incoming;
+use copperroute_protocol::incoming::ReceiveBuffer;
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -79,7 +79,7 @@
     let (mut read, mut write) = stream.into_split();
     let (answers, mut waiting) = mpsc::unbounded_channel::<(String, Vec<u8>)>();
     let mut open: HashMap<String, AbortHandle> = HashMap::new();
-    let (mut incoming, mut scratch) = (Incoming::default(), vec![0; 64 * 1024]);
+    let (mut incoming, mut scratch) = (ReceiveBuffer::default(), vec![0; 64 * 1024]);
     let mut head: Option<(String, usize)> = None;
     'alive: loop {
         tokio::select! {
@@ -99,7 +99,7 @@
                 incoming.feed(&scratch[..count]);
                 loop {
                     if let Some((line, length)) = head.take() {
-                        match incoming.block(length) {
+                        match incoming.take_block(length) {
                             Ok(Some(_)) => {}
                             Ok(None) => {
                                 head = Some((line, length));
@@ -123,7 +123,7 @@
                         });
                         open.insert(id, task.abort_handle());
                     }
-                    let Ok(line) = incoming.line(MOST_LINE) else { break 'alive };
+                    let Ok(line) = incoming.take_line(MOST_LINE) else { break 'alive };
                     let Some(line) = line else { break };
                     let words: Vec<_> = line.split(' ').collect();
                     match words[..] {
--- a/crates/testbed/src/nodes/wire.rs
+++ b/crates/testbed/src/nodes/wire.rs
@@ -2,7 +2,7 @@
 
 use super::Copy;
 use crate::world::unix_ms;
-use copperroute_protocol::incoming::fields;
+use copperroute_protocol::incoming::parse_fields;
 use std::time::Duration;
 
 /// An attempt as it was read.
@@ -30,7 +30,7 @@
 /// Reads the field list of an attempt.
 pub(super) fn read_fetch(id: &str, list: &str) -> Fetch {
     let mut fetch = Fetch { id: id.to_string(), ..Fetch::default() };
-    for (name, value) in fields(list) {
+    for (name, value) in parse_fields(list) {
         match name {
             "lane" => fetch.lane = value.to_string(),
             "name" => fetch.name = value.to_string(),
--- a/crates/testbed/src/pace.rs
+++ b/crates/testbed/src/pace.rs
@@ -3,7 +3,7 @@
 
 use crate::processes::{ready, used};
 use crate::world::{World, unix_ms};
-use copperroute_protocol::incoming::Incoming;
+use copperroute_protocol::incoming::ReceiveBuffer;
 use serde_json::json;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -40,11 +40,11 @@
         while let Ok((mut stream, _)) = listener.accept().await {
             let _ = stream.set_nodelay(true);
             tokio::spawn(async move {
-                let (mut incoming, mut scratch) = (Incoming::default(), vec![0; 64 * 1024]);
+                let (mut incoming, mut scratch) = (ReceiveBuffer::default(), vec![0; 64 * 1024]);
                 while let Ok(count) = stream.read(&mut scratch).await {
                     incoming.feed(&scratch[..count]);
                     let mut back = Vec::new();
-                    while let Ok(Some(line)) = incoming.line(8192) {
+                    while let Ok(Some(line)) = incoming.take_line(8192) {
                         back.extend(answer(&line).unwrap_or_default());
                     }
                     if count == 0 || stream.write_all(&back).await.is_err() {
@@ -85,7 +85,7 @@
     let mut stream = TcpStream::connect(to).await?;
     stream.set_nodelay(true)?;
     let (mut tag, mut open) = (first, 0);
-    let (mut incoming, mut scratch) = (Incoming::default(), vec![0; 64 * 1024]);
+    let (mut incoming, mut scratch) = (ReceiveBuffer::default(), vec![0; 64 * 1024]);
     while !over.load(Ordering::Relaxed) {
         let mut bytes = Vec::new();
         for _ in open..OPEN {
@@ -109,7 +109,7 @@
             return Err(std::io::ErrorKind::UnexpectedEof.into());
         }
         incoming.feed(&scratch[..count]);
-        while let Ok(Some(line)) = incoming.line(8192) {
+        while let Ok(Some(line)) = incoming.take_line(8192) {
             if line == "OK" {
                 open -= 1;
                 done.fetch_add(1, Ordering::Relaxed);
--- a/crates/testbed/src/slopes/load.rs
+++ b/crates/testbed/src/slopes/load.rs
@@ -1,6 +1,6 @@
 //! Clients: requests at a rate over many connections, whether answers come or not, and what became of them.
 
-use copperroute_protocol::incoming::{Incoming, Unreadable};
+use copperroute_protocol::incoming::{DecodeError, ReceiveBuffer};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::net::SocketAddr;
@@ -135,31 +135,31 @@
 /// Reads answers: arrays of four items, each with its length.
 #[derive(Default)]
 struct AnswerReader {
-    incoming: Incoming,
+    incoming: ReceiveBuffer,
     /// Items of the answer at hand that were read, and the length of the next.
     read: Option<usize>,
     length: Option<usize>,
 }
 
 impl AnswerReader {
-    fn feed(&mut self, bytes: &[u8], answers: &Answers) -> Result<(), Unreadable> {
+    fn feed(&mut self, bytes: &[u8], answers: &Answers) -> Result<(), DecodeError> {
         const ITEMS: usize = 4;
         self.incoming.feed(bytes);
         loop {
             let Some(read) = self.read else {
-                if self.incoming.line(LONGEST_LINE)?.is_none() {
+                if self.incoming.take_line(LONGEST_LINE)?.is_none() {
                     return Ok(());
                 }
                 self.read = Some(0);
                 continue;
             };
             let Some(length) = self.length else {
-                let Some(line) = self.incoming.line(LONGEST_LINE)? else { return Ok(()) };
+                let Some(line) = self.incoming.take_line(LONGEST_LINE)? else { return Ok(()) };
                 let length = line.strip_prefix('$').and_then(|length| length.parse().ok());
-                self.length = Some(length.ok_or_else(|| Unreadable("an item without a length".into()))?);
+                self.length = Some(length.ok_or_else(|| DecodeError("an item without a length".into()))?);
                 continue;
             };
-            let Some(item) = self.incoming.block(length)? else { return Ok(()) };
+            let Some(item) = self.incoming.take_block(length)? else { return Ok(()) };
             if read == WORD {
                 let counter = if item == b"OK" { &answers.served } else { &answers.unserved };
                 counter.fetch_add(1, Ordering::Relaxed);
--- a/crates/testbed/src/slopes/nodes.rs
+++ b/crates/testbed/src/slopes/nodes.rs
@@ -1,6 +1,6 @@
 //! Stand-ins of nodes: each answers what it is asked after a delay, with a body of a size.
 
-use copperroute_protocol::incoming::Incoming;
+use copperroute_protocol::incoming::ReceiveBuffer;
 use std::collections::HashSet;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -105,14 +105,14 @@
             }
         }
     });
-    let (mut incoming, mut scratch) = (Incoming::default(), vec![0; READ_AT_ONCE]);
+    let (mut incoming, mut scratch) = (ReceiveBuffer::default(), vec![0; READ_AT_ONCE]);
     while let Ok(count) = read.read(&mut scratch).await {
         if count == 0 {
             break;
         }
         incoming.feed(&scratch[..count]);
         let mut at_once = Vec::new();
-        while let Ok(Some(line)) = incoming.line(LONGEST_LINE) {
+        while let Ok(Some(line)) = incoming.take_line(LONGEST_LINE) {
             let Some(bytes) = answer(&line, answering, seen, body, held) else { continue };
             if answering.delay.is_zero() {
                 at_once.extend(bytes);
--- a/crates/testbed/src/tests/capacity_log.rs
+++ b/crates/testbed/src/tests/capacity_log.rs
@@ -28,7 +28,7 @@
         while let Some(line) = decoder.next_line().expect("readable") {
             match line {
                 Line::Change(change) => events.push(change.seq),
-                Line::Last(last) => lasts.push(last),
+                Line::Heartbeat(last) => lasts.push(last),
                 Line::Unusable(seq, why) => panic!("{seq}: {why}"),
             }
         }
