--- a/crates/dispatcher/src/agreed.rs
+++ b/crates/dispatcher/src/agreed.rs
@@ -27,7 +27,7 @@
             core: Agreement::new(agreeing.ground.clone(), &agreeing.floor),
             lists: ListVersions::default(),
             settings: config.settings.clone(),
-            expiries: config.offers.iter().map(|offer| offer.expiry).collect(),
+            expiries: config.offers.iter().map(|offer| offer.max_timeout).collect(),
             said: None,
             refused: LogRateLimiter::default(),
         }
--- a/crates/dispatcher/src/config.rs
+++ b/crates/dispatcher/src/config.rs
@@ -7,8 +7,8 @@
 use copperroute_routing::calls::ReconnectSettings;
 use copperroute_routing::change_log::{Replica, select_replicas};
 use copperroute_routing::interface::{Settings, stable_hash};
-use copperroute_settings::operator::{DiskTier, LastList, Operator};
-use copperroute_settings::{Connections, Names, Offer, Options};
+use copperroute_settings::operator::{DiskTier, OperatorFile, SnapshotSettings};
+use copperroute_settings::{ConnectionLimits, Names, Options, RequestLimits};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -64,11 +64,11 @@
     /// What the module is told.
     pub settings: Settings,
     /// What connections to nodes are held to.
-    pub connections: Connections,
+    pub connections: ConnectionLimits,
     /// The names that the protocol uses.
     pub names: Names,
     /// What may be asked for, by content type.
-    pub offers: Vec<Offer>,
+    pub offers: Vec<RequestLimits>,
     /// What the own link carries in bytes a second: one answer, and all; zero if not told.
     pub own_link: [f64; 2],
     /// Bytes of memory for own copies; zero for none.
@@ -80,7 +80,7 @@
     /// What is known of the list service.
     pub calls: ReconnectSettings,
     /// Where the last good list outlives a restart.
-    pub last_list: Option<LastList>,
+    pub last_list: Option<SnapshotSettings>,
     /// How dispatchers agree on versions of their rules; `None` if they don't.
     pub agreeing: Option<Agreeing>,
 }
@@ -110,9 +110,9 @@
     pub fn read(&self) -> Result<Config, String> {
         let mut config = Config::read(&self.config)?;
         if let Some(path) = &self.operator {
-            let operator = Operator::read(path)?;
-            config.settings.overload_control = operator.storms(config.settings.max_attempts)?;
-            config.copies_bytes = operator.copies_bytes()?;
+            let operator = OperatorFile::read(path)?;
+            config.settings.overload_control = operator.overload_settings(config.settings.max_attempts)?;
+            config.copies_bytes = operator.copy_memory_bytes()?;
             let most = config.limits.memory_mb / 2;
             if config.copies_bytes as u64 > most * 1_000_000 {
                 let told = config.copies_bytes / 1_000_000;
@@ -122,10 +122,11 @@
                 ));
             }
             config.disk_tier = operator.disk_tier()?;
-            config.calls =
-                operator.calls(config.calls).map_err(|fault| format!("{}: {fault}", path.display()))?;
+            config.calls = operator
+                .reconnect_settings(config.calls)
+                .map_err(|fault| format!("{}: {fault}", path.display()))?;
             config.replicas = operator.replicas()?;
-            config.last_list = operator.last_list()?;
+            config.last_list = operator.snapshot_settings()?;
             config.agreeing =
                 config.agreeing(&operator).map_err(|fault| format!("{}: {fault}", path.display()))?;
         }
@@ -147,9 +148,11 @@
     }
 
     /// How dispatchers agree, as the operator's file says.
-    pub fn agreeing(&self, operator: &Operator) -> Result<Option<Agreeing>, String> {
-        let (Some(timing), Some(told)) = (operator.terms()?, &operator.agreement) else { return Ok(None) };
-        let expiries: Vec<_> = self.offers.iter().map(|offer| offer.expiry).collect();
+    pub fn agreeing(&self, operator: &OperatorFile) -> Result<Option<Agreeing>, String> {
+        let (Some(timing), Some(told)) = (operator.timing_bounds()?, &operator.agreement) else {
+            return Ok(None);
+        };
+        let expiries: Vec<_> = self.offers.iter().map(|offer| offer.max_timeout).collect();
         let (platform_rules, content_types) =
             (RuleSet::from_settings(&self.settings, &expiries), self.names.content_types.clone());
         let floor = RuleSet::parse(&platform_rules, &content_types, "agreement.floor", &told.floor)?;
@@ -158,7 +161,7 @@
             return Err(format!("agreement.floor.{path}: looser than the platform's settings"));
         }
         let ground = ValidationContext { platform_rules, content_types, timing, faults: faults() };
-        Ok(Some(Agreeing { ground, floor, issued: operator.issued()? }))
+        Ok(Some(Agreeing { ground, floor, issued: operator.issued_versions()? }))
     }
 
     /// Reads a configuration; an error is one line with the file, the field and what was expected.
@@ -182,14 +185,14 @@
             changelog: file.changelog,
             known: file.known,
             settings: options.settings(seed)?,
-            connections: options.connections()?,
+            connections: options.connection_limits()?,
             names: options.protocol_names()?,
-            offers: options.offers()?,
+            offers: options.request_limits()?,
             own_link: [file.flow_bytes_per_s, file.link_bytes_per_s],
             copies_bytes: 0,
             disk_tier: None,
             replicas: Vec::new(),
-            calls: options.calls()?,
+            calls: options.reconnect_settings()?,
             last_list: None,
             agreeing: None,
         })
--- a/crates/dispatcher/src/event_loop/mod.rs
+++ b/crates/dispatcher/src/event_loop/mod.rs
@@ -19,7 +19,7 @@
 use copperroute_cache_store::worker::{Answers, Worker};
 use copperroute_protocol::changes::KnownEvents;
 use copperroute_routing::interface::Nanos;
-use copperroute_settings::operator::{Numbers, SyncWhen};
+use copperroute_settings::operator::{SequenceNumbers, SyncPolicy};
 use socket2::{Domain, Protocol, Socket, Type};
 use std::collections::{HashMap, VecDeque};
 use std::io::{self, ErrorKind, Read, Write};
--- a/crates/dispatcher/src/event_loop/startup.rs
+++ b/crates/dispatcher/src/event_loop/startup.rs
@@ -25,9 +25,9 @@
         most_bytes: tier.most_mb * 1_000_000,
         segment_bytes: (tier.segment_mb * 1_000_000).min(u64::from(u32::MAX)) as u32,
         sync: match tier.sync {
-            SyncWhen::Never => Sync::Never,
-            SyncWhen::Segments => Sync::Segments,
-            SyncWhen::Always => Sync::Always,
+            SyncPolicy::Never => Sync::Never,
+            SyncPolicy::Segments => Sync::Segments,
+            SyncPolicy::Always => Sync::Always,
         },
     };
     let location = Location::new(&tier.folder, limits);
@@ -37,7 +37,7 @@
         }
         Err(fault) => Err(fault),
         Ok((disk, found)) => {
-            judged(disk, found, Some(&config.known).filter(|_| tier.change_log == Numbers::Lasting))
+            judged(disk, found, Some(&config.known).filter(|_| tier.change_log == SequenceNumbers::Continued))
         }
     };
     Ok(Some((location, disk.map_err(|fault| fault.to_string()))))
--- a/crates/dispatcher/src/main.rs
+++ b/crates/dispatcher/src/main.rs
@@ -7,7 +7,7 @@
 use copperroute_dispatcher::config::{Agreeing, Config, Sources};
 use copperroute_dispatcher::{event_loop, logs, rules_text};
 use copperroute_routing::change_log;
-use copperroute_settings::operator::Operator;
+use copperroute_settings::operator::OperatorFile;
 use std::io::Write;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -200,7 +200,7 @@
         Command::Version => println!("copperroute {}", env!("CARGO_PKG_VERSION")),
         // Who reads no further than a part of it is not told.
         Command::Schema { relay } => {
-            let schema = if relay { RelayConfig::schema() } else { Operator::schema() };
+            let schema = if relay { RelayConfig::schema() } else { OperatorFile::schema() };
             drop(writeln!(std::io::stdout(), "{schema:#}"));
         }
         Command::Relay { config } => {
--- a/crates/dispatcher/src/nodes/attempts.rs
+++ b/crates/dispatcher/src/nodes/attempts.rs
@@ -71,7 +71,7 @@
         let usable = |number: &&u32| self.connections.get(number).is_some_and(|c| !c.retired);
         let fits = |number: &&u32| {
             let connection = self.connections.get(number);
-            connection.is_some_and(|c| c.load() < self.limits.streams && c.may_carry(&id))
+            connection.is_some_and(|c| c.load() < self.limits.max_in_flight && c.may_carry(&id))
         };
         let load = |number: &&u32| self.connections.get(number).map_or(0, Connection::load);
         let best = pool.connections.iter().filter(usable).filter(fits).min_by_key(load).copied();
--- a/crates/dispatcher/src/nodes/connections.rs
+++ b/crates/dispatcher/src/nodes/connections.rs
@@ -156,7 +156,7 @@
     /// Closes connections that carry nothing before the node does, so that no attempt crosses its close, and
     /// forgets the ids of attempts that were given up once they can't come again.
     pub fn sweep(&mut self, now: Nanos, effects: &mut Vec<Effect>) {
-        let idle = Nanos(self.limits.idle.0 / 4 * 3);
+        let idle = Nanos(self.limits.peer_idle_timeout.0 / 4 * 3);
         for connection in self.connections.values_mut() {
             connection.out.retain(|_, written| written.attempt.is_some() || written.expires > now);
         }
--- a/crates/dispatcher/src/nodes/mod.rs
+++ b/crates/dispatcher/src/nodes/mod.rs
@@ -9,7 +9,7 @@
 use copperroute_routing::interface::{Nanos, NodeId, Outcome, Readiness};
 use copperroute_routing::state::Slots;
 use copperroute_routing::structures::ids::Ids;
-use copperroute_settings::Connections;
+use copperroute_settings::ConnectionLimits;
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::net::SocketAddr;
 
@@ -69,7 +69,7 @@
 /// The nodes listed, those that left not long ago, and the connections to them.
 #[derive(Debug)]
 pub struct Nodes {
-    limits: Connections,
+    limits: ConnectionLimits,
     /// With more connections than this in all, nodes get no second one.
     most: usize,
     ids: Ids<String>,
@@ -91,7 +91,7 @@
 
 impl Nodes {
     /// No nodes yet.
-    pub fn new(limits: Connections, most: usize, seed: u64) -> Self {
+    pub fn new(limits: ConnectionLimits, most: usize, seed: u64) -> Self {
         Nodes {
             limits,
             most,
@@ -115,7 +115,7 @@
     }
 
     /// Takes new limits.
-    pub fn limit(&mut self, limits: Connections, most: usize) {
+    pub fn limit(&mut self, limits: ConnectionLimits, most: usize) {
         (self.limits, self.most) = (limits, most);
     }
 }
--- a/crates/dispatcher/src/reducer/changes.rs
+++ b/crates/dispatcher/src/reducer/changes.rs
@@ -149,7 +149,7 @@
     }
 
     pub(super) fn entry(&mut self, now: Nanos, listed: &ListedNode, is_live: bool) -> NodeEntry {
-        let place = |names: &[String], name: &str| place(names, name).unwrap_or(UNKNOWN_ID);
+        let place = |names: &[String], name: &str| name_index(names, name).unwrap_or(UNKNOWN_ID);
         let readiness = listed.state.into();
         let start = self.start_of(now, listed, is_live);
         let pool = Pool {
--- a/crates/dispatcher/src/reducer/clients.rs
+++ b/crates/dispatcher/src/reducer/clients.rs
@@ -88,14 +88,14 @@
     /// The content type of a request that the settings allow, or why they don't.
     pub(super) fn usable(&self, request: &Request) -> Result<u32, String> {
         let name = &request.content_type;
-        let content_type = place(&self.config.names.content_types, name)
+        let content_type = name_index(&self.config.names.content_types, name)
             .ok_or_else(|| format!("no content type '{}'", name.escape_default()))?;
         let offer = self.config.offers[content_type as usize];
         match request {
-            _ if request.timeout_ms > offer.expiry.0.div_ceil(1_000_000) => {
+            _ if request.timeout_ms > offer.max_timeout.0.div_ceil(1_000_000) => {
                 Err(format!("timeout: {} ms are more than the expiry of '{name}'", request.timeout_ms))
             }
-            _ if !request.body.is_empty() && !offer.writes => Err(format!("'{name}' takes no bytes")),
+            _ if !request.body.is_empty() && !offer.allows_body => Err(format!("'{name}' takes no bytes")),
             // Answers of two requests with one id could not be told apart.
             _ if self.request_table.has(request.id) => Err(format!("req: {} is open already", request.id)),
             _ => Ok(content_type),
@@ -118,7 +118,7 @@
         // Under a rule that came later a client waits no longer, whatever it asked for.
         let most_ms = self.expiries[content_type as usize].0.div_ceil(1_000_000);
         request.timeout_ms = request.timeout_ms.min(most_ms);
-        let of_copies = !self.config.offers[content_type as usize].writes;
+        let of_copies = !self.config.offers[content_type as usize].allows_body;
         let once = self.settings.content_types[content_type as usize].retry_safety != RetrySafety::Retriable;
         let object_hash = stable_hash(request.object.as_str().as_bytes());
         let (part, group) = (request.part, request.group);
--- a/crates/dispatcher/src/reducer/mod.rs
+++ b/crates/dispatcher/src/reducer/mod.rs
@@ -28,7 +28,7 @@
     TypeId, UNKNOWN_ID, ZoneId, mix, stable_hash,
 };
 use copperroute_routing::policy::Dispatcher;
-use copperroute_settings::place;
+use copperroute_settings::name_index;
 use std::collections::HashMap;
 
 mod changes;
@@ -138,7 +138,7 @@
         Reducer {
             agreed,
             settings: config.settings.clone(),
-            expiries: config.offers.iter().map(|offer| offer.expiry).collect(),
+            expiries: config.offers.iter().map(|offer| offer.max_timeout).collect(),
             copies,
             last_list,
             reading: HashMap::new(),
@@ -378,12 +378,12 @@
 
     /// A client that takes nothing for so long is gone.
     fn client_patience(&self) -> Nanos {
-        let idle = self.config.connections.idle;
+        let idle = self.config.connections.peer_idle_timeout;
         if idle > Nanos::ZERO { idle } else { Nanos(u64::MAX) }
     }
 }
 
 /// The longest that any client waits.
 fn longest_expiry(config: &Config) -> Nanos {
-    config.offers.iter().map(|offer| offer.expiry).max().unwrap_or_default()
+    config.offers.iter().map(|offer| offer.max_timeout).max().unwrap_or_default()
 }
--- a/crates/dispatcher/src/request_table/mod.rs
+++ b/crates/dispatcher/src/request_table/mod.rs
@@ -17,7 +17,7 @@
 };
 use copperroute_routing::state::Slots;
 use copperroute_routing::structures::ids::Ids;
-use copperroute_settings::Connections;
+use copperroute_settings::ConnectionLimits;
 
 mod actions;
 mod attempts;
@@ -117,7 +117,7 @@
 
 impl RequestTable {
     /// An empty request table.
-    pub fn new(connections: Connections, limits: Limits, seed: u64) -> Self {
+    pub fn new(connections: ConnectionLimits, limits: Limits, seed: u64) -> Self {
         let mut clients = Clients::default();
         clients.lingering.limit(limits.sockets as usize);
         RequestTable {
@@ -142,7 +142,7 @@
     }
 
     /// Takes new limits.
-    pub fn limit(&mut self, connections: Connections, limits: Limits) {
+    pub fn limit(&mut self, connections: ConnectionLimits, limits: Limits) {
         self.most_unsent = limits.memory_mb * 1024 * 1024 / UNSENT_PART;
         self.clients.lingering.limit(limits.sockets as usize);
         self.nodes.limit(connections, limits.sockets as usize / NODES_PART);
--- a/crates/dispatcher/tests/dispatcher/agreed.rs
+++ b/crates/dispatcher/tests/dispatcher/agreed.rs
@@ -4,7 +4,7 @@
 use copperroute_config_rollout::issue::{IssuedVersion, format_digest};
 use copperroute_dispatcher::config::Config;
 use copperroute_dispatcher::effects::{Event, Peer};
-use copperroute_settings::operator::Operator;
+use copperroute_settings::operator::OperatorFile;
 use expect_test::expect;
 use serde_json::{Value, json};
 use std::fmt::Write as _;
@@ -15,7 +15,8 @@
 fn config() -> Config {
     let operator = json!({"agreement": {"lease_s": 3, "floor": {"max_pulls": 2, "types": {"image": {"expiry_s": 0.5}}}}});
     let mut config = Config::parse(CONFIG).expect("a good configuration");
-    config.agreeing = config.agreeing(&Operator::parse(&operator.to_string()).expect("good")).expect("good");
+    config.agreeing =
+        config.agreeing(&OperatorFile::parse(&operator.to_string()).expect("good")).expect("good");
     config
 }
 
--- a/crates/dispatcher/tests/dispatcher/last_list.rs
+++ b/crates/dispatcher/tests/dispatcher/last_list.rs
@@ -6,7 +6,7 @@
 use copperroute_dispatcher::snapshot_writer::{SnapshotWriter, find};
 use copperroute_protocol::changes::{Change, KnownEvents};
 use copperroute_routing::interface::Nanos;
-use copperroute_settings::operator::LastList as Told;
+use copperroute_settings::operator::SnapshotSettings as Told;
 use expect_test::expect;
 
 const NOW: u64 = 1_764_576_000_000;
--- a/crates/dispatcher/tests/dispatcher/last_list_clocks.rs
+++ b/crates/dispatcher/tests/dispatcher/last_list_clocks.rs
@@ -6,7 +6,7 @@
 use copperroute_dispatcher::last_list::decode;
 use copperroute_dispatcher::outside_time::OutsideTime;
 use copperroute_routing::interface::Nanos;
-use copperroute_settings::operator::LastList as Told;
+use copperroute_settings::operator::SnapshotSettings as Told;
 use expect_test::expect;
 
 const HOUR: i64 = 3_600_000;
--- a/crates/dispatcher/tests/dispatcher/two_streams.rs
+++ b/crates/dispatcher/tests/dispatcher/two_streams.rs
@@ -5,7 +5,7 @@
 use copperroute_dispatcher::config::Config;
 use copperroute_dispatcher::effects::{Event, Peer};
 use copperroute_protocol::changes::Change;
-use copperroute_settings::operator::Operator;
+use copperroute_settings::operator::OperatorFile;
 use expect_test::expect;
 use serde_json::json;
 
@@ -18,9 +18,9 @@
         "lists": {"calls_per_s": 60, "dispatchers": 59, "replicas": replicas},
         "agreement": {"lease_s": 3, "floor": {"max_pulls": 2}},
     });
-    let operator = Operator::parse(&operator.to_string()).expect("a good file");
+    let operator = OperatorFile::parse(&operator.to_string()).expect("a good file");
     let mut config = Config::parse(CONFIG).expect("a good configuration");
-    config.calls = operator.calls(config.calls).expect("good");
+    config.calls = operator.reconnect_settings(config.calls).expect("good");
     config.replicas = operator.replicas().expect("good");
     config.agreeing = config.agreeing(&operator).expect("good");
     config
--- a/crates/dispatcher/tests/dispatcher/two_streams_sum.rs
+++ b/crates/dispatcher/tests/dispatcher/two_streams_sum.rs
@@ -5,7 +5,7 @@
 use copperroute_routing::calls::ReconnectSettings;
 use copperroute_routing::change_log::{Replica, select_replicas};
 use copperroute_routing::interface::{Nanos, stable_hash};
-use copperroute_settings::operator::Operator;
+use copperroute_settings::operator::OperatorFile;
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -23,11 +23,11 @@
 type Calls = BTreeMap<SocketAddr, Vec<Nanos>>;
 
 /// Six replicas in three zones.
-fn operator() -> Operator {
+fn operator() -> OperatorFile {
     let replica = |at: u8| json!({"address": format!("10.0.{at}.1:2379"), "region": "north", "zone": format!("z{}", at / 2)});
     let replicas: Vec<_> = (0..6).map(replica).collect();
     let lists = json!({"calls_per_s": BEARS, "dispatchers": DISPATCHERS, "replicas": replicas});
-    Operator::parse(&json!({ "lists": lists }).to_string()).expect("a good file")
+    OperatorFile::parse(&json!({ "lists": lists }).to_string()).expect("a good file")
 }
 
 /// One dispatcher's change log, and when it wants to be looked at.
@@ -118,7 +118,8 @@
         delivered_after: Nanos::ZERO,
         window_range: [0.0, 1.0],
     };
-    let (replicas, calls) = (operator.replicas().expect("good"), operator.calls(known).expect("good"));
+    let (replicas, calls) =
+        (operator.replicas().expect("good"), operator.reconnect_settings(known).expect("good"));
     let unix_zero = 1_764_576_000_000_000_000 + deployment * 377_000_000;
     let follower = |at| Follower::new(&format!("d{deployment}-{at}"), &replicas, calls, unix_zero);
     (0..DISPATCHERS).map(follower).collect()
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -22,17 +22,17 @@
 const TOLD_AFTER: Nanos = Nanos(7_000_000_000);
 
 /// A value, or one line on what was expected.
-pub type Read<T> = Result<T, String>;
+pub type ReadResult<T> = Result<T, String>;
 
 /// What connections to nodes are held to.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Connections {
+pub struct ConnectionLimits {
     /// A connection not made by then never comes.
     pub connect_timeout: Nanos,
     /// Attempts that one connection carries at once.
-    pub streams: usize,
+    pub max_in_flight: usize,
     /// The other side closes a connection that carried nothing for so long; zero if not told.
-    pub idle: Nanos,
+    pub peer_idle_timeout: Nanos,
 }
 
 /// Names that the protocol uses where the module has indices.
@@ -48,15 +48,15 @@
 
 /// What may be asked for of a content type.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Offer {
+pub struct RequestLimits {
     /// The longest that a client waits for it.
-    pub expiry: Nanos,
+    pub max_timeout: Nanos,
     /// A request may bring bytes.
-    pub writes: bool,
+    pub allows_body: bool,
 }
 
 /// The place of a name among those of the settings.
-pub fn place(names: &[String], name: &str) -> Option<u32> {
+pub fn name_index(names: &[String], name: &str) -> Option<u32> {
     let name = as_listed(name);
     names.iter().position(|known| *known == name).map(|at| at as u32)
 }
@@ -76,7 +76,7 @@
 
 impl Options {
     /// From `path=value` pairs.
-    pub fn from_pairs(fields: &[&str]) -> Read<Self> {
+    pub fn from_pairs(fields: &[&str]) -> ReadResult<Self> {
         let mut pairs = HashMap::new();
         for field in fields {
             let (path, value) =
@@ -117,7 +117,7 @@
         self.0.get(path).map(String::as_str)
     }
 
-    fn text(&self, path: &str) -> Read<&str> {
+    fn text(&self, path: &str) -> ReadResult<&str> {
         self.raw(path).ok_or_else(|| format!("options: {path} is missing"))
     }
 
@@ -125,24 +125,24 @@
         self.raw(path).unwrap_or_default().split(',').map(str::to_string).collect()
     }
 
-    fn number<T: FromStr>(&self, path: &str) -> Read<T> {
+    fn number<T: FromStr>(&self, path: &str) -> ReadResult<T> {
         let text = self.text(path)?;
         text.parse().map_err(|_| format!("options: {path}: expected a number, found '{text}'"))
     }
 
-    fn number_or<T: FromStr>(&self, path: &str, absent: T) -> Read<T> {
+    fn number_or<T: FromStr>(&self, path: &str, absent: T) -> ReadResult<T> {
         if self.raw(path).is_some() { self.number(path) } else { Ok(absent) }
     }
 
-    fn span(&self, path: &str) -> Read<Nanos> {
+    fn span(&self, path: &str) -> ReadResult<Nanos> {
         Ok(Nanos::from_secs(self.number(path)?))
     }
 
-    fn span_or_zero(&self, path: &str) -> Read<Nanos> {
+    fn span_or_zero(&self, path: &str) -> ReadResult<Nanos> {
         Ok(Nanos::from_secs(self.number_or(path, 0.0)?))
     }
 
-    fn flag(&self, path: &str) -> Read<bool> {
+    fn flag(&self, path: &str) -> ReadResult<bool> {
         match self.raw(path) {
             None | Some("false" | "0") => Ok(false),
             Some("true" | "1") => Ok(true),
@@ -155,7 +155,7 @@
         self.raw(path)?.split(',').nth(at)
     }
 
-    fn listed_number<T: FromStr>(&self, path: &str, at: usize, absent: T) -> Read<T> {
+    fn listed_number<T: FromStr>(&self, path: &str, at: usize, absent: T) -> ReadResult<T> {
         match self.listed(path, at) {
             None | Some("") => Ok(absent),
             Some(text) => {
@@ -164,11 +164,11 @@
         }
     }
 
-    fn kind(&self, path: &str) -> Read<Option<u32>> {
+    fn kind(&self, path: &str) -> ReadResult<Option<u32>> {
         Ok(u32::try_from(self.number_or(path, -1_i64)?).ok())
     }
 
-    fn content_type(&self, at: usize) -> Read<ContentType> {
+    fn content_type(&self, at: usize) -> ReadResult<ContentType> {
         let path = |name: &str| format!("services.{at}.{name}");
         let scope = match self.raw(&path("dedup_scope")) {
             Some("cell") => DedupScope::Cell,
@@ -193,7 +193,7 @@
     }
 
     /// The settings that the module reads; keys that it does not read are passed over.
-    pub fn settings(&self, seed: u64) -> Read<Settings> {
+    pub fn settings(&self, seed: u64) -> ReadResult<Settings> {
         let zone: u32 = self.number("zone")?;
         let dispatchers: u32 = self.number_or("balancers", 1)?;
         let types: usize = self.number("services.count")?;
@@ -202,7 +202,7 @@
             zone: ZoneId(zone),
             dispatchers,
             zone_dispatchers: self.listed_number("family_info.crew_by_zone", zone as usize, dispatchers)?,
-            content_types: (0..types).map(|at| self.content_type(at)).collect::<Read<_>>()?,
+            content_types: (0..types).map(|at| self.content_type(at)).collect::<ReadResult<_>>()?,
             parent_kind: self.kind("family_info.second_tier_kind")?,
             origin_kind: self.kind("family_info.root_kind")?,
             direct_to_parents: self.flag("family_info.pass_through_ok")?,
@@ -241,12 +241,12 @@
 
     /// What is known of the list service without the operators: each location has its part of a round, as large as
     /// its part of the dispatchers.
-    pub fn calls(&self) -> Read<ReconnectSettings> {
+    pub fn reconnect_settings(&self) -> ReadResult<ReconnectSettings> {
         let zone: usize = self.number("zone")?;
         let dispatchers: u32 = self.number_or("balancers", 1)?;
         let crews = self.names("family_info.crew_by_zone").len();
         let crew = |at: usize| self.listed_number("family_info.crew_by_zone", at, 0.0_f64);
-        let crews = (0..crews).map(crew).collect::<Read<Vec<_>>>()?;
+        let crews = (0..crews).map(crew).collect::<ReadResult<Vec<_>>>()?;
         let sum = |crews: &[f64]| crews.iter().sum::<f64>();
         let window_range = match crews.get(zone) {
             Some(own) if *own > 0.0 => [sum(&crews[..zone]), sum(&crews[..=zone])].map(|at| at / sum(&crews)),
@@ -256,32 +256,32 @@
     }
 
     /// What connections to nodes are held to.
-    pub fn connections(&self) -> Read<Connections> {
-        Ok(Connections {
+    pub fn connection_limits(&self) -> ReadResult<ConnectionLimits> {
+        Ok(ConnectionLimits {
             connect_timeout: self.span("limits.connect_timeout_s")?,
-            streams: self.number("limits.streams_per_conn")?,
-            idle: self.span_or_zero("limits.conn_idle_s")?,
+            max_in_flight: self.number("limits.streams_per_conn")?,
+            peer_idle_timeout: self.span_or_zero("limits.conn_idle_s")?,
         })
     }
 
     /// What may be asked for, by content type.
-    pub fn offers(&self) -> Read<Vec<Offer>> {
+    pub fn request_limits(&self) -> ReadResult<Vec<RequestLimits>> {
         let types: usize = self.number("services.count")?;
         let offer = |at: usize| {
-            Ok(Offer {
-                expiry: self.span(&format!("services.{at}.deadline_s"))?,
-                writes: matches!(self.listed("family_info.pass_on", at), Some("true" | "1")),
+            Ok(RequestLimits {
+                max_timeout: self.span(&format!("services.{at}.deadline_s"))?,
+                allows_body: matches!(self.listed("family_info.pass_on", at), Some("true" | "1")),
             })
         };
         (0..types).map(offer).collect()
     }
 
     /// The names that the protocol uses.
-    pub fn protocol_names(&self) -> Read<Names> {
+    pub fn protocol_names(&self) -> ReadResult<Names> {
         let types: usize = self.number("services.count")?;
         let name = |at: usize| self.text(&format!("services.{at}.name")).map(str::to_string);
         Ok(Names {
-            content_types: (0..types).map(name).collect::<Read<_>>()?,
+            content_types: (0..types).map(name).collect::<ReadResult<_>>()?,
             zones: self.names("localities"),
             kinds: self.names("flavors"),
         })
--- a/crates/settings/src/operator.rs
+++ b/crates/settings/src/operator.rs
@@ -1,6 +1,6 @@
 //! The operator's own file: JSON with a schema. What stands in it is off unless it is given.
 
-use crate::Read;
+use crate::ReadResult;
 use copperroute_config_rollout::issue::IssuedVersion;
 use copperroute_config_rollout::terms::TimingBounds;
 use copperroute_routing::calls::ReconnectSettings;
@@ -13,8 +13,8 @@
 
 /// The file as it stands.
 #[derive(Debug, Clone, Default, PartialEq, Deserialize, JsonSchema)]
-#[serde(deny_unknown_fields)]
-pub struct Operator {
+#[serde(rename = "Operator", deny_unknown_fields)]
+pub struct OperatorFile {
     /// Retry storms are recognised and damped; absent: they are not.
     pub storms: Option<Storms>,
     /// Copies of the dispatcher's own are kept and served; absent: none are.
@@ -74,7 +74,7 @@
     #[schemars(range(min = 1, max = 3600))]
     pub told_after_s: f64,
     /// The last good list outlives a restart; absent: it does not.
-    pub keep: Option<LastList>,
+    pub keep: Option<SnapshotSettings>,
     /// Replicas of the change log, of which each dispatcher follows two; absent: the one address of the platform's
     /// configuration is followed. All dispatchers must be told the same.
     pub replicas: Option<Vec<Replica>>,
@@ -101,8 +101,8 @@
 
 /// The last good list on disk.
 #[derive(Debug, Clone, PartialEq, Deserialize, JsonSchema)]
-#[serde(deny_unknown_fields)]
-pub struct LastList {
+#[serde(rename = "LastList", deny_unknown_fields)]
+pub struct SnapshotSettings {
     /// The folder that it is kept in; no other process may use it.
     pub folder: PathBuf,
     /// One that is older than so many seconds does not do.
@@ -141,10 +141,10 @@
     pub segment_mb: u64,
     /// When copies are on the disk for certain.
     #[serde(default)]
-    pub sync: SyncWhen,
+    pub sync: SyncPolicy,
     /// Whether the change log's numbers outlast a restart.
     #[serde(default)]
-    pub change_log: Numbers,
+    pub change_log: SequenceNumbers,
 }
 
 fn segment_mb() -> u64 {
@@ -153,8 +153,8 @@
 
 /// When what was written is on the disk for certain.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize, JsonSchema)]
-#[serde(rename_all = "lowercase")]
-pub enum SyncWhen {
+#[serde(rename = "SyncWhen", rename_all = "lowercase")]
+pub enum SyncPolicy {
     /// When the machine gets to it; marks of purges too.
     Never,
     /// Copies when a file is full, marks of purges at once.
@@ -166,13 +166,15 @@
 
 /// The numbers of the change log.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize, JsonSchema)]
-#[serde(rename_all = "lowercase")]
-pub enum Numbers {
+#[serde(rename = "Numbers", rename_all = "lowercase")]
+pub enum SequenceNumbers {
     /// They begin at 1 with each start: nothing on disk can be trusted after one, and the tier begins empty.
     #[default]
-    Anew,
+    #[serde(rename = "anew")]
+    Restarted,
     /// They go on: what was purged meanwhile is told again.
-    Lasting,
+    #[serde(rename = "lasting")]
+    Continued,
 }
 
 /// What retry storms are met with.
@@ -221,7 +223,13 @@
 }
 
 /// A value within its bounds, or one line on what was found and expected.
-fn within<T: PartialOrd + std::fmt::Display>(path: &str, value: T, what: &str, least: T, most: T) -> Read<T> {
+fn within<T: PartialOrd + std::fmt::Display>(
+    path: &str,
+    value: T,
+    what: &str,
+    least: T,
+    most: T,
+) -> ReadResult<T> {
     match value >= least && value <= most {
         true => Ok(value),
         false => Err(format!("{path}: {value} is no {what}; expected {least} to {most}")),
@@ -230,7 +238,7 @@
 
 impl Replica {
     /// What the decisions are told of it; `path` is its place in the file.
-    fn read(&self, path: &str) -> Read<change_log::Replica> {
+    fn read(&self, path: &str) -> ReadResult<change_log::Replica> {
         let address: Option<SocketAddr> = self.address.parse().ok();
         let usable = |address: &SocketAddr| address.port() != 0 && !address.ip().is_unspecified();
         let address = address.filter(usable).ok_or_else(|| {
@@ -245,22 +253,22 @@
     }
 }
 
-impl Operator {
+impl OperatorFile {
     /// Reads the file; an error is one line with the file, the field, what was found and what was expected.
-    pub fn read(path: &Path) -> Read<Operator> {
+    pub fn read(path: &Path) -> ReadResult<OperatorFile> {
         let named = |what: String| format!("{}: {what}", path.display());
         let text = std::fs::read_to_string(path).map_err(|fault| named(fault.to_string()))?;
-        Operator::parse(&text).map_err(named)
+        OperatorFile::parse(&text).map_err(named)
     }
 
     /// The same from the text of a file.
-    pub fn parse(text: &str) -> Read<Operator> {
+    pub fn parse(text: &str) -> ReadResult<OperatorFile> {
         let mut read = serde_json::Deserializer::from_str(text);
-        let file: Operator =
+        let file: OperatorFile =
             serde_path_to_error::deserialize(&mut read).map_err(|fault| fault.to_string())?;
         read.end().map_err(|fault| fault.to_string())?;
-        file.storms(1)?;
-        file.copies_bytes()?;
+        file.overload_settings(1)?;
+        file.copy_memory_bytes()?;
         file.disk_tier()?;
         // How many call is told elsewhere, unless it stands here.
         let one = ReconnectSettings {
@@ -269,16 +277,16 @@
             delivered_after: Nanos::ZERO,
             window_range: [0.0, 1.0],
         };
-        file.calls(one)?;
+        file.reconnect_settings(one)?;
         file.replicas()?;
-        file.last_list()?;
-        file.terms()?;
-        file.issued()?;
+        file.snapshot_settings()?;
+        file.timing_bounds()?;
+        file.issued_versions()?;
         Ok(file)
     }
 
     /// What the decisions are told of storms, where a request and its repeats may take so many attempts.
-    pub fn storms(&self, max_attempts: u32) -> Read<Option<OverloadSettings>> {
+    pub fn overload_settings(&self, max_attempts: u32) -> ReadResult<Option<OverloadSettings>> {
         let Some(told) = &self.storms else { return Ok(None) };
         let remember = within("storms.remember_s", told.remember_s, "number of seconds", 1.0, 3600.0)?;
         let most =
@@ -296,14 +304,14 @@
     }
 
     /// Bytes of memory that own copies may take; zero for none.
-    pub fn copies_bytes(&self) -> Read<usize> {
+    pub fn copy_memory_bytes(&self) -> ReadResult<usize> {
         let Some(told) = &self.copies else { return Ok(0) };
         let mb = within("copies.memory_mb", told.memory_mb, "number of megabytes", 1, 1_000_000)?;
         Ok(mb as usize * 1_000_000)
     }
 
     /// The disk tier of own copies, checked.
-    pub fn disk_tier(&self) -> Read<Option<DiskTier>> {
+    pub fn disk_tier(&self) -> ReadResult<Option<DiskTier>> {
         let Some(told) = self.copies.as_ref().and_then(|copies| copies.disk.as_ref()) else {
             return Ok(None);
         };
@@ -313,7 +321,7 @@
     }
 
     /// What is known of the list service, where so much is known without the operators.
-    pub fn calls(&self, known: ReconnectSettings) -> Read<ReconnectSettings> {
+    pub fn reconnect_settings(&self, known: ReconnectSettings) -> ReadResult<ReconnectSettings> {
         let Some(told) = &self.lists else { return Ok(known) };
         let bears = within("lists.calls_per_s", told.calls_per_s, "number of calls a second", 0.1, 1e6)?;
         let after = within("lists.told_after_s", told.told_after_s, "number of seconds", 1.0, 3600.0)?;
@@ -342,7 +350,7 @@
     }
 
     /// The replicas of the change log, checked; none where its own address is followed.
-    pub fn replicas(&self) -> Read<Vec<change_log::Replica>> {
+    pub fn replicas(&self) -> ReadResult<Vec<change_log::Replica>> {
         let Some(told) = self.lists.as_ref().and_then(|lists| lists.replicas.as_ref()) else {
             return Ok(Vec::new());
         };
@@ -365,14 +373,14 @@
     }
 
     /// Where the last good list is kept, checked.
-    pub fn last_list(&self) -> Read<Option<LastList>> {
+    pub fn snapshot_settings(&self) -> ReadResult<Option<SnapshotSettings>> {
         let Some(told) = self.lists.as_ref().and_then(|lists| lists.keep.as_ref()) else { return Ok(None) };
         within("lists.keep.most_age_s", told.most_age_s, "number of seconds", 1.0, 31_536_000.0)?;
         Ok(Some(told.clone()))
     }
 
     /// What is stated of clocks and ways for the agreement, checked.
-    pub fn terms(&self) -> Read<Option<TimingBounds>> {
+    pub fn timing_bounds(&self) -> ReadResult<Option<TimingBounds>> {
         let Some(told) = &self.agreement else { return Ok(None) };
         let terms = TimingBounds {
             lease: Nanos::from_secs(told.lease_s),
@@ -383,7 +391,7 @@
     }
 
     /// The versions of rules that come with the file.
-    pub fn issued(&self) -> Read<Vec<IssuedVersion>> {
+    pub fn issued_versions(&self) -> ReadResult<Vec<IssuedVersion>> {
         let told = self.agreement.iter().flat_map(|told| &told.issued).enumerate();
         let read = |(at, told)| {
             IssuedVersion::from_value(told).map_err(|fault| format!("agreement.issued.{at}.{fault}"))
@@ -393,7 +401,7 @@
 
     /// The schema of the file.
     pub fn schema() -> serde_json::Value {
-        schemars::schema_for!(Operator).to_value()
+        schemars::schema_for!(OperatorFile).to_value()
     }
 }
 
--- a/crates/settings/src/tests/lib.rs
+++ b/crates/settings/src/tests/lib.rs
@@ -1,6 +1,6 @@
 //! Tests of what `lib.rs` keeps to itself.
 
-use super::{Options, place};
+use super::{Options, name_index};
 use expect_test::expect;
 
 #[test]
@@ -8,7 +8,7 @@
     let part = |zone: usize, crews: &str| {
         let zone = format!("zone={zone}");
         let options = Options::from_pairs(&["balancers=10", &zone, crews]).expect("pairs");
-        options.calls().expect("numbers").window_range
+        options.reconnect_settings().expect("numbers").window_range
     };
     let crews = "family_info.crew_by_zone=2,5,3,0";
     assert_eq!([0, 1, 2, 3].map(|zone| part(zone, crews)), [[0.0, 0.2], [0.2, 0.7], [0.7, 1.0], [0.0, 1.0]]);
@@ -20,7 +20,7 @@
     let text = r#"{"a":{"b":1.5,"c":true},"flavors":["x, y","z"],"services":[{"name":"n"},{"name":"m"}],"e":[],"f":null}"#;
     let options = Options::from_json(&serde_json::from_str(text).expect("valid JSON"));
     let kinds = options.names("flavors");
-    assert_eq!(["x, y", "z", "x"].map(|name| place(&kinds, name)), [Some(0), Some(1), None]);
+    assert_eq!(["x, y", "z", "x"].map(|name| name_index(&kinds, name)), [Some(0), Some(1), None]);
     let mut pairs: Vec<_> = options.0.into_iter().collect();
     pairs.sort();
     expect![[r#"
--- a/crates/settings/src/tests/operator.rs
+++ b/crates/settings/src/tests/operator.rs
@@ -1,6 +1,6 @@
 //! Tests of what `operator.rs` keeps to itself.
 
-use super::Operator;
+use super::OperatorFile;
 use copperroute_routing::calls::ReconnectSettings;
 use copperroute_routing::interface::Nanos;
 use expect_test::expect;
@@ -8,8 +8,8 @@
 #[test]
 fn the_users_platform_has_no_disk_that_lasts_and_tells_nothing_of_its_list_service() {
     let told = include_str!("../../../../deploy/platform.json");
-    let platform = Operator::parse(told).expect("a good file");
-    assert_eq!((platform.disk_tier(), platform.last_list()), (Ok(None), Ok(None)));
+    let platform = OperatorFile::parse(told).expect("a good file");
+    assert_eq!((platform.disk_tier(), platform.snapshot_settings()), (Ok(None), Ok(None)));
     assert_eq!((platform.lists, platform.agreement), (None, None));
     let run = include_str!("../../../../deploy/balancer.toml").lines().find(|line| line.starts_with("run"));
     let run = run.unwrap_or_default();
@@ -59,7 +59,7 @@
         r#"{"storms":{}} {}"#,
         r#"{"storms":{"#,
     ];
-    let said = files.map(|file| match Operator::parse(file) {
+    let said = files.map(|file| match OperatorFile::parse(file) {
         Ok(_) => format!("{file}: good\n"),
         Err(why) => format!("{file}: {why}\n"),
     });
@@ -110,14 +110,14 @@
     let six = (1..7).map(replica).collect::<Vec<_>>().join(",");
     let told = |replicas: &str| {
         let file = format!(r#"{{"lists":{{"calls_per_s":60,"dispatchers":590{replicas}}}}}"#);
-        Operator::parse(&file).and_then(|file| {
+        OperatorFile::parse(&file).and_then(|file| {
             let known = ReconnectSettings {
                 dispatchers: 1,
                 calls_per_s: None,
                 delivered_after: Nanos::ZERO,
                 window_range: [0.0, 1.0],
             };
-            file.calls(known).map(|calls| calls.dispatchers)
+            file.reconnect_settings(known).map(|calls| calls.dispatchers)
         })
     };
     let one = told("").expect_err("too many for one service");
