--- a/crates/dispatcher/src/agreed.rs
+++ b/crates/dispatcher/src/agreed.rs
@@ -1,6 +1,6 @@
 //! What this dispatcher holds of the agreement on rules, and what its decisions are told of it.
 
-use crate::config::{Agreeing, Config};
+use crate::config::{AgreementConfig, Config};
 use crate::logs::LogRateLimiter;
 use copperroute_config_rollout::core::{Agreement, OutOfTouchReason};
 use copperroute_config_rollout::issue::{IssuedVersion, Refusal};
@@ -22,12 +22,12 @@
 
 impl Agreed {
     /// Nothing heard yet.
-    pub fn new(agreeing: &Agreeing, config: &Config) -> Self {
+    pub fn new(agreeing: &AgreementConfig, config: &Config) -> Self {
         Agreed {
-            core: Agreement::new(agreeing.ground.clone(), &agreeing.floor),
+            core: Agreement::new(agreeing.context.clone(), &agreeing.floor),
             lists: ListVersions::default(),
             settings: config.settings.clone(),
-            expiries: config.offers.iter().map(|offer| offer.max_timeout).collect(),
+            expiries: config.request_limits.iter().map(|offer| offer.max_timeout).collect(),
             said: None,
             refused: LogRateLimiter::default(),
         }
--- a/crates/dispatcher/src/config.rs
+++ b/crates/dispatcher/src/config.rs
@@ -64,70 +64,70 @@
     /// What the module is told.
     pub settings: Settings,
     /// What connections to nodes are held to.
-    pub connections: ConnectionLimits,
+    pub connection_limits: ConnectionLimits,
     /// The names that the protocol uses.
     pub names: Names,
     /// What may be asked for, by content type.
-    pub offers: Vec<RequestLimits>,
+    pub request_limits: Vec<RequestLimits>,
     /// What the own link carries in bytes a second: one answer, and all; zero if not told.
-    pub own_link: [f64; 2],
+    pub link_bytes_per_s: [f64; 2],
     /// Bytes of memory for own copies; zero for none.
-    pub copies_bytes: usize,
+    pub copy_memory_bytes: usize,
     /// The disk tier of own copies.
     pub disk_tier: Option<DiskTier>,
     /// The replicas of the change log; empty where its own address is followed.
     pub replicas: Vec<Replica>,
     /// What is known of the list service.
-    pub calls: ReconnectSettings,
+    pub reconnect: ReconnectSettings,
     /// Where the last good list outlives a restart.
-    pub last_list: Option<SnapshotSettings>,
+    pub snapshot: Option<SnapshotSettings>,
     /// How dispatchers agree on versions of their rules; `None` if they don't.
-    pub agreeing: Option<Agreeing>,
+    pub agreement: Option<AgreementConfig>,
 }
 
 /// How dispatchers agree.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Agreeing {
+pub struct AgreementConfig {
     /// What versions are judged by.
-    pub ground: ValidationContext,
+    pub context: ValidationContext,
     /// The strictest that any may say.
     pub floor: RuleSet,
     /// Those that the operator's file brings.
-    pub issued: Vec<IssuedVersion>,
+    pub issued_versions: Vec<IssuedVersion>,
 }
 
 /// The files that a configuration is read from.
 #[derive(Debug, Clone)]
-pub struct Sources {
+pub struct ConfigFiles {
     /// The platform's.
     pub config: PathBuf,
     /// The operator's own, if there is one.
     pub operator: Option<PathBuf>,
 }
 
-impl Sources {
+impl ConfigFiles {
     /// Reads them all, or says in one line what is wrong with one.
     pub fn read(&self) -> Result<Config, String> {
         let mut config = Config::read(&self.config)?;
         if let Some(path) = &self.operator {
             let operator = OperatorFile::read(path)?;
             config.settings.overload_control = operator.overload_settings(config.settings.max_attempts)?;
-            config.copies_bytes = operator.copy_memory_bytes()?;
+            config.copy_memory_bytes = operator.copy_memory_bytes()?;
             let most = config.limits.memory_mb / 2;
-            if config.copies_bytes as u64 > most * 1_000_000 {
-                let told = config.copies_bytes / 1_000_000;
+            if config.copy_memory_bytes as u64 > most * 1_000_000 {
+                let told = config.copy_memory_bytes / 1_000_000;
                 let path = path.display();
                 return Err(format!(
                     "{path}: copies.memory_mb: {told}; expected at most {most}, half of limits.memory_mb"
                 ));
             }
             config.disk_tier = operator.disk_tier()?;
-            config.calls = operator
-                .reconnect_settings(config.calls)
+            config.reconnect = operator
+                .reconnect_settings(config.reconnect)
                 .map_err(|fault| format!("{}: {fault}", path.display()))?;
             config.replicas = operator.replicas()?;
-            config.last_list = operator.snapshot_settings()?;
-            config.agreeing =
+            config.snapshot = operator.snapshot_settings()?;
+            config.agreement =
                 config.agreeing(&operator).map_err(|fault| format!("{}: {fault}", path.display()))?;
         }
         Ok(config)
@@ -136,23 +136,23 @@
 
 impl Config {
     /// Tells this dispatcher of this deployment from others, whose lists are of no use here.
-    pub fn print(&self) -> u64 {
+    pub fn fingerprint(&self) -> u64 {
         let Names { zones, kinds, .. } = &self.names;
         stable_hash(format!("{} {zones:?} {kinds:?}", self.name).as_bytes())
     }
 
     /// Where the change log is followed: at two replicas if there are such, else at its own address.
-    pub fn followed(&self) -> Vec<SocketAddr> {
+    pub fn change_log_addresses(&self) -> Vec<SocketAddr> {
         let two = select_replicas(&self.replicas, &self.name);
         two.map_or(vec![self.changelog], |two| two.map(|replica| replica.address).to_vec())
     }
 
     /// How dispatchers agree, as the operator's file says.
-    pub fn agreeing(&self, operator: &OperatorFile) -> Result<Option<Agreeing>, String> {
+    pub fn agreeing(&self, operator: &OperatorFile) -> Result<Option<AgreementConfig>, String> {
         let (Some(timing), Some(told)) = (operator.timing_bounds()?, &operator.agreement) else {
             return Ok(None);
         };
-        let expiries: Vec<_> = self.offers.iter().map(|offer| offer.max_timeout).collect();
+        let expiries: Vec<_> = self.request_limits.iter().map(|offer| offer.max_timeout).collect();
         let (platform_rules, content_types) =
             (RuleSet::from_settings(&self.settings, &expiries), self.names.content_types.clone());
         let floor = RuleSet::parse(&platform_rules, &content_types, "agreement.floor", &told.floor)?;
@@ -160,8 +160,8 @@
             let path = field.path(&content_types);
             return Err(format!("agreement.floor.{path}: looser than the platform's settings"));
         }
-        let ground = ValidationContext { platform_rules, content_types, timing, faults: faults() };
-        Ok(Some(Agreeing { ground, floor, issued: operator.issued_versions()? }))
+        let context = ValidationContext { platform_rules, content_types, timing, faults: faults() };
+        Ok(Some(AgreementConfig { context, floor, issued_versions: operator.issued_versions()? }))
     }
 
     /// Reads a configuration; an error is one line with the file, the field and what was expected.
@@ -185,16 +185,16 @@
             changelog: file.changelog,
             known: file.known,
             settings: options.settings(seed)?,
-            connections: options.connection_limits()?,
+            connection_limits: options.connection_limits()?,
             names: options.protocol_names()?,
-            offers: options.request_limits()?,
-            own_link: [file.flow_bytes_per_s, file.link_bytes_per_s],
-            copies_bytes: 0,
+            request_limits: options.request_limits()?,
+            link_bytes_per_s: [file.flow_bytes_per_s, file.link_bytes_per_s],
+            copy_memory_bytes: 0,
             disk_tier: None,
             replicas: Vec::new(),
-            calls: options.reconnect_settings()?,
-            last_list: None,
-            agreeing: None,
+            reconnect: options.reconnect_settings()?,
+            snapshot: None,
+            agreement: None,
         })
     }
 }
--- a/crates/dispatcher/src/event_loop/mod.rs
+++ b/crates/dispatcher/src/event_loop/mod.rs
@@ -1,7 +1,7 @@
 //! The event loop: carries sockets, timers and signals to the reducer, and out what it asks for.
 
 use crate::clock::Clock;
-use crate::config::{Config, Sources};
+use crate::config::{Config, ConfigFiles};
 use crate::deadlines::Deadlines;
 use crate::effects::{Effect, Event, Peer, TimerKind, TrailingInput};
 use crate::freshness::{Freshness, TimerPostponement};
@@ -130,7 +130,7 @@
 }
 
 /// Serves with the configuration in these files, as it was read from them, until told to end.
-pub fn serve(sources: &Sources, mut config: Config) -> Result<(), String> {
+pub fn serve(sources: &ConfigFiles, mut config: Config) -> Result<(), String> {
     let said = |what: &'static str| move |fault: calloop::Error| format!("{what}: {fault}");
     let listener = listen(config.listen).map_err(|fault| format!("{}: {fault}", config.listen))?;
     let mut event_loop: EventLoop<'static, Inbox> = EventLoop::try_new().map_err(said("event loop"))?;
@@ -165,7 +165,7 @@
     let snapshot_writer = open_list(&mut config, &clock)?;
     // What is known may have come from the last good list: the disk is judged by that.
     let disk = open_disk(&config)?;
-    let watched = config.agreeing.is_some();
+    let watched = config.agreement.is_some();
     let reducer = Reducer::new(config, clock.epoch());
     let mut carrier = Carrier {
         handle,
@@ -367,7 +367,7 @@
     }
 
     /// Reads the configuration again; one that can't be used changes nothing.
-    fn reload(&mut self, sources: &Sources) {
+    fn reload(&mut self, sources: &ConfigFiles) {
         match sources.read() {
             Ok(config) => self.reduce(Event::Reload(&config)),
             Err(fault) => log::error!("configuration: not taken: {fault}"),
--- a/crates/dispatcher/src/event_loop/startup.rs
+++ b/crates/dispatcher/src/event_loop/startup.rs
@@ -56,13 +56,13 @@
 /// Finds the last good list, where the operators want one kept: it stands in for what the configuration knows if it is
 /// newer. One that does not do is as if absent. A folder that can't be made ends the start.
 pub(super) fn open_list(config: &mut Config, clock: &Clock) -> Result<Option<SnapshotWriter>, String> {
-    let Some(told) = config.last_list.clone() else { return Ok(None) };
+    let Some(told) = config.snapshot.clone() else { return Ok(None) };
     let most_age_ms = (told.most_age_s * 1e3) as u64;
     // What the configuration tells has passed: a clock before that is behind, and a list older than it seems.
     let mut outside = OutsideTime::new(clock.epoch());
     config.known.results.iter().for_each(|change| outside.event_heard(clock.now(), change));
     let unix_ms = outside.latest_ms(clock.now());
-    match snapshot_writer::find(&told.folder, unix_ms, config.print(), most_age_ms, config.known.seq) {
+    match snapshot_writer::find(&told.folder, unix_ms, config.fingerprint(), most_age_ms, config.known.seq) {
         Ok(Some((known, age_ms))) => {
             log::info!("list: of event {}, {:.1} s old, taken", known.seq, age_ms as f64 / 1e3);
             config.known = known;
--- a/crates/dispatcher/src/main.rs
+++ b/crates/dispatcher/src/main.rs
@@ -4,7 +4,7 @@
 use copperroute_cache_store::disk::inspect;
 use copperroute_cache_store::record::Head;
 use copperroute_change_log_replica::config::Config as RelayConfig;
-use copperroute_dispatcher::config::{Agreeing, Config, Sources};
+use copperroute_dispatcher::config::{AgreementConfig, Config, ConfigFiles};
 use copperroute_dispatcher::{event_loop, logs, rules_text};
 use copperroute_routing::change_log;
 use copperroute_settings::operator::OperatorFile;
@@ -99,9 +99,9 @@
 /// Looks at versions of rules.
 fn rules(what: RulesCommand) -> Result<(), (u8, String)> {
     let bad = |fault: String| (UNUSABLE, fault);
-    let agreeing = |files: Files| -> Result<Agreeing, (u8, String)> {
-        let config = Sources { config: files.config, operator: files.operator }.read().map_err(bad)?;
-        config.agreeing.ok_or_else(|| bad("the operator's file names no agreement".into()))
+    let agreeing = |files: Files| -> Result<AgreementConfig, (u8, String)> {
+        let config = ConfigFiles { config: files.config, operator: files.operator }.read().map_err(bad)?;
+        config.agreement.ok_or_else(|| bad("the operator's file names no agreement".into()))
     };
     let text = match what {
         RulesCommand::Show { files, version } => {
@@ -172,8 +172,8 @@
 
 /// What the operators tell of the list service, and which replicas of it this dispatcher follows.
 fn lists(config: &Config) -> Option<String> {
-    let (bears, longest) = (config.calls.calls_per_s?, config.calls.max_wait().ok()?.secs());
-    let dispatchers = config.calls.dispatchers;
+    let (bears, longest) = (config.reconnect.calls_per_s?, config.reconnect.max_wait().ok()?.secs());
+    let dispatchers = config.reconnect.dispatchers;
     let waits = format!("{bears} calls a second, none waits longer than {longest:.1} s");
     let Some(two) = change_log::select_replicas(&config.replicas, &config.name) else {
         return Some(format!("{dispatchers} dispatchers, {waits}"));
@@ -193,7 +193,7 @@
 
 fn run(command: Command) -> Result<(), (u8, String)> {
     let read = |files: Files| {
-        let sources = Sources { config: files.config, operator: files.operator };
+        let sources = ConfigFiles { config: files.config, operator: files.operator };
         sources.read().map(|config| (sources, config)).map_err(|fault| (UNUSABLE, fault))
     };
     match command {
@@ -230,9 +230,9 @@
                 if let Some(told) = lists(&config) {
                     println!("{}: lists: {told}", path.display());
                 }
-                if let Some(agreeing) = &config.agreeing {
-                    let stated =
-                        rules_text::check(agreeing, &agreeing.issued).map_err(|why| (UNUSABLE, why))?;
+                if let Some(agreeing) = &config.agreement {
+                    let stated = rules_text::check(agreeing, &agreeing.issued_versions)
+                        .map_err(|why| (UNUSABLE, why))?;
                     print!("{}: agreement: {stated}", path.display());
                 }
             }
--- a/crates/dispatcher/src/reducer/clients.rs
+++ b/crates/dispatcher/src/reducer/clients.rs
@@ -90,7 +90,7 @@
         let name = &request.content_type;
         let content_type = name_index(&self.config.names.content_types, name)
             .ok_or_else(|| format!("no content type '{}'", name.escape_default()))?;
-        let offer = self.config.offers[content_type as usize];
+        let offer = self.config.request_limits[content_type as usize];
         match request {
             _ if request.timeout_ms > offer.max_timeout.0.div_ceil(1_000_000) => {
                 Err(format!("timeout: {} ms are more than the expiry of '{name}'", request.timeout_ms))
@@ -118,7 +118,7 @@
         // Under a rule that came later a client waits no longer, whatever it asked for.
         let most_ms = self.expiries[content_type as usize].0.div_ceil(1_000_000);
         request.timeout_ms = request.timeout_ms.min(most_ms);
-        let of_copies = !self.config.offers[content_type as usize].allows_body;
+        let of_copies = !self.config.request_limits[content_type as usize].allows_body;
         let once = self.settings.content_types[content_type as usize].retry_safety != RetrySafety::Retriable;
         let object_hash = stable_hash(request.object.as_str().as_bytes());
         let (part, group) = (request.part, request.group);
--- a/crates/dispatcher/src/reducer/mod.rs
+++ b/crates/dispatcher/src/reducer/mod.rs
@@ -5,7 +5,7 @@
 use crate::changes::{ChangeLog, ChangeLogSettings, ChangeLogUpdate};
 use crate::clients::MOST_OPEN;
 use crate::clock::Epoch;
-use crate::config::{Agreeing, Config};
+use crate::config::{AgreementConfig, Config};
 use crate::copies::{self, Copies, Offered, Own};
 use crate::effects::{Effect, Event, Peer, TimerKind};
 use crate::last_list::LastList;
@@ -114,31 +114,31 @@
 impl Reducer {
     /// A dispatcher that has not started.
     pub fn new(config: Config, epoch: Epoch) -> Self {
-        let (bytes, s) = (config.copies_bytes, &config.settings);
-        let copies = || Copies::new(bytes, config.own_link, &s.content_types, s.purge_done);
+        let (bytes, s) = (config.copy_memory_bytes, &config.settings);
+        let copies = || Copies::new(bytes, config.link_bytes_per_s, &s.content_types, s.purge_done);
         let copies = (bytes > 0).then(copies);
         let mut request_table =
-            RequestTable::new(config.connections, config.limits, config.settings.seed.rotate_left(16));
+            RequestTable::new(config.connection_limits, config.limits, config.settings.seed.rotate_left(16));
         request_table.keeps_copies = copies.is_some();
         let purges = s.purge_done.after(s.purge_notice);
-        let last_list = config.last_list.as_ref().map(|_| LastList::new(config.print(), purges));
-        let agreed = config.agreeing.as_ref().map(|agreeing| Agreed::new(agreeing, &config));
+        let last_list = config.snapshot.as_ref().map(|_| LastList::new(config.fingerprint(), purges));
+        let agreed = config.agreement.as_ref().map(|agreeing| Agreed::new(agreeing, &config));
         let log = ChangeLog::new(ChangeLogSettings {
-            addresses: config.followed(),
+            addresses: config.change_log_addresses(),
             applied: config.known.seq,
-            calls: config.calls,
+            calls: config.reconnect,
             seed: config.settings.seed.rotate_left(32),
             unix_zero: epoch.unix_zero(),
             slack: config
-                .agreeing
+                .agreement
                 .as_ref()
-                .map_or(SLACK, |agreeing| agreeing.ground.timing.propagation_bound),
+                .map_or(SLACK, |agreeing| agreeing.context.timing.propagation_bound),
             detects_log_restart: agreed.is_some(),
         });
         Reducer {
             agreed,
             settings: config.settings.clone(),
-            expiries: config.offers.iter().map(|offer| offer.max_timeout).collect(),
+            expiries: config.request_limits.iter().map(|offer| offer.max_timeout).collect(),
             copies,
             last_list,
             reading: HashMap::new(),
@@ -300,9 +300,9 @@
         for change in std::mem::take(&mut self.config.known.results) {
             self.apply(now, &change, false);
         }
-        if let (Some(agreed), Some(agreeing)) = (&mut self.agreed, &self.config.agreeing) {
-            agreeing.issued.iter().for_each(|issue| self.outside.time_told(now, issue.issued_ms));
-            agreed.issued(now, self.outside.earliest_ms(now), &agreeing.issued);
+        if let (Some(agreed), Some(agreeing)) = (&mut self.agreed, &self.config.agreement) {
+            agreeing.issued_versions.iter().for_each(|issue| self.outside.time_told(now, issue.issued_ms));
+            agreed.issued(now, self.outside.earliest_ms(now), &agreeing.issued_versions);
         }
         self.obey(now);
         let has_list = self.life.phase() == Phase::Serving;
@@ -378,12 +378,12 @@
 
     /// A client that takes nothing for so long is gone.
     fn client_patience(&self) -> Nanos {
-        let idle = self.config.connections.peer_idle_timeout;
+        let idle = self.config.connection_limits.peer_idle_timeout;
         if idle > Nanos::ZERO { idle } else { Nanos(u64::MAX) }
     }
 }
 
 /// The longest that any client waits.
 fn longest_expiry(config: &Config) -> Nanos {
-    config.offers.iter().map(|offer| offer.max_timeout).max().unwrap_or_default()
+    config.request_limits.iter().map(|offer| offer.max_timeout).max().unwrap_or_default()
 }
--- a/crates/dispatcher/src/reducer/reload.rs
+++ b/crates/dispatcher/src/reducer/reload.rs
@@ -12,7 +12,7 @@
         let rules = RuleSet::from_settings(&new.settings, &self.expiries);
         let only_rules = rules.apply(&old.settings, &self.expiries).0 == new.settings;
         let (versions, differ) = (self.agreed.is_some(), new.settings != old.settings);
-        let ground = |agreeing: &Agreeing| (agreeing.ground.clone(), agreeing.floor.clone());
+        let ground = |agreeing: &AgreementConfig| (agreeing.context.clone(), agreeing.floor.clone());
         let kept = [
             ("name", new.name != old.name),
             ("listen", new.listen != old.listen),
@@ -20,14 +20,14 @@
             ("rules outside of versions", only_rules && versions && differ),
             (
                 "how rules are agreed on",
-                old.agreeing.as_ref().map(ground) != new.agreeing.as_ref().map(ground),
+                old.agreement.as_ref().map(ground) != new.agreement.as_ref().map(ground),
             ),
-            ("where the last list is kept", new.last_list != old.last_list),
+            ("where the last list is kept", new.snapshot != old.snapshot),
             (
                 "what own copies may take",
-                (new.copies_bytes, &new.disk_tier) != (old.copies_bytes, &old.disk_tier),
+                (new.copy_memory_bytes, &new.disk_tier) != (old.copy_memory_bytes, &old.disk_tier),
             ),
-            ("names in the settings", new.names != old.names || new.offers != old.offers),
+            ("names in the settings", new.names != old.names || new.request_limits != old.request_limits),
         ];
         for (what, _) in kept.iter().filter(|(_, differs)| *differs) {
             log::warn!("configuration: {what} can't change before a restart");
@@ -37,16 +37,17 @@
             self.module.settings_changed(&new.settings);
             (self.settings, old.settings) = (new.settings.clone(), new.settings.clone());
         }
-        if let (Some(agreed), Some(agreeing)) = (&mut self.agreed, &new.agreeing) {
-            agreeing.issued.iter().for_each(|issue| self.outside.time_told(now, issue.issued_ms));
-            agreed.issued(now, self.outside.earliest_ms(now), &agreeing.issued);
+        if let (Some(agreed), Some(agreeing)) = (&mut self.agreed, &new.agreement) {
+            agreeing.issued_versions.iter().for_each(|issue| self.outside.time_told(now, issue.issued_ms));
+            agreed.issued(now, self.outside.earliest_ms(now), &agreeing.issued_versions);
         }
-        (old.limits, old.connections, old.changelog) = (new.limits, new.connections, new.changelog);
+        (old.limits, old.connection_limits, old.changelog) =
+            (new.limits, new.connection_limits, new.changelog);
         old.replicas.clone_from(&new.replicas);
-        self.request_table.limit(new.connections, new.limits);
-        old.calls = new.calls;
-        self.log.told(new.calls);
-        self.log.follow(&old.followed(), now, &mut self.request_table.effects);
+        self.request_table.limit(new.connection_limits, new.limits);
+        old.reconnect = new.reconnect;
+        self.log.told(new.reconnect);
+        self.log.follow(&old.change_log_addresses(), now, &mut self.request_table.effects);
         log::info!("configuration: read again");
     }
 }
--- a/crates/dispatcher/src/rules_text.rs
+++ b/crates/dispatcher/src/rules_text.rs
@@ -1,7 +1,7 @@
 //! Versions of rules as staff read them: what a version says, what changes from one to the next, and which of a row of
 //! versions would be taken.
 
-use crate::config::Agreeing;
+use crate::config::AgreementConfig;
 use copperroute_config_rollout::issue::{IssuedVersion, Refusal, Version};
 use copperroute_config_rollout::rules::{RuleSet, differences};
 use std::fmt::Write as _;
@@ -14,15 +14,15 @@
     IssuedVersion::parse(&text).map_err(named)
 }
 
-fn zero(agreeing: &Agreeing) -> Version {
-    Version::platform_default(agreeing.ground.platform_rules.clone(), agreeing.floor.clone())
+fn zero(agreeing: &AgreementConfig) -> Version {
+    Version::platform_default(agreeing.context.platform_rules.clone(), agreeing.floor.clone())
 }
 
 /// Every field: what it says, the platform's value where that is another, and the strictest that may follow.
-pub fn show(agreeing: &Agreeing, issue: &IssuedVersion) -> Result<String, String> {
+pub fn show(agreeing: &AgreementConfig, issue: &IssuedVersion) -> Result<String, String> {
     let version =
-        Version::from_issued(issue, &zero(agreeing), &agreeing.ground).map_err(|why| why.to_string())?;
-    let (base, types) = (&agreeing.ground.platform_rules, &agreeing.ground.content_types);
+        Version::from_issued(issue, &zero(agreeing), &agreeing.context).map_err(|why| why.to_string())?;
+    let (base, types) = (&agreeing.context.platform_rules, &agreeing.context.content_types);
     let mut text = format!(
         "version {} of '{}', digest {:016x}, issued at {} ms, acts from {} ms\n",
         version.number,
@@ -47,15 +47,19 @@
 }
 
 /// What changes from one version to another, field by field, and from when.
-pub fn diff(agreeing: &Agreeing, from: Option<&IssuedVersion>, to: &IssuedVersion) -> Result<String, String> {
+pub fn diff(
+    agreeing: &AgreementConfig,
+    from: Option<&IssuedVersion>,
+    to: &IssuedVersion,
+) -> Result<String, String> {
     let first = zero(agreeing);
     let read = |issue: &IssuedVersion| {
-        Version::from_issued(issue, &first, &agreeing.ground).map_err(|why| why.to_string())
+        Version::from_issued(issue, &first, &agreeing.context).map_err(|why| why.to_string())
     };
     let before = from.map_or_else(|| Ok(first.clone()), read)?;
     let after = read(to)?;
     let mut text = format!("from version {} to version {}\n", before.number, after.number);
-    let changes = differences(&before.rules, &after.rules, &agreeing.ground.content_types);
+    let changes = differences(&before.rules, &after.rules, &agreeing.context.content_types);
     for change in &changes {
         let when = match change.stricter {
             true => "once it is heard".to_string(),
@@ -66,7 +70,7 @@
     if changes.is_empty() {
         text.push_str("no rule changes\n");
     }
-    for change in differences(&before.floor, &after.floor, &agreeing.ground.content_types) {
+    for change in differences(&before.floor, &after.floor, &agreeing.context.content_types) {
         let _ = writeln!(text, "floor, {change}");
     }
     Ok(text)
@@ -74,8 +78,8 @@
 
 /// Whether each of a row of versions would be taken after those before it, and what is to be done where not. The first
 /// line tells the stated time.
-pub fn check(agreeing: &Agreeing, issues: &[IssuedVersion]) -> Result<String, String> {
-    let terms = agreeing.ground.timing;
+pub fn check(agreeing: &AgreementConfig, issues: &[IssuedVersion]) -> Result<String, String> {
+    let terms = agreeing.context.timing;
     let mut text = format!(
         "no two act on rules that contradict each other for longer than {} s: lease {} s, clocks {} s, ways {} s\n",
         terms.contradiction_bound().secs(),
@@ -85,8 +89,8 @@
     );
     let mut last = zero(agreeing);
     for issue in issues {
-        let judged = Version::from_issued(issue, &last, &agreeing.ground)
-            .and_then(|version| version.check_successor(issue, &last, &agreeing.ground).map(|()| version));
+        let judged = Version::from_issued(issue, &last, &agreeing.context)
+            .and_then(|version| version.check_successor(issue, &last, &agreeing.context).map(|()| version));
         let judged = match judged {
             Ok(version) if version.number <= last.number => {
                 Err(Refusal::Older { is: version.number, holds: last.number })
--- a/crates/dispatcher/tests/dispatcher/agreed.rs
+++ b/crates/dispatcher/tests/dispatcher/agreed.rs
@@ -15,7 +15,7 @@
 fn config() -> Config {
     let operator = json!({"agreement": {"lease_s": 3, "floor": {"max_pulls": 2, "types": {"image": {"expiry_s": 0.5}}}}});
     let mut config = Config::parse(CONFIG).expect("a good configuration");
-    config.agreeing =
+    config.agreement =
         config.agreeing(&OperatorFile::parse(&operator.to_string()).expect("good")).expect("good");
     config
 }
--- a/crates/dispatcher/tests/dispatcher/change_log_calls.rs
+++ b/crates/dispatcher/tests/dispatcher/change_log_calls.rs
@@ -67,7 +67,7 @@
 #[test]
 fn own_copies_are_left_alone_in_doubt_and_good_again_after_it() {
     let mut config = Config::parse(CONFIG).expect("a good configuration");
-    config.copies_bytes = 1_000_000;
+    config.copy_memory_bytes = 1_000_000;
     let mut play = Play::with(config);
     play.beats(1, 1);
     let asks_a_node = |play: &mut Play, number: u64| {
--- a/crates/dispatcher/tests/dispatcher/clocks.rs
+++ b/crates/dispatcher/tests/dispatcher/clocks.rs
@@ -13,7 +13,7 @@
 
 fn play(off_ms: i64, bytes: usize) -> Play {
     let config = Config::parse(CONFIG).expect("a good configuration");
-    Play::with_clock_off(Config { copies_bytes: bytes, ..config }, off_ms)
+    Play::with_clock_off(Config { copy_memory_bytes: bytes, ..config }, off_ms)
 }
 
 fn listed(seq: u64, id: &str, port: u16, started_ms: u64) -> String {
--- a/crates/dispatcher/tests/dispatcher/copies.rs
+++ b/crates/dispatcher/tests/dispatcher/copies.rs
@@ -8,7 +8,7 @@
 
 fn play(bytes: usize) -> Play {
     let config = Config::parse(CONFIG).expect("a good configuration");
-    Play::with(Config { copies_bytes: bytes, ..config })
+    Play::with(Config { copy_memory_bytes: bytes, ..config })
 }
 
 /// Asks for the object under a tag; where a node is asked, it holds the object.
--- a/crates/dispatcher/tests/dispatcher/last_list.rs
+++ b/crates/dispatcher/tests/dispatcher/last_list.rs
@@ -110,7 +110,7 @@
 #[test]
 fn it_is_kept_soon_after_a_change_and_now_and_then_while_the_service_is_heard() {
     let mut config = Config::parse(CONFIG).expect("a good configuration");
-    config.last_list = Some(Told { folder: "unused".into(), most_age_s: 60.0 });
+    config.snapshot = Some(Told { folder: "unused".into(), most_age_s: 60.0 });
     let mut play = Play::with(config);
     play.pass(3_000);
     play.trace.push_str("nothing was heard yet\n");
--- a/crates/dispatcher/tests/dispatcher/last_list_clocks.rs
+++ b/crates/dispatcher/tests/dispatcher/last_list_clocks.rs
@@ -22,7 +22,7 @@
 
 fn config() -> Config {
     let mut config = Config::parse(CONFIG).expect("a good configuration");
-    config.last_list = Some(Told { folder: "unused".into(), most_age_s: MOST_AGE_S });
+    config.snapshot = Some(Told { folder: "unused".into(), most_age_s: MOST_AGE_S });
     config
 }
 
@@ -54,7 +54,7 @@
     let mut outside = OutsideTime::new(Epoch::at(start_ms.saturating_add_signed(off_ms) * 1_000_000));
     config.known.results.iter().for_each(|change| outside.event_heard(EPOCH, change));
     let most_age_ms = (MOST_AGE_S * 1e3) as u64;
-    match decode(bytes, outside.latest_ms(EPOCH), config.print(), most_age_ms, config.known.seq) {
+    match decode(bytes, outside.latest_ms(EPOCH), config.fingerprint(), most_age_ms, config.known.seq) {
         Err(why) => why,
         Ok((known, age_ms)) => {
             config.known = known;
--- a/crates/dispatcher/tests/dispatcher/rules_text.rs
+++ b/crates/dispatcher/tests/dispatcher/rules_text.rs
@@ -2,13 +2,13 @@
 
 use crate::common::CONFIG;
 use copperroute_config_rollout::issue::{IssuedVersion, format_digest};
-use copperroute_dispatcher::config::{Agreeing, Config};
+use copperroute_dispatcher::config::{AgreementConfig, Config};
 use copperroute_dispatcher::rules_text::{check, diff, show};
 use copperroute_settings::operator::OperatorFile;
 use expect_test::expect;
 use serde_json::{Value, json};
 
-fn agreeing() -> Agreeing {
+fn agreeing() -> AgreementConfig {
     let operator = json!({"agreement": {"floor": {"max_pulls": 2, "cold_share": 0.1}}}).to_string();
     let config = Config::parse(CONFIG).expect("a good configuration");
     config.agreeing(&OperatorFile::parse(&operator).expect("good")).expect("good").expect("an agreement")
--- a/crates/dispatcher/tests/dispatcher/two_streams.rs
+++ b/crates/dispatcher/tests/dispatcher/two_streams.rs
@@ -20,9 +20,9 @@
     });
     let operator = OperatorFile::parse(&operator.to_string()).expect("a good file");
     let mut config = Config::parse(CONFIG).expect("a good configuration");
-    config.calls = operator.reconnect_settings(config.calls).expect("good");
+    config.reconnect = operator.reconnect_settings(config.reconnect).expect("good");
     config.replicas = operator.replicas().expect("good");
-    config.agreeing = config.agreeing(&operator).expect("good");
+    config.agreement = config.agreeing(&operator).expect("good");
     config
 }
 
--- a/crates/testbed/src/capacity/hollow/mod.rs
+++ b/crates/testbed/src/capacity/hollow/mod.rs
@@ -9,7 +9,7 @@
 
 pub(crate) use records::Record;
 
-use copperroute_dispatcher::config::Sources;
+use copperroute_dispatcher::config::ConfigFiles;
 use dispatcher::Hollow;
 use records::Records;
 use serde::{Deserialize, Serialize};
@@ -99,7 +99,7 @@
     fn start(&mut self, number: usize) -> Result<(), String> {
         let hosted =
             self.hosted.get(&number).ok_or_else(|| format!("dispatcher {number} is not hosted here"))?;
-        let sources = Sources { config: hosted.config.clone(), operator: hosted.operator.clone() };
+        let sources = ConfigFiles { config: hosted.config.clone(), operator: hosted.operator.clone() };
         let (signals, signalled) = mpsc::unbounded_channel();
         let hollow = Hollow::new(number, sources.read()?, hosted.clock_error_ms, self.records.clone());
         let task = tokio::task::spawn_local(hollow.run(signalled));
