--- a/crates/dispatcher/src/event_loop/mod.rs
+++ b/crates/dispatcher/src/event_loop/mod.rs
@@ -359,7 +359,7 @@
             }
             Effect::SaveNodeList(bytes) => {
                 if let Some(snapshot_writer) = &self.snapshot_writer {
-                    snapshot_writer.keep(bytes);
+                    snapshot_writer.save(bytes);
                 }
             }
             Effect::Exit => self.stopped = true,
--- a/crates/dispatcher/src/event_loop/startup.rs
+++ b/crates/dispatcher/src/event_loop/startup.rs
@@ -62,7 +62,7 @@
     let mut outside = OutsideTime::new(clock.epoch());
     config.known.results.iter().for_each(|change| outside.event_heard(clock.now(), change));
     let unix_ms = outside.latest_ms(clock.now());
-    match snapshot_writer::find(&told.folder, unix_ms, config.fingerprint(), most_age_ms, config.known.seq) {
+    match snapshot_writer::load(&told.folder, unix_ms, config.fingerprint(), most_age_ms, config.known.seq) {
         Ok(Some((known, age_ms))) => {
             log::info!("list: of event {}, {:.1} s old, taken", known.seq, age_ms as f64 / 1e3);
             config.known = known;
--- a/crates/dispatcher/src/last_list.rs
+++ b/crates/dispatcher/src/last_list.rs
@@ -18,12 +18,12 @@
 const MOST_RULES: usize = 16;
 const MAGIC: &str = "copperroute-list 1";
 /// No list is larger; what is larger is none.
-pub const LARGEST: usize = 64 * 1024 * 1024;
+pub const MAX_FILE_BYTES: usize = 64 * 1024 * 1024;
 
 /// What would be needed after a restart: the nodes that are not gone, and purges for as long as old copies may lie
 /// about. Bounded by the list, and by time.
 #[derive(Debug)]
-pub struct LastList {
+pub struct NodeListSnapshot {
     of: u64,
     keep_purges: Nanos,
     nodes: BTreeMap<String, ListedNode>,
@@ -39,11 +39,11 @@
     written: Nanos,
 }
 
-impl LastList {
+impl NodeListSnapshot {
     /// Nothing yet, of the dispatcher with this print; old copies may lie about for so long after a purge.
     pub fn new(of: u64, keep_purges: Nanos) -> Self {
         let (nodes, purges, rules) = Default::default();
-        LastList {
+        NodeListSnapshot {
             of,
             keep_purges,
             nodes,
@@ -58,7 +58,7 @@
     }
 
     /// An event was applied; this Unix millisecond has come for sure.
-    pub fn applied(&mut self, now: Nanos, change: &Change, unix_ms: u64) {
+    pub fn apply(&mut self, now: Nanos, change: &Change, unix_ms: u64) {
         if let Some(fleet) = &change.fleet {
             self.version = self.version.max(fleet.version);
             if fleet.full {
@@ -89,12 +89,12 @@
     }
 
     /// The service has said that there is no more to tell.
-    pub fn heard(&mut self) {
+    pub fn confirm_current(&mut self) {
         self.heard = true;
     }
 
     /// The bytes of the file, if it is time to write it, at this Unix millisecond.
-    pub fn due(&mut self, now: Nanos, unix_ms: u64) -> Option<Vec<u8>> {
+    pub fn bytes_if_due(&mut self, now: Nanos, unix_ms: u64) -> Option<Vec<u8>> {
         let after = if self.changed { WRITTEN_AFTER } else { WRITTEN_ANEW };
         // What nobody has heard since the start is no newer than what stands there.
         if !std::mem::take(&mut self.heard) || self.nodes.is_empty() {
--- a/crates/dispatcher/src/reducer/changes.rs
+++ b/crates/dispatcher/src/reducer/changes.rs
@@ -19,7 +19,7 @@
         self.change_log_told(now);
         if self.log.is_caught_up() {
             self.copies.iter_mut().for_each(Copies::caught_up);
-            self.last_list.iter_mut().for_each(LastList::heard);
+            self.last_list.iter_mut().for_each(NodeListSnapshot::confirm_current);
         }
     }
 
@@ -58,7 +58,7 @@
             // When it was purged says nothing of the clocks: it may have waited for long.
             agreed.event(now, unix_ms, &Change { invalidate: None, ..change.clone() }, false);
         }
-        self.last_list.iter_mut().for_each(|list| list.applied(now, change, unix_ms));
+        self.last_list.iter_mut().for_each(|list| list.apply(now, change, unix_ms));
         if let Some(fleet) = &change.fleet {
             self.list(now, fleet);
         }
@@ -78,7 +78,7 @@
             None => true,
         };
         if takes_list || change.fleet.is_none() {
-            self.last_list.iter_mut().for_each(|list| list.applied(now, change, unix_ms));
+            self.last_list.iter_mut().for_each(|list| list.apply(now, change, unix_ms));
         }
         if let Some(fleet) = change.fleet.as_ref().filter(|_| takes_list) {
             self.list(now, fleet);
--- a/crates/dispatcher/src/reducer/mod.rs
+++ b/crates/dispatcher/src/reducer/mod.rs
@@ -8,7 +8,7 @@
 use crate::config::{AgreementConfig, Config};
 use crate::copies::{self, Copies, Offered, Own};
 use crate::effects::{Effect, Event, Peer, TimerKind};
-use crate::last_list::LastList;
+use crate::last_list::NodeListSnapshot;
 use crate::lingering::LINGERS_AT_END;
 use crate::logs::LogRateLimiter;
 use crate::nodes::{Pool, ProbeCounts, Start};
@@ -96,7 +96,7 @@
     known: Option<Knowledge>,
     doubt: DoubtReport,
     /// What is kept of the change log over a restart, where it is.
-    last_list: Option<LastList>,
+    last_list: Option<NodeListSnapshot>,
     /// What is held of the agreement on rules, where there is one.
     agreed: Option<Agreed>,
     /// The settings under the rules in force.
@@ -121,7 +121,7 @@
             RequestTable::new(config.connection_limits, config.limits, config.settings.seed.rotate_left(16));
         request_table.keeps_copies = copies.is_some();
         let purges = s.purge_done.after(s.purge_notice);
-        let last_list = config.snapshot.as_ref().map(|_| LastList::new(config.fingerprint(), purges));
+        let last_list = config.snapshot.as_ref().map(|_| NodeListSnapshot::new(config.fingerprint(), purges));
         let agreed = config.agreement.as_ref().map(|agreeing| Agreed::new(agreeing, &config));
         let log = ChangeLog::new(ChangeLogSettings {
             addresses: config.change_log_addresses(),
@@ -341,7 +341,7 @@
                 self.change_log_told(now);
                 self.place_starts(now);
                 let unix_ms = self.outside.latest_ms(now);
-                let list = self.last_list.as_mut().and_then(|list| list.due(now, unix_ms));
+                let list = self.last_list.as_mut().and_then(|list| list.bytes_if_due(now, unix_ms));
                 self.request_table.effects.extend(list.map(Effect::SaveNodeList));
                 self.request_table.effects.push(Effect::Arm(now.after(SWEEP), TimerKind::Sweep));
             }
--- a/crates/dispatcher/src/snapshot_writer.rs
+++ b/crates/dispatcher/src/snapshot_writer.rs
@@ -1,7 +1,7 @@
 //! The file of the last good list: read at the start, written aside and renamed by a thread of its own, so that a slow
 //! disk holds up nothing. A list that could not be written is tried again, unless a newer one comes first.
 
-use crate::last_list::{self, LARGEST};
+use crate::last_list::{self, MAX_FILE_BYTES};
 use copperroute_cache_store::files::{FileSystem, Files, read_whole, replace};
 use copperroute_cache_store::reopening::Reopening;
 use copperroute_protocol::changes::KnownEvents;
@@ -20,18 +20,18 @@
 const ENDED_YET: Duration = Duration::from_millis(2);
 
 /// The list that stands in a folder, and its age in milliseconds; nothing if there is none, and why one does not do.
-pub fn find(
+pub fn load(
     folder: &Path,
     unix_ms: u64,
     of: u64,
     most_age_ms: u64,
     known: u64,
 ) -> Result<Option<(KnownEvents, u64)>, String> {
-    find_among(&FileSystem, folder, unix_ms, of, most_age_ms, known)
+    load_with(&FileSystem, folder, unix_ms, of, most_age_ms, known)
 }
 
 /// The same, reached by these operations.
-pub fn find_among(
+pub fn load_with(
     files: &dyn Files,
     folder: &Path,
     unix_ms: u64,
@@ -41,7 +41,8 @@
 ) -> Result<Option<(KnownEvents, u64)>, String> {
     let path = folder.join(NAME);
     let named = |why: String| format!("{}: {why}", path.display());
-    let Some(bytes) = read_whole(files, &path, LARGEST).map_err(|fault| named(fault.to_string()))? else {
+    let Some(bytes) = read_whole(files, &path, MAX_FILE_BYTES).map_err(|fault| named(fault.to_string()))?
+    else {
         return Ok(None);
     };
     last_list::decode(&bytes, unix_ms, of, most_age_ms, known).map(Some).map_err(named)
@@ -106,11 +107,11 @@
 impl SnapshotWriter {
     /// Starts it for a folder, which is made if it is not there.
     pub fn start(folder: PathBuf) -> io::Result<SnapshotWriter> {
-        SnapshotWriter::start_among(FileSystem, folder)
+        SnapshotWriter::start_with(FileSystem, folder)
     }
 
     /// The same for one reached by these operations.
-    pub fn start_among(files: impl Files + 'static, folder: PathBuf) -> io::Result<SnapshotWriter> {
+    pub fn start_with(files: impl Files + 'static, folder: PathBuf) -> io::Result<SnapshotWriter> {
         files.make_folder(&folder)?;
         let (out, lists) = sync_channel(1);
         let (retries, started) = (Reopening::default(), Instant::now());
@@ -120,7 +121,7 @@
     }
 
     /// Keeps a list, unless the disk is busy with two before it.
-    pub fn keep(&self, bytes: Vec<u8>) {
+    pub fn save(&self, bytes: Vec<u8>) {
         if let Some(Err(TrySendError::Full(_))) = self.out.as_ref().map(|out| out.try_send(bytes)) {
             log::debug!("list: the disk is slow, one left out");
         }
--- a/crates/dispatcher/tests/dispatcher/folders.rs
+++ b/crates/dispatcher/tests/dispatcher/folders.rs
@@ -3,7 +3,7 @@
 use crate::faulty::{Fault, Kind, Loss, Memory};
 use copperroute_dispatcher::last_list::{decode, encode};
 use copperroute_dispatcher::purge_cover::covers_purges_after;
-use copperroute_dispatcher::snapshot_writer::{SnapshotWriter, find_among};
+use copperroute_dispatcher::snapshot_writer::{SnapshotWriter, load_with};
 use copperroute_protocol::changes::{Change, KnownEvents};
 use expect_test::expect;
 use std::path::{Path, PathBuf};
@@ -65,11 +65,11 @@
 }
 
 fn found(files: &Memory) -> Result<Option<u64>, String> {
-    find_among(files, Path::new(FOLDER), NOW, 7, HOUR, 0).map(|found| found.map(|(known, _)| known.seq))
+    load_with(files, Path::new(FOLDER), NOW, 7, HOUR, 0).map(|found| found.map(|(known, _)| known.seq))
 }
 
 fn snapshot_writer(files: &Memory) -> SnapshotWriter {
-    SnapshotWriter::start_among(files.clone(), PathBuf::from(FOLDER)).expect("a folder")
+    SnapshotWriter::start_with(files.clone(), PathBuf::from(FOLDER)).expect("a folder")
 }
 
 /// The operations that writing a list over an older one takes, with the length of what is written.
@@ -82,7 +82,7 @@
         None
     })));
     let snapshot_writer = snapshot_writer(&files);
-    snapshot_writer.keep(kept(2));
+    snapshot_writer.save(kept(2));
     snapshot_writer.stop();
     seen.lock().expect("the kinds").clone()
 }
@@ -95,7 +95,7 @@
         for torn in (0..=length).filter(|torn| *torn == 0 || kind == Kind::Write) {
             let files = Memory::default();
             let first = snapshot_writer(&files);
-            first.keep(kept(1));
+            first.save(kept(1));
             first.stop();
             assert_eq!(found(&files), Ok(Some(1)));
             // It fails from here on, so that nothing is tried with success.
@@ -103,7 +103,7 @@
                 (number >= at as u64).then_some(Fault { errno: 28, torn })
             })));
             let second = snapshot_writer(&files);
-            second.keep(kept(2));
+            second.save(kept(2));
             second.stop();
             let ends = [files.after_kill()].into_iter().chain(Loss::ALL.map(|loss| files.after_stop(loss)));
             for end in ends {
@@ -125,7 +125,7 @@
             (kind == failing && its.load(Ordering::Relaxed)).then_some(Fault { errno: 5, torn: 9 })
         })));
         let snapshot_writer = snapshot_writer(&files);
-        snapshot_writer.keep(kept(3));
+        snapshot_writer.save(kept(3));
         std::thread::sleep(Duration::from_millis(200));
         fails.store(false, Ordering::Relaxed);
         let began = Instant::now();
--- a/crates/dispatcher/tests/dispatcher/last_list.rs
+++ b/crates/dispatcher/tests/dispatcher/last_list.rs
@@ -2,8 +2,8 @@
 
 use crate::common::{CONFIG, Play};
 use copperroute_dispatcher::config::Config;
-use copperroute_dispatcher::last_list::{LastList, decode, encode};
-use copperroute_dispatcher::snapshot_writer::{SnapshotWriter, find};
+use copperroute_dispatcher::last_list::{NodeListSnapshot, decode, encode};
+use copperroute_dispatcher::snapshot_writer::{SnapshotWriter, load};
 use copperroute_protocol::changes::{Change, KnownEvents};
 use copperroute_routing::interface::Nanos;
 use copperroute_settings::operator::SnapshotSettings as Told;
@@ -28,10 +28,10 @@
 
 /// The bytes kept after these events were heard.
 fn kept(events: &[Change]) -> Vec<u8> {
-    let mut list = LastList::new(7, Nanos(8_000_000_000));
-    events.iter().for_each(|event| list.applied(Nanos(1_000_000_000), event, NOW));
-    list.heard();
-    list.due(Nanos(5_000_000_000), NOW).expect("something to keep")
+    let mut list = NodeListSnapshot::new(7, Nanos(8_000_000_000));
+    events.iter().for_each(|event| list.apply(Nanos(1_000_000_000), event, NOW));
+    list.confirm_current();
+    list.bytes_if_due(Nanos(5_000_000_000), NOW).expect("something to keep")
 }
 
 #[test]
@@ -137,20 +137,20 @@
 fn the_file_is_whole_at_any_time_and_a_torn_one_is_as_if_absent() {
     let folder = std::env::temp_dir().join(format!("copperroute-list-{}", std::process::id()));
     let snapshot_writer = SnapshotWriter::start(folder.clone()).expect("a folder");
-    assert_eq!(find(&folder, NOW, 7, HOUR, 0), Ok(None));
+    assert_eq!(load(&folder, NOW, 7, HOUR, 0), Ok(None));
     let last =
         |seq| encode(&KnownEvents { seq, results: vec![fleet(seq, true, &[node("s-a", "active")])] }, NOW, 7);
     for seq in 1..200 {
-        snapshot_writer.keep(last(seq));
+        snapshot_writer.save(last(seq));
         // Whenever it is looked at, there is a whole list or none.
-        assert!(find(&folder, NOW, 7, HOUR, 0).is_ok());
+        assert!(load(&folder, NOW, 7, HOUR, 0).is_ok());
     }
     std::thread::sleep(std::time::Duration::from_millis(200));
-    snapshot_writer.keep(last(200));
+    snapshot_writer.save(last(200));
     snapshot_writer.stop();
-    let found = find(&folder, NOW, 7, HOUR, 0).expect("a good list").expect("one is kept");
+    let found = load(&folder, NOW, 7, HOUR, 0).expect("a good list").expect("one is kept");
     assert_eq!(found.0.seq, 200);
     std::fs::write(folder.join("list"), &last(201)[..40]).expect("written");
-    assert!(find(&folder, NOW, 7, HOUR, 0).is_err_and(|why| why.contains("torn")));
+    assert!(load(&folder, NOW, 7, HOUR, 0).is_err_and(|why| why.contains("torn")));
     let _ = std::fs::remove_dir_all(folder);
 }
