--- a/crates/dispatcher/src/clients.rs
+++ b/crates/dispatcher/src/clients.rs
@@ -1,7 +1,7 @@
 //! Client connections: what is open on each, what has not left yet, and who is read from.
 
 use crate::effects::{Effect, Peer, TrailingInput};
-use crate::lingering::Lingering;
+use crate::lingering::LingeringConnections;
 use copperroute_protocol::clients::{Answer, Decoder, encode};
 use copperroute_routing::interface::{Nanos, RequestId, stable_hash};
 use std::collections::HashMap;
@@ -127,7 +127,7 @@
     by_number: HashMap<u32, Client>,
     unsent: u64,
     /// Those whose connections are ending.
-    pub lingering: Lingering,
+    pub lingering: LingeringConnections,
 }
 
 impl Clients {
@@ -212,7 +212,7 @@
 
     /// A client's connection ends at once; returns what was open on it.
     pub fn remove(&mut self, number: u32, effects: &mut Vec<Effect>) -> Vec<RequestId> {
-        self.lingering.ended(number);
+        self.lingering.remove(number);
         effects.push(Effect::Close(Peer::Client(number)));
         self.forget(number).map(|(open, _)| open).unwrap_or_default()
     }
@@ -230,17 +230,17 @@
     pub fn shut_all(&mut self, now: Nanos, effects: &mut Vec<Effect>) {
         let mut numbers: Vec<_> = self.by_number.keys().copied().collect();
         numbers.sort();
-        self.lingering.hurry(now);
+        self.lingering.shorten_for_exit(now);
         for number in numbers {
             let Some((_, behind)) = self.forget(number) else { continue };
-            self.lingering.begin_last(now, number);
+            self.lingering.begin_at_exit(now, number);
             effects.push(Effect::CloseLingering(Peer::Client(number), behind));
         }
     }
 
     /// Connections that have lingered for long enough are closed.
     pub fn sweep(&mut self, now: Nanos, effects: &mut Vec<Effect>) {
-        effects.extend(self.lingering.over(now).into_iter().map(|n| Effect::Close(Peer::Client(n))));
+        effects.extend(self.lingering.take_expired(now).into_iter().map(|n| Effect::Close(Peer::Client(n))));
     }
 
     /// The clients that said nothing, or half of something, or rested, for too long.
@@ -274,7 +274,7 @@
     /// Of more connections than so many, those that linger are closed first.
     pub fn cut_lingering(&mut self, most: usize, effects: &mut Vec<Effect>) {
         while self.count() > most
-            && let Some(number) = self.lingering.oldest()
+            && let Some(number) = self.lingering.pop_oldest()
         {
             effects.push(Effect::Close(Peer::Client(number)));
         }
@@ -287,7 +287,7 @@
             self.forget(number);
             effects.push(Effect::Close(Peer::Client(number)));
         }
-        while let Some(number) = self.lingering.oldest_since(now, YOUNG) {
+        while let Some(number) = self.lingering.pop_older_than(now, YOUNG) {
             effects.push(Effect::Close(Peer::Client(number)));
         }
     }
--- a/crates/dispatcher/src/clock.rs
+++ b/crates/dispatcher/src/clock.rs
@@ -54,7 +54,7 @@
     }
 
     /// A Unix millisecond on the module's clock; long ago is the clock's first moment.
-    pub fn time(&self, unix_ms: u64) -> Nanos {
+    pub fn from_unix_ms(&self, unix_ms: u64) -> Nanos {
         let unix = unix_ms.saturating_mul(1_000_000);
         Nanos(EPOCH.0.saturating_add(unix).saturating_sub(self.unix_start).max(1))
     }
--- a/crates/dispatcher/src/event_loop/startup.rs
+++ b/crates/dispatcher/src/event_loop/startup.rs
@@ -1,7 +1,7 @@
 //! What is opened before the loop runs.
 
 use super::*;
-use crate::outside_time::OutsideTime;
+use crate::outside_time::ExternalTime;
 
 /// Listens, also at once after another process did so, with room for a burst of new connections.
 pub(super) fn listen(address: SocketAddr) -> io::Result<TcpListener> {
@@ -59,8 +59,8 @@
     let Some(told) = config.snapshot.clone() else { return Ok(None) };
     let most_age_ms = (told.most_age_s * 1e3) as u64;
     // What the configuration tells has passed: a clock before that is behind, and a list older than it seems.
-    let mut outside = OutsideTime::new(clock.epoch());
-    config.known.results.iter().for_each(|change| outside.event_heard(clock.now(), change));
+    let mut outside = ExternalTime::new(clock.epoch());
+    config.known.results.iter().for_each(|change| outside.observe_event(clock.now(), change));
     let unix_ms = outside.latest_ms(clock.now());
     match snapshot_writer::load(&told.folder, unix_ms, config.fingerprint(), most_age_ms, config.known.seq) {
         Ok(Some((known, age_ms))) => {
--- a/crates/dispatcher/src/lingering.rs
+++ b/crates/dispatcher/src/lingering.rs
@@ -8,7 +8,7 @@
 /// A client on the other side of a slow network has read the end, and closed, by then.
 const LINGERS: Nanos = Nanos(1_000_000_000);
 /// The same at the end of the program: what was told to end is killed 0.2 s after all must be answered.
-pub const LINGERS_AT_END: Nanos = Nanos(100_000_000);
+pub const EXIT_LINGER_TIMEOUT: Nanos = Nanos(100_000_000);
 /// Who sends more than this behind the end, in bytes, is a client that does not listen.
 const MOST_BYTES: u64 = 512 * 1024;
 /// Of the descriptors, one in so many may linger, and this many always may: then the oldest is closed.
@@ -26,14 +26,14 @@
 
 /// The connections that linger, in the order in which they began to.
 #[derive(Debug, Default)]
-pub struct Lingering {
+pub struct LingeringConnections {
     endings: VecDeque<Ending>,
     most: usize,
 }
 
-impl Lingering {
+impl LingeringConnections {
     /// Takes a limit of descriptors.
-    pub fn limit(&mut self, descriptors: usize) {
+    pub fn set_descriptor_limit(&mut self, descriptors: usize) {
         self.most = (descriptors / PART).max(LEAST);
     }
 
@@ -45,33 +45,38 @@
     /// A connection's sending side ends now. Returns the one that is to be closed in its place, if there are too many.
     pub fn begin(&mut self, now: Nanos, number: u32) -> Option<u32> {
         self.endings.push_back(Ending { number, since: now, until: now.after(LINGERS), bytes: 0 });
-        if self.endings.len() <= self.most { None } else { self.oldest() }
+        if self.endings.len() <= self.most { None } else { self.pop_oldest() }
     }
 
     /// The program ends: those that linger already have no longer than the rest.
-    pub fn hurry(&mut self, now: Nanos) {
-        let last = now.after(LINGERS_AT_END);
+    pub fn shorten_for_exit(&mut self, now: Nanos) {
+        let last = now.after(EXIT_LINGER_TIMEOUT);
         self.endings.iter_mut().for_each(|ending| ending.until = ending.until.min(last));
     }
 
     /// A connection's sending side ends now, as the program does, however many there are.
-    pub fn begin_last(&mut self, now: Nanos, number: u32) {
-        self.endings.push_back(Ending { number, since: now, until: now.after(LINGERS_AT_END), bytes: 0 });
+    pub fn begin_at_exit(&mut self, now: Nanos, number: u32) {
+        self.endings.push_back(Ending {
+            number,
+            since: now,
+            until: now.after(EXIT_LINGER_TIMEOUT),
+            bytes: 0,
+        });
     }
 
     /// The one that lingers longest lingers no more.
-    pub fn oldest(&mut self) -> Option<u32> {
+    pub fn pop_oldest(&mut self) -> Option<u32> {
         self.endings.pop_front().map(|ending| ending.number)
     }
 
     /// The same, if it has lingered for this span at least.
-    pub fn oldest_since(&mut self, now: Nanos, span: Nanos) -> Option<u32> {
+    pub fn pop_older_than(&mut self, now: Nanos, span: Nanos) -> Option<u32> {
         let lingers = |ending: &Ending| now.since(ending.since) >= span;
-        self.endings.front().is_some_and(lingers).then(|| self.oldest()).flatten()
+        self.endings.front().is_some_and(lingers).then(|| self.pop_oldest()).flatten()
     }
 
     /// So many bytes came on a connection; tells whether that is enough of it.
-    pub fn came(&mut self, number: u32, bytes: usize) -> bool {
+    pub fn received(&mut self, number: u32, bytes: usize) -> bool {
         let Some(at) = self.endings.iter().position(|ending| ending.number == number) else { return false };
         self.endings[at].bytes += bytes as u64;
         let enough = self.endings[at].bytes > MOST_BYTES;
@@ -82,12 +87,12 @@
     }
 
     /// A connection has ended.
-    pub fn ended(&mut self, number: u32) {
+    pub fn remove(&mut self, number: u32) {
         self.endings.retain(|ending| ending.number != number);
     }
 
     /// The connections whose time is over.
-    pub fn over(&mut self, now: Nanos) -> Vec<u32> {
+    pub fn take_expired(&mut self, now: Nanos) -> Vec<u32> {
         let over: Vec<_> = self.endings.iter().filter(|e| e.until <= now).map(|e| e.number).collect();
         self.endings.retain(|ending| ending.until > now);
         over
--- a/crates/dispatcher/src/outside_time.rs
+++ b/crates/dispatcher/src/outside_time.rs
@@ -14,12 +14,12 @@
 
 /// A wall clock that is ahead of all that was told by no more than this agrees with it: what is told is underway for
 /// some of that, and events and answers come more than once a second.
-pub const AGREES: Nanos = Nanos(1_000_000_000);
+pub const MAX_CLOCK_LEAD: Nanos = Nanos(1_000_000_000);
 /// Times told are kept for one to two times as long: monotonic clocks drift by less than a second in that, and a false
 /// time is forgotten.
-pub const KEPT: Nanos = Nanos(600_000_000_000);
+pub const OBSERVATION_WINDOW: Nanos = Nanos(600_000_000_000);
 /// After so long with answers the largest time told is the outside's present, whatever the wall clock says.
-pub const SETTLED_AFTER: Nanos = Nanos(10_000_000_000);
+pub const SETTLING_TIME: Nanos = Nanos(10_000_000_000);
 /// No Unix millisecond past this one (the year 2200) is believed.
 const LATEST_BELIEVED_MS: u64 = 7_258_118_400_000;
 
@@ -33,7 +33,7 @@
 
 impl Leads {
     fn heard(&mut self, now: Nanos, lead: i64) {
-        if now.since(self.began) > KEPT {
+        if now.since(self.began) > OBSERVATION_WINDOW {
             (self.began, self.previous, self.current) = (now, self.current, None);
         }
         self.current = self.current.max(Some(lead));
@@ -46,7 +46,7 @@
 
 /// The outside's present, as far as it is known.
 #[derive(Debug)]
-pub struct OutsideTime {
+pub struct ExternalTime {
     own: Epoch,
     /// By the change log: purges, starts, and versions of the rules as they were issued.
     log: Leads,
@@ -56,27 +56,27 @@
     answered: Option<Nanos>,
 }
 
-impl OutsideTime {
+impl ExternalTime {
     /// Nothing told yet, on a machine whose wall clock lies so to the monotonic one.
     pub fn new(own: Epoch) -> Self {
-        OutsideTime { own, log: Leads::default(), answers: Leads::default(), answered: None }
+        ExternalTime { own, log: Leads::default(), answers: Leads::default(), answered: None }
     }
 
     /// An event of the change log was heard, live or not: the times in it have passed.
-    pub fn event_heard(&mut self, now: Nanos, change: &Change) {
+    pub fn observe_event(&mut self, now: Nanos, change: &Change) {
         let starts = change.fleet.iter().flat_map(|fleet| &fleet.servers).filter_map(|node| node.started_ms);
         let purged = change.invalidate.iter().map(|purge| purge.time);
         let issued = change.rules.iter().filter_map(|rules| rules["issued_ms"].as_u64());
-        starts.chain(purged).chain(issued).for_each(|unix_ms| self.time_told(now, unix_ms));
+        starts.chain(purged).chain(issued).for_each(|unix_ms| self.observe_time(now, unix_ms));
     }
 
     /// Those who change the fleet wrote a Unix millisecond, which has passed: in the change log, or in a file.
-    pub fn time_told(&mut self, now: Nanos, unix_ms: u64) {
+    pub fn observe_time(&mut self, now: Nanos, unix_ms: u64) {
         lead(now, unix_ms).into_iter().for_each(|lead| self.log.heard(now, lead));
     }
 
     /// A copy was told of that was made at a Unix millisecond.
-    pub fn copy_heard(&mut self, now: Nanos, made_ms: u64) {
+    pub fn observe_copy(&mut self, now: Nanos, made_ms: u64) {
         if let Some(lead) = lead(now, made_ms) {
             self.answers.heard(now, lead);
             self.answered.get_or_insert(now);
@@ -84,12 +84,12 @@
     }
 
     /// A copy that was kept over a restart was made at a Unix millisecond, which may be long ago.
-    pub fn kept_copy_heard(&mut self, now: Nanos, made_ms: u64) {
+    pub fn observe_restored_copy(&mut self, now: Nanos, made_ms: u64) {
         lead(now, made_ms).into_iter().for_each(|lead| self.answers.heard(now, lead));
     }
 
     /// Whether any answer has told a time.
-    pub fn is_answered(&self) -> bool {
+    pub fn has_copy_time(&self) -> bool {
         self.answered.is_some()
     }
 
@@ -100,7 +100,7 @@
         let own_ms = self.own.unix_ms(now);
         let log_ms = self.log.largest().map_or(0, |lead| unix_ms(now, lead));
         match self.told_ms(now) {
-            Some(told_ms) if own_ms > told_ms.saturating_add(AGREES.0 / 1_000_000) => told_ms,
+            Some(told_ms) if own_ms > told_ms.saturating_add(MAX_CLOCK_LEAD.0 / 1_000_000) => told_ms,
             _ => own_ms.max(log_ms),
         }
     }
@@ -109,17 +109,17 @@
     pub fn latest_ms(&self, now: Nanos) -> u64 {
         let own_ms = self.own.unix_ms(now);
         let Some(told_ms) = self.told_ms(now) else { return own_ms };
-        let settled = self.answered.is_some_and(|since| now.since(since) >= SETTLED_AFTER);
-        let most_ms = if settled { told_ms.saturating_add(AGREES.0 / 1_000_000) } else { u64::MAX };
+        let settled = self.answered.is_some_and(|since| now.since(since) >= SETTLING_TIME);
+        let most_ms = if settled { told_ms.saturating_add(MAX_CLOCK_LEAD.0 / 1_000_000) } else { u64::MAX };
         own_ms.clamp(told_ms, most_ms)
     }
 
     /// How long ago, at the least, something happened at a Unix millisecond of the outside's.
-    pub fn age(&self, now: Nanos, happened_ms: u64) -> Nanos {
+    pub fn min_age(&self, now: Nanos, happened_ms: u64) -> Nanos {
         let own_ms = self.own.unix_ms(now);
         let earliest_ms = self.earliest_ms(now);
         match earliest_ms == own_ms {
-            true => now.since(self.own.time(happened_ms)),
+            true => now.since(self.own.from_unix_ms(happened_ms)),
             false => Nanos(earliest_ms.saturating_sub(happened_ms).saturating_mul(1_000_000)),
         }
     }
--- a/crates/dispatcher/src/reducer/changes.rs
+++ b/crates/dispatcher/src/reducer/changes.rs
@@ -53,7 +53,7 @@
     /// What is stricter in another content of an event that was applied: purges and drains, whatever the list's version,
     /// and rules as the agreement judges them.
     fn restrict(&mut self, now: Nanos, change: &Change) {
-        let unix_ms = self.outside.earliest_ms(now);
+        let unix_ms = self.external_time.earliest_ms(now);
         if let Some(agreed) = &mut self.agreed {
             // When it was purged says nothing of the clocks: it may have waited for long.
             agreed.event(now, unix_ms, &Change { invalidate: None, ..change.clone() }, false);
@@ -68,8 +68,8 @@
     }
 
     pub(super) fn apply(&mut self, now: Nanos, change: &Change, lost: bool) {
-        self.outside.event_heard(now, change);
-        let unix_ms = self.outside.earliest_ms(now);
+        self.external_time.observe_event(now, change);
+        let unix_ms = self.external_time.earliest_ms(now);
         let takes_list = match &mut self.agreed {
             Some(agreed) => {
                 agreed.event(now, unix_ms, change, lost);
--- a/crates/dispatcher/src/reducer/clients.rs
+++ b/crates/dispatcher/src/reducer/clients.rs
@@ -5,7 +5,7 @@
 impl Reducer {
     pub(super) fn client_received(&mut self, now: Nanos, number: u32, bytes: &[u8]) {
         let Some(client) = self.request_table.clients.get_mut(number) else {
-            if self.request_table.clients.lingering.came(number, bytes.len()) {
+            if self.request_table.clients.lingering.received(number, bytes.len()) {
                 self.request_table.effects.push(Effect::Close(Peer::Client(number)));
             }
             return;
@@ -170,7 +170,7 @@
         let copies = self.copies.as_ref().filter(|_| !self.module.may_miss_purges(now))?;
         let content_type = self.settings.content_types.get(routing_request.content_type.0 as usize)?;
         // How old they are after a restart no wall clock can tell by itself.
-        if content_type.fresh_for.is_some() && !self.outside.is_answered() {
+        if content_type.fresh_for.is_some() && !self.external_time.has_copy_time() {
             return None;
         }
         let (object, part, _) = self.request_table.asked_for(routing_request.request_id)?;
@@ -191,9 +191,9 @@
         let target = self.settings.content_types[routing_request.content_type.0 as usize].latency_target;
         let held = self.request_table.asked_for(request_id).and_then(|asked| asked.2);
         if let Some((facts, _)) = copy {
-            self.outside.kept_copy_heard(now, facts.made_ms);
+            self.external_time.observe_restored_copy(now, facts.made_ms);
         }
-        let own = copies.read([now, target], self.outside.latest_ms(now), key, held, copy);
+        let own = copies.read([now, target], self.external_time.latest_ms(now), key, held, copy);
         let Some(own) = own else { return self.go_on(now, request_id) };
         let (routing_request, key) = (*routing_request, *key);
         self.reading.remove(&request_id.0);
@@ -236,7 +236,7 @@
         let (object, part, held) = self.request_table.asked_for(request_id)?;
         let key = copies::key(routing_request.content_type.0, object, part)?;
         let target = self.settings.content_types[routing_request.content_type.0 as usize].latency_target;
-        copies.serve(now, self.outside.latest_ms(now), &key, held, target)
+        copies.serve(now, self.external_time.latest_ms(now), &key, held, target)
     }
 
     pub(super) fn forsake(&mut self, now: Nanos, request_id: RequestId) {
--- a/crates/dispatcher/src/reducer/handing_on.rs
+++ b/crates/dispatcher/src/reducer/handing_on.rs
@@ -14,7 +14,7 @@
     /// Attempts that have ended reach the module one by one, with what it does of it.
     pub(super) fn hand_on_ends(&mut self, now: Nanos) {
         if let Some(made_ms) = self.request_table.latest_made_ms.take() {
-            self.outside.copy_heard(now, made_ms);
+            self.external_time.observe_copy(now, made_ms);
         }
         for (node, asked, takes_work) in std::mem::take(&mut self.request_table.alive) {
             self.module.readiness_probe_answered(node, asked, takes_work);
--- a/crates/dispatcher/src/reducer/mod.rs
+++ b/crates/dispatcher/src/reducer/mod.rs
@@ -9,10 +9,10 @@
 use crate::copies::{self, Copies, Offered, Own};
 use crate::effects::{Effect, Event, Peer, TimerKind};
 use crate::last_list::NodeListSnapshot;
-use crate::lingering::LINGERS_AT_END;
+use crate::lingering::EXIT_LINGER_TIMEOUT;
 use crate::logs::LogRateLimiter;
 use crate::nodes::{Pool, ProbeCounts, Start};
-use crate::outside_time::OutsideTime;
+use crate::outside_time::ExternalTime;
 use crate::phases::{Life, Phase};
 use crate::request_table::RequestTable;
 use copperroute_cache_store::record::{Facts, Key};
@@ -77,7 +77,7 @@
     module: Dispatcher,
     request_table: RequestTable,
     log: ChangeLog,
-    outside: OutsideTime,
+    external_time: ExternalTime,
     /// Whether what the change log tells has waited on its way.
     heartbeats: Heartbeats,
     /// Nothing new can come any more.
@@ -149,7 +149,7 @@
             module: Dispatcher::new(config.settings.clone()),
             request_table,
             log,
-            outside: OutsideTime::new(epoch),
+            external_time: ExternalTime::new(epoch),
             heartbeats: Heartbeats::default(),
             last_requests: false,
             drained: false,
@@ -239,7 +239,7 @@
                 self.shut = true;
                 self.request_table
                     .effects
-                    .push(Effect::Arm(now.after(LINGERS_AT_END), TimerKind::LingerDeadline));
+                    .push(Effect::Arm(now.after(EXIT_LINGER_TIMEOUT), TimerKind::LingerDeadline));
             }
             Event::TimerFired(due) => self.due(now, due),
             Event::Terminate => {
@@ -288,7 +288,7 @@
     /// Before each decision: the rules that are in force by now. Leases run out, and moments come, between events.
     fn obey(&mut self, now: Nanos) {
         let Some(agreed) = &mut self.agreed else { return };
-        if let Some((settings, expiries)) = agreed.look(now, self.outside.earliest_ms(now)) {
+        if let Some((settings, expiries)) = agreed.look(now, self.external_time.earliest_ms(now)) {
             self.module.settings_changed(&settings);
             (self.settings, self.expiries) = (settings, expiries);
         }
@@ -296,13 +296,16 @@
 
     fn start(&mut self, now: Nanos) {
         self.module.start(now, &mut self.request_table);
-        self.config.known.results.iter().for_each(|change| self.outside.event_heard(now, change));
+        self.config.known.results.iter().for_each(|change| self.external_time.observe_event(now, change));
         for change in std::mem::take(&mut self.config.known.results) {
             self.apply(now, &change, false);
         }
         if let (Some(agreed), Some(agreeing)) = (&mut self.agreed, &self.config.agreement) {
-            agreeing.issued_versions.iter().for_each(|issue| self.outside.time_told(now, issue.issued_ms));
-            agreed.issued(now, self.outside.earliest_ms(now), &agreeing.issued_versions);
+            agreeing
+                .issued_versions
+                .iter()
+                .for_each(|issue| self.external_time.observe_time(now, issue.issued_ms));
+            agreed.issued(now, self.external_time.earliest_ms(now), &agreeing.issued_versions);
         }
         self.obey(now);
         let has_list = self.life.phase() == Phase::Serving;
@@ -340,7 +343,7 @@
                 self.log.check_silence(now, &mut self.request_table.effects);
                 self.change_log_told(now);
                 self.place_starts(now);
-                let unix_ms = self.outside.latest_ms(now);
+                let unix_ms = self.external_time.latest_ms(now);
                 let list = self.last_list.as_mut().and_then(|list| list.bytes_if_due(now, unix_ms));
                 self.request_table.effects.extend(list.map(Effect::SaveNodeList));
                 self.request_table.effects.push(Effect::Arm(now.after(SWEEP), TimerKind::Sweep));
--- a/crates/dispatcher/src/reducer/moments.rs
+++ b/crates/dispatcher/src/reducer/moments.rs
@@ -20,7 +20,7 @@
     /// How long ago something happened at a Unix millisecond of the outside's, at the least; and whether that is too long
     /// to be true of what was told live.
     fn age(&self, now: Nanos, happened_ms: u64, is_live: bool) -> (Nanos, bool) {
-        let age = self.outside.age(now, happened_ms);
+        let age = self.external_time.min_age(now, happened_ms);
         let is_doubted = is_live && age > LATEST_NEWS;
         (if is_doubted { Nanos::ZERO } else { age }, is_doubted)
     }
@@ -50,9 +50,9 @@
 
     /// As more is known of what time it is outside, what had started earlier than could be sure is moved there.
     pub(super) fn place_starts(&mut self, now: Nanos) {
-        let outside = &self.outside;
+        let outside = &self.external_time;
         let moved = |start: &Start| {
-            let at = now.since(outside.age(now, start.unix_ms)).max(Nanos(1));
+            let at = now.since(outside.min_age(now, start.unix_ms)).max(Nanos(1));
             (!start.is_doubted && at.after(MOVED_BY) < start.at).then_some(at)
         };
         for (node, at) in self.request_table.starts_moved(moved) {
--- a/crates/dispatcher/src/reducer/reload.rs
+++ b/crates/dispatcher/src/reducer/reload.rs
@@ -38,8 +38,11 @@
             (self.settings, old.settings) = (new.settings.clone(), new.settings.clone());
         }
         if let (Some(agreed), Some(agreeing)) = (&mut self.agreed, &new.agreement) {
-            agreeing.issued_versions.iter().for_each(|issue| self.outside.time_told(now, issue.issued_ms));
-            agreed.issued(now, self.outside.earliest_ms(now), &agreeing.issued_versions);
+            agreeing
+                .issued_versions
+                .iter()
+                .for_each(|issue| self.external_time.observe_time(now, issue.issued_ms));
+            agreed.issued(now, self.external_time.earliest_ms(now), &agreeing.issued_versions);
         }
         (old.limits, old.connection_limits, old.changelog) =
             (new.limits, new.connection_limits, new.changelog);
--- a/crates/dispatcher/src/request_table/mod.rs
+++ b/crates/dispatcher/src/request_table/mod.rs
@@ -119,7 +119,7 @@
     /// An empty request table.
     pub fn new(connections: ConnectionLimits, limits: Limits, seed: u64) -> Self {
         let mut clients = Clients::default();
-        clients.lingering.limit(limits.sockets as usize);
+        clients.lingering.set_descriptor_limit(limits.sockets as usize);
         RequestTable {
             now: Nanos::ZERO,
             unread: Nanos::ZERO,
@@ -144,7 +144,7 @@
     /// Takes new limits.
     pub fn limit(&mut self, connections: ConnectionLimits, limits: Limits) {
         self.most_unsent = limits.memory_mb * 1024 * 1024 / UNSENT_PART;
-        self.clients.lingering.limit(limits.sockets as usize);
+        self.clients.lingering.set_descriptor_limit(limits.sockets as usize);
         self.nodes.limit(connections, limits.sockets as usize / NODES_PART);
     }
 
--- a/crates/dispatcher/tests/dispatcher/last_list_clocks.rs
+++ b/crates/dispatcher/tests/dispatcher/last_list_clocks.rs
@@ -4,7 +4,7 @@
 use copperroute_dispatcher::clock::Epoch;
 use copperroute_dispatcher::config::Config;
 use copperroute_dispatcher::last_list::decode;
-use copperroute_dispatcher::outside_time::OutsideTime;
+use copperroute_dispatcher::outside_time::ExternalTime;
 use copperroute_routing::interface::Nanos;
 use copperroute_settings::operator::SnapshotSettings as Told;
 use expect_test::expect;
@@ -51,8 +51,8 @@
     let mut config = config();
     let start_ms = START_MS + LIVED_S * 1_000 + AWAY_MS;
     // As a start judges it.
-    let mut outside = OutsideTime::new(Epoch::at(start_ms.saturating_add_signed(off_ms) * 1_000_000));
-    config.known.results.iter().for_each(|change| outside.event_heard(EPOCH, change));
+    let mut outside = ExternalTime::new(Epoch::at(start_ms.saturating_add_signed(off_ms) * 1_000_000));
+    config.known.results.iter().for_each(|change| outside.observe_event(EPOCH, change));
     let most_age_ms = (MOST_AGE_S * 1e3) as u64;
     match decode(bytes, outside.latest_ms(EPOCH), config.fingerprint(), most_age_ms, config.known.seq) {
         Err(why) => why,
--- a/crates/dispatcher/tests/dispatcher/unsent.rs
+++ b/crates/dispatcher/tests/dispatcher/unsent.rs
@@ -2,7 +2,7 @@
 
 use crate::common::{CONFIG, LOOPBACK, Play, message, request};
 use copperroute_dispatcher::effects::{Event, Peer};
-use copperroute_dispatcher::lingering::Lingering;
+use copperroute_dispatcher::lingering::LingeringConnections;
 use copperroute_routing::interface::Nanos;
 use expect_test::expect;
 
@@ -272,12 +272,17 @@
 #[test]
 fn a_lingering_close_is_bounded_in_time_bytes_and_number() {
     let (now, later) = (Nanos(5_000_000_000), Nanos(6_000_000_000));
-    let mut lingering = Lingering::default();
-    lingering.limit(64);
+    let mut lingering = LingeringConnections::default();
+    lingering.set_descriptor_limit(64);
     let closed: Vec<_> = (1..=6).filter_map(|number| lingering.begin(now, number)).collect();
     // Four linger, whatever the limit of descriptors; then the oldest makes room.
     assert_eq!((closed, lingering.count()), (vec![1, 2], 4));
-    assert!(!lingering.came(3, 500_000) && lingering.came(3, 100_000) && !lingering.came(9, 1 << 30));
-    lingering.ended(4);
-    assert_eq!((lingering.over(now), lingering.over(later), lingering.count()), (vec![], vec![5, 6], 0));
+    assert!(
+        !lingering.received(3, 500_000) && lingering.received(3, 100_000) && !lingering.received(9, 1 << 30)
+    );
+    lingering.remove(4);
+    assert_eq!(
+        (lingering.take_expired(now), lingering.take_expired(later), lingering.count()),
+        (vec![], vec![5, 6], 0)
+    );
 }
