--- a/crates/dispatcher/src/nodes/attempts.rs
+++ b/crates/dispatcher/src/nodes/attempts.rs
@@ -5,7 +5,7 @@
 impl Nodes {
     /// Takes back the attempts, to any node, that are meant and of which nothing has left. Tells also from which connections:
     /// others may have to be handed over anew there, and one that takes no further attempts may be spent.
-    pub fn take_back(
+    pub fn retract_unsent(
         &mut self,
         meant: impl Fn(&AttemptId) -> bool,
         effects: &mut Vec<Effect>,
@@ -24,7 +24,7 @@
     }
 
     /// Takes back those that are meant and wait for one connection.
-    pub fn take_back_on(&mut self, number: u32, meant: impl Fn(&AttemptId) -> bool) -> Vec<AttemptId> {
+    pub fn retract_waiting(&mut self, number: u32, meant: impl Fn(&AttemptId) -> bool) -> Vec<AttemptId> {
         let Some(connection) = self.connections.get_mut(&number) else { return Vec::new() };
         let back = connection.waiting.iter().copied().filter(|attempt| meant(attempt)).collect();
         connection.waiting.retain(|attempt| !meant(attempt));
@@ -32,7 +32,7 @@
     }
 
     /// Of what was given to a connection, what has not begun to leave waits again.
-    pub fn unsay(&mut self, number: u32, effects: &mut Vec<Effect>) {
+    pub fn requeue_unsent(&mut self, number: u32, effects: &mut Vec<Effect>) {
         if let Some(connection) = self.connections.get_mut(&number) {
             // The last of them comes first.
             for attempt in connection.retract(number, &|_| true, effects) {
@@ -44,7 +44,7 @@
     /// Puts an attempt of a request on a connection to a node, made if need be; nothing if there is none to be
     /// had. Where it may run `once` only, none that rested is used; nor are those while nodes close them under
     /// the next attempt. Costs a connect.
-    pub fn take(
+    pub fn assign(
         &mut self,
         node: NodeId,
         attempt: AttemptId,
@@ -59,7 +59,7 @@
             let pool = self.pools.get(node.0)?;
             let mut rested: Vec<_> = pool.connections.iter().copied().filter(rested).collect();
             // Where none may be opened in its place, one that rested is better than none.
-            if !self.openings.may_open(now, &pool.opening, pool.connections.len() - rested.len()) {
+            if !self.openings.may_open(now, &pool.back_off, pool.connections.len() - rested.len()) {
                 rested.clear();
             }
             for number in rested {
@@ -78,7 +78,7 @@
         // What is on one connection ends with it: so one that carries nothing, else a further one.
         let used = pool.connections.iter().filter(usable).count();
         let room = (used == 0 || self.connections.len() < self.most)
-            && self.openings.may_open(now, &pool.opening, used);
+            && self.openings.may_open(now, &pool.back_off, used);
         let number = match best.filter(|number| !room || load(&number) == 0) {
             Some(number) => number,
             None if !room => return None,
@@ -109,7 +109,7 @@
 
     /// Hands waiting attempts to a connection that has nothing unsent, as many as go at once. What an attempt says
     /// is asked for only then; one that is nobody's any more has nothing to say.
-    pub fn hand_over<'a>(
+    pub fn write_waiting<'a>(
         &mut self,
         number: u32,
         now: Nanos,
@@ -143,7 +143,7 @@
 
     /// Gives up a pull: unsent it is dropped, which is told, else the node hears of it. If it was `waited_for`
     /// and the node has finished no answer since it was sent, what else goes there might wait as long.
-    pub fn give_up(
+    pub fn abort(
         &mut self,
         number: u32,
         attempt: AttemptId,
--- a/crates/dispatcher/src/nodes/connections.rs
+++ b/crates/dispatcher/src/nodes/connections.rs
@@ -4,7 +4,7 @@
 
 impl Nodes {
     /// A connection has come up.
-    pub fn connected(&mut self, number: u32, now: Nanos, effects: &mut Vec<Effect>) {
+    pub fn connection_opened(&mut self, number: u32, now: Nanos, effects: &mut Vec<Effect>) {
         let Some(connection) = self.connections.get_mut(&number) else { return };
         connection.up = true;
         connection.answered = now;
@@ -40,25 +40,25 @@
             connection.decoder.feed(bytes);
             if std::mem::take(&mut connection.unheard) {
                 let pool = self.pools.get_mut(connection.node.0);
-                pool.into_iter().for_each(|pool| pool.opening.accepted());
+                pool.into_iter().for_each(|pool| pool.back_off.accepted());
             }
         }
     }
 
     /// The next whole answer of a node, and whose attempt it ends, if it still is somebody's. Where no more can
     /// be read, the connection is to be closed.
-    pub fn answer(&mut self, number: u32, now: Nanos) -> Next {
-        let Some(connection) = self.connections.get_mut(&number) else { return Next::Nothing };
+    pub fn next_message(&mut self, number: u32, now: Nanos) -> NextMessage {
+        let Some(connection) = self.connections.get_mut(&number) else { return NextMessage::Incomplete };
         match connection.decoder.next_message() {
             Ok(None) => {
                 connection.decoder.release_spare_memory();
-                Next::Nothing
+                NextMessage::Incomplete
             }
             Ok(Some(Message::ProbeAnswer { tag, takes_work })) => {
                 let node = connection.node;
                 match tag.and_then(|tag| self.probes.answered(tag, node, takes_work)) {
-                    Some(asked) => Next::Alive(node, asked, takes_work),
-                    None => Next::Nobodys,
+                    Some(asked) => NextMessage::ProbeAnswer(node, asked, takes_work),
+                    None => NextMessage::Unmatched,
                 }
             }
             Ok(Some(Message::Answer(answer))) => {
@@ -72,11 +72,11 @@
                     written.attempt.take()
                 });
                 connection.live -= usize::from(attempt.is_some());
-                attempt.map_or(Next::Nobodys, |attempt| Next::Answer(attempt, answer))
+                attempt.map_or(NextMessage::Unmatched, |attempt| NextMessage::Answer(attempt, answer))
             }
             Err(fault) => {
                 self.complaints.warn(now, format_args!("node {}: {fault}", self.ids.key(connection.node.0)));
-                Next::Unreadable
+                NextMessage::Unreadable
             }
         }
     }
@@ -90,14 +90,19 @@
 
     /// A connection is over, or never came up; one that came up and brought nothing was turned away. Returns as
     /// `close`.
-    pub fn ended(&mut self, number: u32, now: Nanos, effects: &mut Vec<Effect>) -> Vec<(AttemptId, Outcome)> {
+    pub fn connection_ended(
+        &mut self,
+        number: u32,
+        now: Nanos,
+        effects: &mut Vec<Effect>,
+    ) -> Vec<(AttemptId, Outcome)> {
         let turned_away = |c: &&Connection| c.up && c.unheard && c.load() > 0;
         let node = self.connections.get(&number).filter(turned_away).map(|connection| connection.node);
         let attempts = self.close(number, effects);
         if let Some(node) = node
             && let Some(pool) = self.pools.get_mut(node.0)
         {
-            let until = self.openings.refused(now, &mut pool.opening);
+            let until = self.openings.refused(now, &mut pool.back_off);
             self.full.extend(until.filter(|_| pool.connections.is_empty()).map(|until| (node, until)));
         }
         attempts
@@ -141,7 +146,7 @@
     }
 
     /// The connections on which an answer has begun and does not go on: they are of no further use.
-    pub fn stuck(&mut self, now: Nanos) -> Vec<u32> {
+    pub fn stalled(&mut self, now: Nanos) -> Vec<u32> {
         let stuck =
             |c: &Connection| !self.held_back && c.decoder.has_partial_message() && now.since(c.heard) > STUCK;
         let mut stuck: Vec<_> = self.connections.iter().filter(|(_, c)| stuck(c)).map(|(n, _)| *n).collect();
@@ -155,7 +160,7 @@
 
     /// Closes connections that carry nothing before the node does, so that no attempt crosses its close, and
     /// forgets the ids of attempts that were given up once they can't come again.
-    pub fn sweep(&mut self, now: Nanos, effects: &mut Vec<Effect>) {
+    pub fn close_idle(&mut self, now: Nanos, effects: &mut Vec<Effect>) {
         let idle = Nanos(self.limits.peer_idle_timeout.0 / 4 * 3);
         for connection in self.connections.values_mut() {
             connection.out.retain(|_, written| written.attempt.is_some() || written.expires > now);
@@ -174,7 +179,7 @@
     }
 
     /// Nodes are read from, or left alone for now.
-    pub fn hold_back(&mut self, held_back: bool, effects: &mut Vec<Effect>) {
+    pub fn pause_reads(&mut self, held_back: bool, effects: &mut Vec<Effect>) {
         if self.held_back == held_back {
             return;
         }
@@ -186,7 +191,7 @@
     }
 
     /// Whether nodes are left alone for now.
-    pub fn are_held_back(&self) -> bool {
+    pub fn reads_paused(&self) -> bool {
         self.held_back
     }
 }
--- a/crates/dispatcher/src/nodes/list.rs
+++ b/crates/dispatcher/src/nodes/list.rs
@@ -10,10 +10,10 @@
 
     /// The index of a listed node, new or known; and the nodes that are not where they were: it itself, if it is listed
     /// anew, and another that was at its address, which must have gone whether that is told yet or not.
-    pub fn list(
+    pub fn add_or_update(
         &mut self,
         id: &str,
-        pool: Pool,
+        pool: NodePool,
         now: Nanos,
         effects: &mut Vec<Effect>,
     ) -> (NodeId, Vec<NodeId>) {
@@ -31,15 +31,15 @@
         }
         let Some(known) = self.pools.get_mut(node.0) else {
             let address = pool.address;
-            self.pools.put(node.0, Pool { address: None, ..pool });
+            self.pools.put(node.0, NodePool { address: None, ..pool });
             self.set_address(node, address);
             return (node, moved);
         };
         let anew =
             later(pool.start, known.start) || (pool.address.is_some() && pool.address != known.address);
-        let (connections, opening) = (std::mem::take(&mut known.connections), known.opening);
+        let (connections, back_off) = (std::mem::take(&mut known.connections), known.back_off);
         let (before, address) = (known.address, pool.address.or(known.address));
-        *known = Pool { address: before, connections, opening, ..pool };
+        *known = NodePool { address: before, connections, back_off, ..pool };
         self.set_address(node, address);
         if anew {
             self.retire(node, now, effects);
@@ -62,12 +62,12 @@
     }
 
     /// The start that a node is listed with, where one is told.
-    pub fn start(&self, id: &str) -> Option<Start> {
+    pub fn start(&self, id: &str) -> Option<NodeStart> {
         self.pools.get(self.ids.get(&id.to_string())?)?.start
     }
 
     /// Moves starts back to where `moved` says; tells which nodes, and where to.
-    pub fn starts_moved(&mut self, moved: impl Fn(&Start) -> Option<Nanos>) -> Vec<(NodeId, Nanos)> {
+    pub fn move_starts(&mut self, moved: impl Fn(&NodeStart) -> Option<Nanos>) -> Vec<(NodeId, Nanos)> {
         let mut nodes = Vec::new();
         for node in 0..self.ids.slot_count() {
             let start = self.pools.get_mut(node).and_then(|pool| pool.start.as_mut());
@@ -85,21 +85,21 @@
     }
 
     /// The nodes that a whole list does not name.
-    pub fn unlisted(&self, named: &[NodeId]) -> Vec<NodeId> {
+    pub fn missing_from(&self, named: &[NodeId]) -> Vec<NodeId> {
         let listed = |node: &NodeId| self.pools.get(node.0).is_some_and(|p| p.readiness != Readiness::Gone);
         let all = (0..self.ids.slot_count()).map(NodeId);
         all.filter(|node| listed(node) && !named.contains(node)).collect()
     }
 
     /// How many nodes there is a place for.
-    pub fn kept(&self) -> u32 {
+    pub fn slot_count(&self) -> u32 {
         self.ids.slot_count()
     }
 
     /// Lets go of the nodes that left the list before `span`, and tells which: all that met them has ended.
-    pub fn forget(&mut self, now: Nanos, span: Nanos) -> Vec<NodeId> {
-        let old = |p: &Pool| {
-            p.readiness == Readiness::Gone && p.connections.is_empty() && now.since(p.listed) > span
+    pub fn remove_gone(&mut self, now: Nanos, span: Nanos) -> Vec<NodeId> {
+        let old = |p: &NodePool| {
+            p.readiness == Readiness::Gone && p.connections.is_empty() && now.since(p.listed_at) > span
         };
         let forgotten: Vec<_> =
             (0..self.ids.slot_count()).filter(|at| self.pools.get(*at).is_some_and(old)).collect();
@@ -114,13 +114,13 @@
     /// A node takes no new work: its connections take no further attempts.
     pub fn withdraw(&mut self, node: NodeId, readiness: Readiness, now: Nanos, effects: &mut Vec<Effect>) {
         if let Some(pool) = self.pools.get_mut(node.0) {
-            (pool.readiness, pool.listed) = (readiness, now);
+            (pool.readiness, pool.listed_at) = (readiness, now);
         }
         self.retire(node, now, effects);
     }
 }
 
 /// Whether a start is later than the one before.
-fn later(start: Option<Start>, before: Option<Start>) -> bool {
+fn later(start: Option<NodeStart>, before: Option<NodeStart>) -> bool {
     start.map(|start| start.at) > before.map(|start| start.at)
 }
--- a/crates/dispatcher/src/nodes/mod.rs
+++ b/crates/dispatcher/src/nodes/mod.rs
@@ -40,7 +40,7 @@
 
 /// A node's start, as the change log told it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Start {
+pub struct NodeStart {
     /// Its Unix millisecond.
     pub unix_ms: u64,
     /// When it was on the dispatcher's clock, as far as is known: no earlier than that for sure.
@@ -51,19 +51,19 @@
 
 /// A node's place in the list, and its connections.
 #[derive(Debug)]
-pub struct Pool {
+pub struct NodePool {
     /// Where it listens.
     pub address: Option<SocketAddr>,
     /// Its start, by which a later one under its id is told apart; none for long ago.
-    pub start: Option<Start>,
+    pub start: Option<NodeStart>,
     /// Whether it takes work.
     pub readiness: Readiness,
     /// Its connections.
     pub connections: Vec<u32>,
     /// When it was last listed; once it has gone, since when.
-    pub listed: Nanos,
+    pub listed_at: Nanos,
     /// Whether it takes connections.
-    pub opening: NodeBackOff,
+    pub back_off: NodeBackOff,
 }
 
 /// The nodes listed, those that left not long ago, and the connections to them.
@@ -73,7 +73,7 @@
     /// With more connections than this in all, nodes get no second one.
     most: usize,
     ids: Ids<String>,
-    pools: Slots<Pool>,
+    pools: Slots<NodePool>,
     /// The nodes at each address, so that a line of the list is not compared with those of all others.
     addresses: BTreeSet<(SocketAddr, u32)>,
     connections: HashMap<u32, Connection>,
@@ -110,27 +110,27 @@
     }
 
     /// Nodes that have turned connections away since this was asked, and until when none is opened there.
-    pub fn turned_away(&mut self) -> Vec<(NodeId, Nanos)> {
+    pub fn take_refusing_nodes(&mut self) -> Vec<(NodeId, Nanos)> {
         std::mem::take(&mut self.full)
     }
 
     /// Takes new limits.
-    pub fn limit(&mut self, limits: ConnectionLimits, most: usize) {
+    pub fn set_limits(&mut self, limits: ConnectionLimits, most: usize) {
         (self.limits, self.most) = (limits, most);
     }
 }
 
 /// What a node's bytes come to next.
 #[derive(Debug)]
-pub enum Next {
+pub enum NextMessage {
     /// No whole answer yet.
-    Nothing,
+    Incomplete,
     /// An answer, and the attempt that it ends.
     Answer(AttemptId, copperroute_protocol::nodes::Answer),
     /// A message that nobody waits for.
-    Nobodys,
+    Unmatched,
     /// A node says whether it takes work, as it was asked at this time.
-    Alive(NodeId, Nanos, bool),
+    ProbeAnswer(NodeId, Nanos, bool),
     /// What can't be read.
     Unreadable,
 }
--- a/crates/dispatcher/src/nodes/probes.rs
+++ b/crates/dispatcher/src/nodes/probes.rs
@@ -9,11 +9,11 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ProbeCounts {
     /// Probes written.
-    pub asked: u64,
+    pub sent: u64,
     /// Nodes that said that they take work.
-    pub takes_work: u64,
+    pub ready: u64,
     /// Nodes that said that they don't.
-    pub takes_none: u64,
+    pub not_ready: u64,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -40,7 +40,7 @@
             self.open.pop_front();
         }
         self.open.push_back(OpenProbe { tag, node, asked: now });
-        self.counts.asked += 1;
+        self.counts.sent += 1;
         Some(tag)
     }
 
@@ -49,8 +49,8 @@
         let at = self.open.iter().position(|open| open.tag == tag && open.node == node)?;
         let open = self.open.remove(at)?;
         match takes_work {
-            true => self.counts.takes_work += 1,
-            false => self.counts.takes_none += 1,
+            true => self.counts.ready += 1,
+            false => self.counts.not_ready += 1,
         }
         Some(open.asked)
     }
@@ -58,7 +58,7 @@
 
 impl Nodes {
     /// Asks a node whether it takes work. Where it has no connection one is made, for the next time.
-    pub fn ask_alive(&mut self, node: NodeId, now: Nanos, effects: &mut Vec<Effect>) {
+    pub fn probe_readiness(&mut self, node: NodeId, now: Nanos, effects: &mut Vec<Effect>) {
         let Some(pool) = self.pools.get(node.0) else { return };
         if pool.connections.is_empty() {
             return self.connect_for_probes(node, now, effects);
@@ -79,7 +79,7 @@
 
     fn connect_for_probes(&mut self, node: NodeId, now: Nanos, effects: &mut Vec<Effect>) {
         let Some(pool) = self.pools.get(node.0) else { return };
-        let may_open = self.connections.len() < self.most && self.openings.may_open(now, &pool.opening, 0);
+        let may_open = self.connections.len() < self.most && self.openings.may_open(now, &pool.back_off, 0);
         let Some(address) = pool.address.filter(|_| may_open) else { return };
         self.open_connection(node, address, now, effects);
     }
--- a/crates/dispatcher/src/reducer/changes.rs
+++ b/crates/dispatcher/src/reducer/changes.rs
@@ -152,13 +152,13 @@
         let place = |names: &[String], name: &str| name_index(names, name).unwrap_or(UNKNOWN_ID);
         let readiness = listed.state.into();
         let start = self.start_of(now, listed, is_live);
-        let pool = Pool {
+        let pool = NodePool {
             address: listed.addr,
             start,
             readiness,
             connections: Vec::new(),
-            listed: self.request_table.now,
-            opening: NodeBackOff::default(),
+            listed_at: self.request_table.now,
+            back_off: NodeBackOff::default(),
         };
         NodeEntry {
             node: self.request_table.list(&listed.id, pool),
--- a/crates/dispatcher/src/reducer/doubt.rs
+++ b/crates/dispatcher/src/reducer/doubt.rs
@@ -55,9 +55,9 @@
             newer_copies_asked = counts.policy.age_limited_attempts - before.policy.age_limited_attempts,
             nodes_refused = counts.policy.refused_nodes - before.policy.refused_nodes,
             leases_ended = counts.policy.expired_leases - before.policy.expired_leases,
-            probes = counts.probes.asked - before.probes.asked,
-            probes_yes = counts.probes.takes_work - before.probes.takes_work,
-            probes_no = counts.probes.takes_none - before.probes.takes_none;
+            probes = counts.probes.sent - before.probes.sent,
+            probes_yes = counts.probes.ready - before.probes.ready,
+            probes_no = counts.probes.not_ready - before.probes.not_ready;
             "change log: {}",
             if is { "what is known may be too old" } else { "all is known again" }
         );
--- a/crates/dispatcher/src/reducer/mod.rs
+++ b/crates/dispatcher/src/reducer/mod.rs
@@ -11,7 +11,7 @@
 use crate::last_list::NodeListSnapshot;
 use crate::lingering::EXIT_LINGER_TIMEOUT;
 use crate::logs::LogRateLimiter;
-use crate::nodes::{Pool, ProbeCounts, Start};
+use crate::nodes::{NodePool, NodeStart, ProbeCounts};
 use crate::outside_time::ExternalTime;
 use crate::phases::{Life, Phase};
 use crate::request_table::RequestTable;
--- a/crates/dispatcher/src/reducer/moments.rs
+++ b/crates/dispatcher/src/reducer/moments.rs
@@ -31,7 +31,7 @@
     }
 
     /// When a node started, at the earliest, as its line tells it: no later than that was first heard.
-    pub(super) fn start_of(&self, now: Nanos, listed: &ListedNode, is_live: bool) -> Option<Start> {
+    pub(super) fn start_of(&self, now: Nanos, listed: &ListedNode, is_live: bool) -> Option<NodeStart> {
         let unix_ms = listed.started_ms.filter(|ms| *ms > 0)?;
         let before = self.request_table.start(&listed.id);
         if let Some(same) = before.filter(|before| before.unix_ms == unix_ms) {
@@ -45,13 +45,13 @@
             Some(before) => at.min(before.at),
             None => at,
         };
-        Some(Start { unix_ms, at, is_doubted })
+        Some(NodeStart { unix_ms, at, is_doubted })
     }
 
     /// As more is known of what time it is outside, what had started earlier than could be sure is moved there.
     pub(super) fn place_starts(&mut self, now: Nanos) {
         let outside = &self.external_time;
-        let moved = |start: &Start| {
+        let moved = |start: &NodeStart| {
             let at = now.since(outside.min_age(now, start.unix_ms)).max(Nanos(1));
             (!start.is_doubted && at.after(MOVED_BY) < start.at).then_some(at)
         };
--- a/crates/dispatcher/src/request_table/actions.rs
+++ b/crates/dispatcher/src/request_table/actions.rs
@@ -11,7 +11,8 @@
         let (node, rank) = (self.nodes.id(attempt.node), attempt.rank);
         let from = source.as_deref().unwrap_or("-");
         log::debug!(target: TRACE, "{id} pull {} to {node} from {from} rank {rank}", place.number);
-        let connection = self.nodes.take(attempt.node, place, id, pending.once, self.now, &mut self.effects);
+        let connection =
+            self.nodes.assign(attempt.node, place, id, pending.once, self.now, &mut self.effects);
         let (at, number) = (self.now, connection.unwrap_or_default());
         if let Some(by) = attempt.send_by {
             self.effects.push(Effect::Arm(by, TimerKind::SendBy(place, pending.generation)));
@@ -49,7 +50,7 @@
     fn probe_load(&mut self, _node: NodeId) {}
 
     fn probe_readiness(&mut self, node: NodeId) {
-        self.nodes.ask_alive(node, self.now, &mut self.effects);
+        self.nodes.probe_readiness(node, self.now, &mut self.effects);
     }
 
     fn subscribe_to_list(&mut self) {
--- a/crates/dispatcher/src/request_table/attempts.rs
+++ b/crates/dispatcher/src/request_table/attempts.rs
@@ -51,7 +51,7 @@
         let Some(out) = pending.attempts.get(attempt.number as usize).filter(|out| out.out) else { return };
         let id = pending.request.id;
         let connection = out.connection;
-        let unsent = self.nodes.give_up(connection, attempt, id, pending.owed, &mut self.effects);
+        let unsent = self.nodes.abort(connection, attempt, id, pending.owed, &mut self.effects);
         let outcome = if unsent && outcome == Outcome::TimedOut { Outcome::NotSent } else { outcome };
         self.end(attempt, outcome, None);
         if unsent {
@@ -71,7 +71,7 @@
                 out.attempt.send_by.is_some_and(|by| by < now) || out.until(pending).since(now) < LEAST_LEFT
             })
         };
-        let late = self.nodes.take_back_on(connection, late);
+        let late = self.nodes.retract_waiting(connection, late);
         late.into_iter().for_each(|attempt| self.end(attempt, Outcome::NotSent, None));
         let pending = &self.pending;
         let fetch = |attempt: AttemptId| {
@@ -93,12 +93,12 @@
             };
             Some((fetch, pending.expires, pending.once))
         };
-        self.nodes.hand_over(connection, now, fetch, &mut self.effects);
+        self.nodes.write_waiting(connection, now, fetch, &mut self.effects);
     }
 
     /// What was to be written to a node has waited for long: what has not begun to leave is put into words anew as it does.
     pub fn renew(&mut self, connection: u32) {
-        self.nodes.unsay(connection, &mut self.effects);
+        self.nodes.requeue_unsent(connection, &mut self.effects);
         self.hand_over(connection);
         self.nodes.close_if_spent(connection, &mut self.effects);
     }
@@ -107,7 +107,7 @@
 
     /// A connection to a node has come up.
     pub fn node_connected(&mut self, connection: u32) {
-        self.nodes.connected(connection, self.now, &mut self.effects);
+        self.nodes.connection_opened(connection, self.now, &mut self.effects);
         self.hand_over(connection);
     }
 
@@ -121,18 +121,20 @@
     pub fn node_received(&mut self, connection: u32, bytes: &[u8]) {
         self.nodes.received(connection, bytes, self.now);
         loop {
-            match self.nodes.answer(connection, self.now) {
-                Next::Nothing => return self.nodes.close_if_spent(connection, &mut self.effects),
-                Next::Nobodys => {}
-                Next::Alive(node, asked, takes_work) => self.alive.push((node, asked, takes_work)),
-                Next::Answer(attempt, answer) if self.is_sound(attempt, &answer) => {
+            match self.nodes.next_message(connection, self.now) {
+                NextMessage::Incomplete => return self.nodes.close_if_spent(connection, &mut self.effects),
+                NextMessage::Unmatched => {}
+                NextMessage::ProbeAnswer(node, asked, takes_work) => {
+                    self.alive.push((node, asked, takes_work))
+                }
+                NextMessage::Answer(attempt, answer) if self.is_sound(attempt, &answer) => {
                     self.end(attempt, answer.outcome, Some(&answer));
                 }
-                Next::Answer(attempt, _) => {
+                NextMessage::Answer(attempt, _) => {
                     self.end(attempt, Outcome::Broken, None);
                     return self.node_closed(connection);
                 }
-                Next::Unreadable => return self.node_closed(connection),
+                NextMessage::Unreadable => return self.node_closed(connection),
             }
         }
     }
@@ -152,14 +154,14 @@
             let id = self.nodes.id(node);
             log::debug!(target: TRACE, "node {id}: connection {connection} ended");
         }
-        for (attempt, outcome) in self.nodes.ended(connection, self.now, &mut self.effects) {
+        for (attempt, outcome) in self.nodes.connection_ended(connection, self.now, &mut self.effects) {
             self.end(attempt, outcome, None);
         }
     }
 
     /// A connection to a node could not be made for want of something of this machine's own: the node is not to blame.
     pub fn node_unopened(&mut self, connection: u32) {
-        for (attempt, _) in self.nodes.ended(connection, self.now, &mut self.effects) {
+        for (attempt, _) in self.nodes.connection_ended(connection, self.now, &mut self.effects) {
             self.end(attempt, Outcome::NotSent, None);
         }
     }
--- a/crates/dispatcher/src/request_table/list.rs
+++ b/crates/dispatcher/src/request_table/list.rs
@@ -9,8 +9,8 @@
     }
 
     /// The index of a listed node, new or known.
-    pub fn list(&mut self, id: &str, pool: Pool) -> NodeId {
-        let (node, moved) = self.nodes.list(id, pool, self.now, &mut self.effects);
+    pub fn list(&mut self, id: &str, pool: NodePool) -> NodeId {
+        let (node, moved) = self.nodes.add_or_update(id, pool, self.now, &mut self.effects);
         // What was not sent to where it was must not reach who is there now.
         if !moved.is_empty() {
             self.take_back(|_, out| moved.contains(&out.attempt.node) || moved.contains(&out.attempt.source));
@@ -19,13 +19,13 @@
     }
 
     /// The start that a node is listed with, where one is told.
-    pub fn start(&self, id: &str) -> Option<Start> {
+    pub fn start(&self, id: &str) -> Option<NodeStart> {
         self.nodes.start(id)
     }
 
     /// Moves starts back to where `moved` says; tells which nodes, and where to.
-    pub fn starts_moved(&mut self, moved: impl Fn(&Start) -> Option<Nanos>) -> Vec<(NodeId, Nanos)> {
-        self.nodes.starts_moved(moved)
+    pub fn starts_moved(&mut self, moved: impl Fn(&NodeStart) -> Option<Nanos>) -> Vec<(NodeId, Nanos)> {
+        self.nodes.move_starts(moved)
     }
 
     /// Whether any node that takes work is listed.
@@ -40,17 +40,17 @@
 
     /// How many nodes there is a place for.
     pub fn nodes_kept(&self) -> u32 {
-        self.nodes.kept()
+        self.nodes.slot_count()
     }
 
     /// Lets go of the nodes that left the list before `span`, and tells which.
     pub fn forget_nodes(&mut self, span: Nanos) -> Vec<NodeId> {
-        self.nodes.forget(self.now, span)
+        self.nodes.remove_gone(self.now, span)
     }
 
     /// The nodes that a whole list does not name.
     pub fn unlisted(&self, named: &[NodeId]) -> Vec<NodeId> {
-        self.nodes.unlisted(named)
+        self.nodes.missing_from(named)
     }
 
     /// A node takes no new work: what was not sent to it, or names it as source, is dropped.
@@ -88,7 +88,7 @@
             let out = of.and_then(|of| of.attempts.get(attempt.number as usize).map(|out| (of, out)));
             out.is_some_and(|(of, out)| meant(attempt, of, out))
         };
-        let (attempts, freed) = self.nodes.take_back(meant, &mut self.effects);
+        let (attempts, freed) = self.nodes.retract_unsent(meant, &mut self.effects);
         for attempt in attempts {
             self.end(attempt, Outcome::NotSent, None);
         }
--- a/crates/dispatcher/src/request_table/mod.rs
+++ b/crates/dispatcher/src/request_table/mod.rs
@@ -6,7 +6,7 @@
 use crate::config::Limits;
 use crate::copies::{self, Offered};
 use crate::effects::{Effect, TimerKind};
-use crate::nodes::{AttemptId, Next, Nodes, Pool, ProbeCounts, Start};
+use crate::nodes::{AttemptId, NextMessage, NodePool, NodeStart, Nodes, ProbeCounts};
 use copperroute_cache_store::record::Facts;
 use copperroute_protocol::clients::{Answer, Request};
 use copperroute_protocol::hex::Hex;
@@ -145,18 +145,18 @@
     pub fn limit(&mut self, connections: ConnectionLimits, limits: Limits) {
         self.most_unsent = limits.memory_mb * 1024 * 1024 / UNSENT_PART;
         self.clients.lingering.set_descriptor_limit(limits.sockets as usize);
-        self.nodes.limit(connections, limits.sockets as usize / NODES_PART);
+        self.nodes.set_limits(connections, limits.sockets as usize / NODES_PART);
     }
 
     /// Nodes that have turned connections away since this was asked, and until when none is opened there.
     pub fn turned_away(&mut self) -> Vec<(NodeId, Nanos)> {
-        self.nodes.turned_away()
+        self.nodes.take_refusing_nodes()
     }
 
     /// Looks after connections; to be called now and then.
     pub fn sweep(&mut self) {
-        self.nodes.stuck(self.now).into_iter().for_each(|connection| self.node_closed(connection));
-        self.nodes.sweep(self.now, &mut self.effects);
+        self.nodes.stalled(self.now).into_iter().for_each(|connection| self.node_closed(connection));
+        self.nodes.close_idle(self.now, &mut self.effects);
     }
 
     // Requests.
@@ -289,8 +289,8 @@
 
     /// While clients take too little, nodes are not read from: what they hold back costs no memory here.
     fn balance(&mut self) {
-        let most = self.most_unsent / if self.nodes.are_held_back() { 2 } else { 1 };
-        self.nodes.hold_back(self.clients.unsent() > most, &mut self.effects);
+        let most = self.most_unsent / if self.nodes.reads_paused() { 2 } else { 1 };
+        self.nodes.pause_reads(self.clients.unsent() > most, &mut self.effects);
     }
 
     /// Notes that the answer of a request is owed no more; tells who asked for it, if it was owed.
