--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -17,14 +17,14 @@
 use crate::structures::ring_buffer::RingBuffer;
 use std::cell::Cell;
 
-mod ends;
-mod fill;
-mod ordinary;
-mod place;
-mod rules;
-mod unheard;
-
-pub use unheard::StalenessCounts;
+mod attempt_outcome;
+mod fill_source;
+mod node_selection;
+mod request_path;
+mod safety_rules;
+mod staleness;
+
+pub use staleness::StalenessCounts;
 
 // MC3's open choices, and the starting values of the design page.
 const TABLE: usize = 20_000; // shadow entries
