--- a/crates/change-log-replica/src/core.rs
+++ b/crates/change-log-replica/src/core.rs
@@ -17,8 +17,8 @@
 use crate::sources::Sources;
 use crate::sparse::LogRateLimiter;
 use copperroute_protocol::changes::encode_since;
-use copperroute_routing::calls::{ReconnectSchedule, ReconnectSettings};
 use copperroute_routing::interface::Nanos;
+use copperroute_routing::reconnect_schedule::{ReconnectSchedule, ReconnectSettings};
 use std::net::SocketAddr;
 
 mod stream;
--- a/crates/dispatcher/src/changes/stream.rs
+++ b/crates/dispatcher/src/changes/stream.rs
@@ -9,8 +9,10 @@
 use crate::logs::LogRateLimiter;
 use copperroute_protocol::changes::{Line, encode_since};
 use copperroute_protocol::incoming::DecodeError;
-use copperroute_routing::calls::{ConnectionState as CallState, ReconnectSchedule, ReconnectSettings};
 use copperroute_routing::interface::Nanos;
+use copperroute_routing::reconnect_schedule::{
+    ConnectionState as CallState, ReconnectSchedule, ReconnectSettings,
+};
 use std::fmt;
 use std::net::SocketAddr;
 
--- a/crates/dispatcher/src/changes/told.rs
+++ b/crates/dispatcher/src/changes/told.rs
@@ -1,9 +1,9 @@
 //! What the change log is started with, what it tells, and an event in the form that the merge takes.
 
 use copperroute_protocol::changes::Change;
-use copperroute_routing::calls::ReconnectSettings;
 use copperroute_routing::change_log::{Arrival, Content};
 use copperroute_routing::interface::{Nanos, stable_hash};
+use copperroute_routing::reconnect_schedule::ReconnectSettings;
 use std::net::SocketAddr;
 
 /// What it tells, in order.
--- a/crates/dispatcher/tests/dispatcher/two_streams_sum.rs
+++ b/crates/dispatcher/tests/dispatcher/two_streams_sum.rs
@@ -2,9 +2,9 @@
 
 use copperroute_dispatcher::changes::{ChangeLog, ChangeLogSettings};
 use copperroute_dispatcher::effects::{Effect, Peer, TimerKind};
-use copperroute_routing::calls::ReconnectSettings;
 use copperroute_routing::change_log::{Replica, select_replicas};
 use copperroute_routing::interface::{Nanos, stable_hash};
+use copperroute_routing::reconnect_schedule::ReconnectSettings;
 use copperroute_settings::operator::OperatorFile;
 use serde_json::json;
 use std::collections::BTreeMap;
--- a/crates/routing/src/nodes.rs
+++ b/crates/routing/src/nodes.rs
@@ -2,9 +2,9 @@
 
 use crate::fleet::slow_start::TokenBucket;
 use crate::interface::{LoadReport, Nanos, NodeEntry, NodeId, Readiness, ZoneId};
-use crate::listed::{Listed, Role};
+use crate::listed_nodes::{Listed, Role};
+use crate::node_capacity::{PROBE_PARENTS, Size, Sizes};
 use crate::node_lease::NodeLease;
-use crate::size::{PROBE_PARENTS, Size, Sizes};
 use crate::state::{Sent, Slots};
 use crate::structures::ring_buffer::RingBuffer;
 
--- a/crates/routing/src/policy/node_selection.rs
+++ b/crates/routing/src/policy/node_selection.rs
@@ -1,7 +1,7 @@
 //! Where an attempt goes: which cache, and what goes past the caches.
 
 use super::*;
-use crate::listed::{counted, key_of, share_of};
+use crate::listed_nodes::{counted, key_of, share_of};
 
 /// A cache and its place in a copy's order.
 #[derive(Debug, Clone, Copy)]
--- a/crates/routing/tests/module/calls.rs
+++ b/crates/routing/tests/module/calls.rs
@@ -1,8 +1,8 @@
 //! When the list service is called: by one dispatcher, as traces, and by many, as sums.
 
 use crate::common::ms;
-use copperroute_routing::calls::{ConnectionState, ReconnectSchedule, ReconnectSettings};
 use copperroute_routing::interface::Nanos;
+use copperroute_routing::reconnect_schedule::{ConnectionState, ReconnectSchedule, ReconnectSettings};
 use expect_test::expect;
 use proptest::prelude::*;
 use std::fmt::Write as _;
--- a/crates/routing/tests/module/listed.rs
+++ b/crates/routing/tests/module/listed.rs
@@ -2,7 +2,7 @@
 
 use crate::common::*;
 use copperroute_routing::interface::*;
-use copperroute_routing::listed::{Home, Listed, Role, counted, key_of, share_of};
+use copperroute_routing::listed_nodes::{Home, Listed, Role, counted, key_of, share_of};
 use copperroute_routing::nodes::{Node, Nodes};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
--- a/crates/routing/tests/module/sizes.rs
+++ b/crates/routing/tests/module/sizes.rs
@@ -2,8 +2,8 @@
 
 use crate::common::*;
 use copperroute_routing::interface::*;
+use copperroute_routing::node_capacity::{Size, Sizes};
 use copperroute_routing::policy::Dispatcher;
-use copperroute_routing::size::{Size, Sizes};
 use expect_test::expect;
 
 /// What a node of true size 6 is found to be after so many reports, or so many seconds of answers, by how it was listed.
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -3,10 +3,10 @@
 
 pub mod operator;
 
-use copperroute_routing::calls::ReconnectSettings;
 use copperroute_routing::interface::{
     ColdStart, ContentType, DedupScope, Nanos, RetrySafety, Settings, ZoneId,
 };
+use copperroute_routing::reconnect_schedule::ReconnectSettings;
 use serde_json::Value;
 use std::collections::HashMap;
 use std::str::FromStr;
--- a/crates/settings/src/operator.rs
+++ b/crates/settings/src/operator.rs
@@ -3,9 +3,9 @@
 use crate::ReadResult;
 use copperroute_config_rollout::issue::IssuedVersion;
 use copperroute_config_rollout::terms::TimingBounds;
-use copperroute_routing::calls::ReconnectSettings;
 use copperroute_routing::change_log;
 use copperroute_routing::interface::{Nanos, OverloadSettings};
+use copperroute_routing::reconnect_schedule::ReconnectSettings;
 use schemars::JsonSchema;
 use serde::Deserialize;
 use std::net::SocketAddr;
--- a/crates/settings/src/tests/operator.rs
+++ b/crates/settings/src/tests/operator.rs
@@ -1,8 +1,8 @@
 //! Tests of what `operator.rs` keeps to itself.
 
 use super::OperatorFile;
-use copperroute_routing::calls::ReconnectSettings;
 use copperroute_routing::interface::Nanos;
+use copperroute_routing::reconnect_schedule::ReconnectSettings;
 use expect_test::expect;
 
 #[test]
--- a/crates/testbed/src/fleet_simulation/arrangement.rs
+++ b/crates/testbed/src/fleet_simulation/arrangement.rs
@@ -3,8 +3,8 @@
 
 use super::assumptions::{CALLS_SHARE, TOLD_AFTER};
 use super::topology::{self, Place};
-use copperroute_routing::calls::ReconnectSettings;
 use copperroute_routing::interface::mix;
+use copperroute_routing::reconnect_schedule::ReconnectSettings;
 
 /// A way of changes.
 #[derive(Debug, Clone, Copy, PartialEq)]
--- a/crates/testbed/src/fleet_simulation/follower.rs
+++ b/crates/testbed/src/fleet_simulation/follower.rs
@@ -10,8 +10,8 @@
 use copperroute_dispatcher::changes::{ChangeLog, ChangeLogSettings, ChangeLogUpdate};
 use copperroute_dispatcher::effects::Effect;
 use copperroute_protocol::changes::Change;
-use copperroute_routing::calls::ReconnectSettings;
 use copperroute_routing::interface::Nanos;
+use copperroute_routing::reconnect_schedule::ReconnectSettings;
 use serde_json::{Map, Value, json};
 use std::net::SocketAddr;
 
--- a/crates/testbed/src/many.rs
+++ b/crates/testbed/src/many.rs
@@ -1,8 +1,8 @@
 //! The decisions on calls of thousands of dispatchers, simulated: the same core as in the program, a list service that
 //! falls over, and the program's earlier back-off beside it.
 
-use copperroute_routing::calls::{ReconnectSchedule, ReconnectSettings};
 use copperroute_routing::interface::Nanos;
+use copperroute_routing::reconnect_schedule::{ReconnectSchedule, ReconnectSettings};
 use copperroute_routing::structures::random::Random;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
