--- a/crates/routing/tests/module/main.rs
+++ b/crates/routing/tests/module/main.rs
@@ -3,25 +3,25 @@
 // Not yet: the day of `largest` is still one function.
 #![allow(clippy::too_many_lines, clippy::cognitive_complexity)]
 
-mod calls;
 mod change_log;
 mod changed;
 mod cold;
 mod cold_fleet;
 mod cold_sum;
 mod common;
-mod conduct;
+mod connection_back_off;
+mod duplicate_filter;
 mod failures;
 mod largest;
 mod listed;
-mod opening;
 mod ordinary;
+mod overload_control;
+mod overload_scenario;
 mod purges;
+mod reconnect_schedule;
 mod repeats;
 mod rules;
 mod sizes;
 mod spared;
-mod storm_day;
-mod storms;
 mod structures;
 mod unheard;
--- a/crates/routing/tests/module/storms.rs
+++ b/crates/routing/tests/module/overload_control.rs
@@ -1,6 +1,6 @@
 //! Retry storms, as traces: a location of three caches, and clients that come back.
 
-use crate::storm_day::{Day, Try, told};
+use crate::overload_scenario::{Day, Try, told};
 use copperroute_routing::interface::*;
 use expect_test::expect;
 use std::fmt::Write as _;
