--- a/crates/config-rollout/benches/switch.rs
+++ b/crates/config-rollout/benches/switch.rs
@@ -1,10 +1,10 @@
 //! What a switch of rules takes: `cargo bench -p copperroute-agreement`.
 
-use copperroute_config_rollout::core::Agreement;
+use copperroute_config_rollout::agreement::Agreement;
 use copperroute_config_rollout::faults::Faults;
-use copperroute_config_rollout::issue::{IssuedVersion, ValidationContext};
 use copperroute_config_rollout::rules::RuleSet;
-use copperroute_config_rollout::terms::TimingBounds;
+use copperroute_config_rollout::timing::TimingBounds;
+use copperroute_config_rollout::version::{IssuedVersion, ValidationContext};
 use copperroute_routing::interface::*;
 use copperroute_routing::policy::Dispatcher;
 use divan::{Bencher, black_box};
--- a/crates/config-rollout/src/core.rs
+++ b/crates/config-rollout/src/agreement.rs
@@ -6,9 +6,9 @@
 //! moment. Out of touch it acts on the floor of the version in force, which no later one may be stricter than.
 
 use crate::faults::Fault;
-use crate::issue::{IssuedVersion, Refusal, ValidationContext, Version};
 use crate::lease::Lease;
 use crate::rules::RuleSet;
+use crate::version::{IssuedVersion, Refusal, ValidationContext, Version};
 use copperroute_routing::interface::Nanos;
 use std::collections::VecDeque;
 use std::fmt;
--- a/crates/config-rollout/src/lease.rs
+++ b/crates/config-rollout/src/lease.rs
@@ -2,7 +2,7 @@
 //! that was stopped finds its lease lapsed before it reads what has come meanwhile.
 
 use crate::faults::{Fault, Faults};
-use crate::terms::TimingBounds;
+use crate::timing::TimingBounds;
 use copperroute_routing::change_log::Heartbeats;
 use copperroute_routing::interface::Nanos;
 
--- a/crates/config-rollout/src/lib.rs
+++ b/crates/config-rollout/src/lib.rs
@@ -5,10 +5,10 @@
 //! stricter, [`issue`] what a version says and when it will do, [`lease`] how long one may believe to be up to date,
 //! [`core`] on which rules a dispatcher acts.
 
-pub mod core;
+pub mod agreement;
 pub mod faults;
-pub mod issue;
 pub mod lease;
-pub mod lists;
+pub mod list_versions;
 pub mod rules;
-pub mod terms;
+pub mod timing;
+pub mod version;
--- a/crates/config-rollout/src/issue.rs
+++ b/crates/config-rollout/src/version.rs
@@ -2,7 +2,7 @@
 
 use crate::faults::{Fault, Faults};
 use crate::rules::RuleSet;
-use crate::terms::TimingBounds;
+use crate::timing::TimingBounds;
 use copperroute_routing::interface::stable_hash;
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value};
--- a/crates/config-rollout/tests/agreement/core.rs
+++ b/crates/config-rollout/tests/agreement/core.rs
@@ -1,10 +1,10 @@
 //! On which rules one dispatcher acts, as traces.
 
 use crate::common::{TERMS, dispatcher, issue, ms, object};
-use copperroute_config_rollout::core::Agreement;
+use copperroute_config_rollout::agreement::Agreement;
 use copperroute_config_rollout::faults::Faults;
-use copperroute_config_rollout::issue::{IssuedVersion, format_digest};
 use copperroute_config_rollout::rules::Field;
+use copperroute_config_rollout::version::{IssuedVersion, format_digest};
 use copperroute_routing::interface::Nanos;
 use expect_test::expect;
 use serde_json::json;
--- a/crates/config-rollout/tests/agreement/ordering_model.rs
+++ b/crates/config-rollout/tests/agreement/ordering_model.rs
@@ -1,11 +1,11 @@
 //! The model of every ordering in the small: the state of three dispatchers and a log, the steps, and the judge.
 
 use crate::common::{dispatcher, issue, ms};
-use copperroute_config_rollout::core::Agreement;
+use copperroute_config_rollout::agreement::Agreement;
 use copperroute_config_rollout::faults::{Fault, Faults};
-use copperroute_config_rollout::issue::{IssuedVersion, format_digest};
 use copperroute_config_rollout::rules::Field;
-use copperroute_config_rollout::terms::TimingBounds;
+use copperroute_config_rollout::timing::TimingBounds;
+use copperroute_config_rollout::version::{IssuedVersion, format_digest};
 use serde_json::json;
 use stateright::{Model, Property};
 use std::sync::Arc;
--- a/crates/dispatcher/src/agreed.rs
+++ b/crates/dispatcher/src/agreed.rs
@@ -2,9 +2,9 @@
 
 use crate::config::{AgreementConfig, Config};
 use crate::logs::LogRateLimiter;
-use copperroute_config_rollout::core::{Agreement, OutOfTouchReason};
-use copperroute_config_rollout::issue::{IssuedVersion, Refusal};
-use copperroute_config_rollout::lists::ListVersions;
+use copperroute_config_rollout::agreement::{Agreement, OutOfTouchReason};
+use copperroute_config_rollout::list_versions::ListVersions;
+use copperroute_config_rollout::version::{IssuedVersion, Refusal};
 use copperroute_protocol::changes::Change;
 use copperroute_routing::interface::{Nanos, Settings};
 
--- a/crates/dispatcher/src/config.rs
+++ b/crates/dispatcher/src/config.rs
@@ -1,8 +1,8 @@
 //! The configuration file: what the operators tell one dispatcher.
 
 use copperroute_config_rollout::faults::Faults;
-use copperroute_config_rollout::issue::{IssuedVersion, ValidationContext};
 use copperroute_config_rollout::rules::RuleSet;
+use copperroute_config_rollout::version::{IssuedVersion, ValidationContext};
 use copperroute_protocol::changes::KnownEvents;
 use copperroute_routing::change_log::{Replica, select_replicas};
 use copperroute_routing::interface::{Settings, stable_hash};
--- a/crates/dispatcher/src/rules_text.rs
+++ b/crates/dispatcher/src/rules_text.rs
@@ -2,8 +2,8 @@
 //! versions would be taken.
 
 use crate::config::AgreementConfig;
-use copperroute_config_rollout::issue::{IssuedVersion, Refusal, Version};
 use copperroute_config_rollout::rules::{RuleSet, differences};
+use copperroute_config_rollout::version::{IssuedVersion, Refusal, Version};
 use std::fmt::Write as _;
 use std::path::Path;
 
--- a/crates/dispatcher/tests/dispatcher/agreed.rs
+++ b/crates/dispatcher/tests/dispatcher/agreed.rs
@@ -1,7 +1,7 @@
 //! Rules with versions: which a dispatcher acts on, seen from its connections.
 
 use crate::common::{CONFIG, Play, request};
-use copperroute_config_rollout::issue::{IssuedVersion, format_digest};
+use copperroute_config_rollout::version::{IssuedVersion, format_digest};
 use copperroute_dispatcher::config::Config;
 use copperroute_dispatcher::effects::{Event, Peer};
 use copperroute_settings::operator::OperatorFile;
--- a/crates/dispatcher/tests/dispatcher/rules_text.rs
+++ b/crates/dispatcher/tests/dispatcher/rules_text.rs
@@ -1,7 +1,7 @@
 //! Versions as staff read them.
 
 use crate::common::CONFIG;
-use copperroute_config_rollout::issue::{IssuedVersion, format_digest};
+use copperroute_config_rollout::version::{IssuedVersion, format_digest};
 use copperroute_dispatcher::config::{AgreementConfig, Config};
 use copperroute_dispatcher::rules_text::{check, diff, show};
 use copperroute_settings::operator::OperatorFile;
--- a/crates/settings/src/operator.rs
+++ b/crates/settings/src/operator.rs
@@ -1,8 +1,8 @@
 //! The operator's own file: JSON with a schema. What stands in it is off unless it is given.
 
 use crate::ReadResult;
-use copperroute_config_rollout::issue::IssuedVersion;
-use copperroute_config_rollout::terms::TimingBounds;
+use copperroute_config_rollout::timing::TimingBounds;
+use copperroute_config_rollout::version::IssuedVersion;
 use copperroute_routing::change_log;
 use copperroute_routing::interface::{Nanos, OverloadSettings};
 use copperroute_routing::reconnect_schedule::ReconnectSettings;
--- a/crates/testbed/src/fleet_simulation/follower.rs
+++ b/crates/testbed/src/fleet_simulation/follower.rs
@@ -2,11 +2,11 @@
 //! for versions. With two streams the first copy of an event counts; that merge is the simulation's own.
 
 use super::assumptions::*;
-use copperroute_config_rollout::core::Agreement;
+use copperroute_config_rollout::agreement::Agreement;
 use copperroute_config_rollout::faults::Faults;
-use copperroute_config_rollout::issue::{IssuedVersion, ValidationContext};
 use copperroute_config_rollout::rules::RuleSet;
-use copperroute_config_rollout::terms::TimingBounds;
+use copperroute_config_rollout::timing::TimingBounds;
+use copperroute_config_rollout::version::{IssuedVersion, ValidationContext};
 use copperroute_dispatcher::changes::{ChangeLog, ChangeLogSettings, ChangeLogUpdate};
 use copperroute_dispatcher::effects::Effect;
 use copperroute_protocol::changes::Change;
--- a/crates/testbed/src/fleet_simulation/record.rs
+++ b/crates/testbed/src/fleet_simulation/record.rs
@@ -2,7 +2,7 @@
 
 use super::assumptions::{UNIX_MS, VERSION_AHEAD_MS};
 use super::follower::rules;
-use copperroute_config_rollout::issue::{IssuedVersion, format_digest};
+use copperroute_config_rollout::version::{IssuedVersion, format_digest};
 use copperroute_routing::interface::{Nanos, mix};
 use serde_json::json;
 
--- a/crates/testbed/src/many_rules.rs
+++ b/crates/testbed/src/many_rules.rs
@@ -1,11 +1,11 @@
 //! Thousands of dispatchers that agree on versions of rules, simulated: the same cores as in the program, for the
 //! agreement and for when the list service is called; streams that are lost by chance.
 
-use copperroute_config_rollout::core::Agreement;
+use copperroute_config_rollout::agreement::Agreement;
 use copperroute_config_rollout::faults::Faults;
-use copperroute_config_rollout::issue::{IssuedVersion, ValidationContext, format_digest};
 use copperroute_config_rollout::rules::{Field, RuleSet};
-use copperroute_config_rollout::terms::TimingBounds;
+use copperroute_config_rollout::timing::TimingBounds;
+use copperroute_config_rollout::version::{IssuedVersion, ValidationContext, format_digest};
 use copperroute_routing::interface::{ColdStart, Nanos, Settings, ZoneId};
 use copperroute_routing::reconnect_schedule::{ReconnectSchedule, ReconnectSettings};
 use copperroute_routing::structures::random::Random;
--- a/crates/testbed/src/play/versions.rs
+++ b/crates/testbed/src/play/versions.rs
@@ -3,7 +3,7 @@
 use super::Stage;
 use crate::scenario::Versions;
 use crate::world::{Issued, unix_ms};
-use copperroute_config_rollout::issue::{IssuedVersion, format_digest};
+use copperroute_config_rollout::version::{IssuedVersion, format_digest};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use serde_json::json;
--- a/crates/testbed/src/slopes/control.rs
+++ b/crates/testbed/src/slopes/control.rs
@@ -6,7 +6,7 @@
     Dispatcher, ListedNode, Place, SITES, Told, Window, changed_line, fleet, whole_list,
 };
 use crate::world::unix_ms;
-use copperroute_config_rollout::issue::{IssuedVersion, format_digest};
+use copperroute_config_rollout::version::{IssuedVersion, format_digest};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use serde_json::json;
