--- a/crates/change-log-replica/src/event_loop.rs
+++ b/crates/change-log-replica/src/event_loop.rs
@@ -4,7 +4,7 @@
 use crate::config::Config;
 use crate::core::{Core, Effect, Event, StreamId};
 use crate::followers::{FollowerId, ForFollower};
-use crate::sparse::LogRateLimiter;
+use crate::log_rate_limiter::LogRateLimiter;
 use calloop::generic::Generic;
 use calloop::signals::{Signal, Signals};
 use calloop::{EventLoop, Interest, LoopHandle, Mode, PostAction, Readiness};
--- a/crates/dispatcher/src/event_loop/mod.rs
+++ b/crates/dispatcher/src/event_loop/mod.rs
@@ -6,7 +6,7 @@
 use crate::effects::{Effect, Event, Peer, TimerKind, TrailingInput};
 use crate::freshness::{Freshness, TimerPostponement};
 use crate::logs::{self, LogRateLimiter};
-use crate::purge_cover::covers_purges_after;
+use crate::purge_coverage::covers_purges_after;
 use crate::reducer::Reducer;
 use crate::snapshot_writer::{self, SnapshotWriter};
 use calloop::channel::{Sender, channel};
--- a/crates/dispatcher/src/event_loop/startup.rs
+++ b/crates/dispatcher/src/event_loop/startup.rs
@@ -1,7 +1,7 @@
 //! What is opened before the loop runs.
 
 use super::*;
-use crate::outside_time::ExternalTime;
+use crate::external_time::ExternalTime;
 
 /// Listens, also at once after another process did so, with room for a burst of new connections.
 pub(super) fn listen(address: SocketAddr) -> io::Result<TcpListener> {
--- a/crates/dispatcher/src/logs.rs
+++ b/crates/dispatcher/src/logs.rs
@@ -1,7 +1,7 @@
 //! The log's way out: lines go through a thread of their own, so that nobody who reads them slowly, or not at
 //! all, holds up the event loop. What the thread can't take is left out.
 
-pub use copperroute_change_log_replica::sparse::LogRateLimiter;
+pub use copperroute_change_log_replica::log_rate_limiter::LogRateLimiter;
 use std::io::{self, Write};
 use std::sync::mpsc::{Receiver, SyncSender, sync_channel};
 use std::time::Duration;
--- a/crates/dispatcher/src/snapshot_writer.rs
+++ b/crates/dispatcher/src/snapshot_writer.rs
@@ -1,7 +1,7 @@
 //! The file of the last good list: read at the start, written aside and renamed by a thread of its own, so that a slow
 //! disk holds up nothing. A list that could not be written is tried again, unless a newer one comes first.
 
-use crate::last_list::{self, MAX_FILE_BYTES};
+use crate::node_list_snapshot::{self, MAX_FILE_BYTES};
 use copperroute_cache_store::files::{FileSystem, Files, read_whole, replace};
 use copperroute_cache_store::reopening::Reopening;
 use copperroute_protocol::changes::KnownEvents;
@@ -45,7 +45,7 @@
     else {
         return Ok(None);
     };
-    last_list::decode(&bytes, unix_ms, of, most_age_ms, known).map(Some).map_err(named)
+    node_list_snapshot::decode(&bytes, unix_ms, of, most_age_ms, known).map(Some).map_err(named)
 }
 
 /// The thread that writes. Of lists that come faster than the disk takes them one waits; the next is tried anew.
--- a/crates/dispatcher/tests/dispatcher/folders.rs
+++ b/crates/dispatcher/tests/dispatcher/folders.rs
@@ -1,8 +1,8 @@
 //! What lies on disk over a restart: which of it is trusted, and the last good list on a disk that fails.
 
 use crate::faulty::{Fault, Kind, Loss, Memory};
-use copperroute_dispatcher::last_list::{decode, encode};
-use copperroute_dispatcher::purge_cover::covers_purges_after;
+use copperroute_dispatcher::node_list_snapshot::{decode, encode};
+use copperroute_dispatcher::purge_coverage::covers_purges_after;
 use copperroute_dispatcher::snapshot_writer::{SnapshotWriter, load_with};
 use copperroute_protocol::changes::{Change, KnownEvents};
 use expect_test::expect;
--- a/crates/dispatcher/tests/dispatcher/last_list.rs
+++ b/crates/dispatcher/tests/dispatcher/last_list.rs
@@ -2,7 +2,7 @@
 
 use crate::common::{CONFIG, Play};
 use copperroute_dispatcher::config::Config;
-use copperroute_dispatcher::last_list::{NodeListSnapshot, decode, encode};
+use copperroute_dispatcher::node_list_snapshot::{NodeListSnapshot, decode, encode};
 use copperroute_dispatcher::snapshot_writer::{SnapshotWriter, load};
 use copperroute_protocol::changes::{Change, KnownEvents};
 use copperroute_routing::interface::Nanos;
--- a/crates/dispatcher/tests/dispatcher/last_list_clocks.rs
+++ b/crates/dispatcher/tests/dispatcher/last_list_clocks.rs
@@ -3,8 +3,8 @@
 use crate::common::{CONFIG, Play, START_MS, request};
 use copperroute_dispatcher::clock::Epoch;
 use copperroute_dispatcher::config::Config;
-use copperroute_dispatcher::last_list::decode;
-use copperroute_dispatcher::outside_time::ExternalTime;
+use copperroute_dispatcher::external_time::ExternalTime;
+use copperroute_dispatcher::node_list_snapshot::decode;
 use copperroute_routing::interface::Nanos;
 use copperroute_settings::operator::SnapshotSettings as Told;
 use expect_test::expect;
--- a/crates/dispatcher/tests/dispatcher/outside_time.rs
+++ b/crates/dispatcher/tests/dispatcher/outside_time.rs
@@ -1,7 +1,9 @@
 //! What time it is outside, by witnesses: drawn clocks, ways and times.
 
 use copperroute_dispatcher::clock::Epoch;
-use copperroute_dispatcher::outside_time::{ExternalTime, MAX_CLOCK_LEAD, OBSERVATION_WINDOW, SETTLING_TIME};
+use copperroute_dispatcher::external_time::{
+    ExternalTime, MAX_CLOCK_LEAD, OBSERVATION_WINDOW, SETTLING_TIME,
+};
 use copperroute_routing::interface::Nanos;
 use proptest::prelude::*;
 
