--- a/crates/dispatcher/src/config.rs
+++ b/crates/dispatcher/src/config.rs
@@ -208,6 +208,6 @@
 #[cfg(feature = "faults")]
 fn faults() -> Faults {
     use copperroute_config_rollout::faults::Fault;
-    let named = std::env::var("COPPERROUTE_FAULT").ok().and_then(|name| Fault::named(&name));
+    let named = std::env::var("COPPERROUTE_FAULT").ok().and_then(|name| Fault::from_name(&name));
     named.map_or(Faults::default(), Faults::of)
 }
