--- a/crates/dispatcher/src/changes/stream.rs
+++ b/crates/dispatcher/src/changes/stream.rs
@@ -10,9 +10,7 @@
 use copperroute_protocol::changes::{Line, encode_since};
 use copperroute_protocol::incoming::DecodeError;
 use copperroute_routing::interface::Nanos;
-use copperroute_routing::reconnect_schedule::{
-    ConnectionState as CallState, ReconnectSchedule, ReconnectSettings,
-};
+use copperroute_routing::reconnect_schedule::{ConnectionState, ReconnectSchedule, ReconnectSettings};
 use std::fmt;
 use std::net::SocketAddr;
 
@@ -190,7 +188,7 @@
     /// The present call brings nothing, and is not waited for: another one begins, in its time. The service may be away for
     /// long, and is called often: one line tells of it.
     fn call_again(&mut self, now: Nanos, why: &str, effects: &mut Vec<Effect>) {
-        if matches!(self.calls.state(), CallState::Waiting(_)) {
+        if matches!(self.calls.state(), ConnectionState::Waiting(_)) {
             return;
         }
         let (at, news) = self.calls.ended(now);
