--- a/crates/change-log-replica/tests/relay/lines.rs
+++ b/crates/change-log-replica/tests/relay/lines.rs
@@ -2,12 +2,12 @@
 
 use crate::common::{delta, list, purge};
 use copperroute_change_log_replica::lines::{Ask, Asked, Decoder, Kind, Line};
-use copperroute_routing::chance::Chance;
+use copperroute_routing::structures::random::Random;
 use proptest::prelude::*;
 
 fn lines(bytes: &[u8], seed: u64) -> Vec<Line> {
     let (mut decoder, mut chance, mut rest, mut lines) =
-        (Decoder::default(), Chance::new(seed), bytes, Vec::new());
+        (Decoder::default(), Random::new(seed), bytes, Vec::new());
     while !rest.is_empty() {
         let (cut, left) = rest.split_at(1 + (chance.next_f64() * rest.len() as f64) as usize);
         decoder.feed(cut);
--- a/crates/change-log-replica/tests/relay/network.rs
+++ b/crates/change-log-replica/tests/relay/network.rs
@@ -6,8 +6,8 @@
 use copperroute_change_log_replica::core::{Core, Effect, Event, StreamId};
 use copperroute_change_log_replica::faults::Faults;
 use copperroute_change_log_replica::followers::{FollowerId, ForFollower};
-use copperroute_routing::chance::Chance;
 use copperroute_routing::interface::Nanos;
+use copperroute_routing::structures::random::Random;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
@@ -59,7 +59,7 @@
 
 pub(crate) struct Network {
     pub now: Nanos,
-    pub chance: Chance,
+    pub chance: Random,
     pub log: Log,
     pub replicas: Vec<Option<Core>>,
     pub followers: Vec<Follower>,
@@ -86,7 +86,7 @@
         let replicas = configs.iter().map(|_| None).collect();
         let mut network = Network {
             now: START,
-            chance: Chance::new(seed),
+            chance: Random::new(seed),
             log: Log::new(START),
             replicas,
             followers,
--- a/crates/change-log-replica/tests/relay/random.rs
+++ b/crates/change-log-replica/tests/relay/random.rs
@@ -5,8 +5,8 @@
 use crate::network::{Network, Party};
 use copperroute_change_log_replica::config::{Config, Source, SourceKind};
 use copperroute_change_log_replica::faults::{Fault, Faults};
-use copperroute_routing::chance::Chance;
 use copperroute_routing::interface::Nanos;
+use copperroute_routing::structures::random::Random;
 use serde_json::Value;
 use std::net::SocketAddr;
 
@@ -30,7 +30,7 @@
         self.events.len() as u64
     }
 
-    pub(crate) fn issue(&mut self, now: Nanos, chance: &mut Chance) {
+    pub(crate) fn issue(&mut self, now: Nanos, chance: &mut Random) {
         let seq = self.last() + 1;
         // The time tells lives apart.
         let event = match chance.next_u32() % 5 {
@@ -236,7 +236,7 @@
     let steps = sources.len();
     let followers = (0..sources.len()).map(|of| Follower::of(2 + of as u8, steps)).collect();
     let mut network = Network::new(seed, replicas(sources), followers, faults);
-    let mut chance = Chance::new(seed ^ 0xfau64);
+    let mut chance = Random::new(seed ^ 0xfau64);
     let mut peace = |network: &mut Network| {
         if chance.next_f64() < 0.06 {
             let now = network.now;
@@ -244,7 +244,7 @@
         }
     };
     network.run(secs(5.0), &mut peace);
-    let mut drawn = Chance::new(seed ^ 0xfa017);
+    let mut drawn = Random::new(seed ^ 0xfa017);
     for _ in 0..20 {
         let of = drawn.next_u32() as usize % sources.len();
         let (replica, span) = (Party::Replica(of), secs(3.0 * drawn.next_f64()));
@@ -331,7 +331,7 @@
 #[test]
 fn the_judge_finds_a_heartbeat_that_says_too_much() {
     let mut log = Log::new(at(0.0));
-    let mut chance = Chance::new(1);
+    let mut chance = Random::new(1);
     (0..5).for_each(|_| log.issue(at(1.0), &mut chance));
     let mut follower = Follower::of(2, 1);
     follower.cursor = 1;
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -16,8 +16,3 @@
 pub mod retry_safety;
 pub mod state;
 pub mod structures;
-
-/// The older path of the random numbers; new code names [`structures::random`].
-pub mod chance {
-    pub use crate::structures::random::Random as Chance;
-}
--- a/crates/routing/src/reconnect_schedule.rs
+++ b/crates/routing/src/reconnect_schedule.rs
@@ -11,8 +11,8 @@
 //! is drawn too: a longer round instead, begun by each at its own time, would for once bring twice the calls
 //! (measured, docs/cold-start.md).
 
-use crate::chance::Chance;
 use crate::interface::{Nanos, mix};
+use crate::structures::random::Random;
 
 /// The part of what the service bears that rounds are laid out for: who calls at random comes unevenly.
 const LOAD: f64 = 0.8;
@@ -94,7 +94,7 @@
 #[derive(Debug)]
 pub struct ReconnectSchedule {
     s: ReconnectSettings,
-    chance: Chance,
+    chance: Random,
     /// The Unix time, in nanoseconds, at which this dispatcher's clock shows zero; wraps.
     unix_zero: u64,
     line: ConnectionState,
@@ -116,7 +116,7 @@
     pub fn new(s: ReconnectSettings, seed: u64, unix_zero: u64) -> Self {
         let mut calls = ReconnectSchedule {
             s,
-            chance: Chance::new(mix(seed)),
+            chance: Random::new(mix(seed)),
             unix_zero,
             line: ConnectionState::Waiting(Nanos::ZERO),
             place: 0.0,
--- a/crates/routing/tests/module/largest.rs
+++ b/crates/routing/tests/module/largest.rs
@@ -3,9 +3,9 @@
 //! thirds as often as their content type, on any other at least half as often.
 
 use crate::common::*;
-use copperroute_routing::chance::Chance;
 use copperroute_routing::interface::*;
 use copperroute_routing::policy::Dispatcher;
+use copperroute_routing::structures::random::Random;
 use std::collections::BTreeMap;
 
 /// A day.
@@ -96,7 +96,7 @@
 impl Day {
     /// Sizes of what was asked for, and whether it was answered.
     fn play(&self, seed: u64) -> Vec<Want> {
-        let mut chance = Chance::new(seed);
+        let mut chance = Random::new(seed);
         let mut s = Settings { seed, dispatchers: DISPATCHERS, zone_dispatchers: DISPATCHERS, ..settings() };
         s.content_types[0].latency_target = ms(self.target.0);
         s.content_types[0].latency_target_stretch = self.target.1;
--- a/crates/testbed/src/fleet_simulation/fault.rs
+++ b/crates/testbed/src/fleet_simulation/fault.rs
@@ -2,8 +2,8 @@
 
 use super::arrangement::Arrangement;
 use super::assumptions::*;
-use copperroute_routing::chance::Chance;
 use copperroute_routing::interface::Nanos;
+use copperroute_routing::structures::random::Random;
 
 /// The first fault begins then; all that is counted is counted from a little before.
 pub(super) const BEGINS: Nanos = Nanos(30 * SECOND.0);
@@ -187,7 +187,7 @@
 
     /// What is played; `cut` is for how long regions are cut.
     pub(super) fn script(self, dispatchers: u32, arrangement: &Arrangement, cut: Nanos, seed: u64) -> Script {
-        let mut writer = Writer { steps: Vec::new(), faults: 1, chance: Chance::new(seed) };
+        let mut writer = Writer { steps: Vec::new(), faults: 1, chance: Random::new(seed) };
         writer.write(self, dispatchers, arrangement, cut);
         let last = writer.steps.iter().map(|step| step.0).max();
         let last = last.unwrap_or(BEGINS.after(cut));
@@ -199,7 +199,7 @@
 struct Writer {
     steps: Vec<(Nanos, Step)>,
     faults: u32,
-    chance: Chance,
+    chance: Random,
 }
 
 impl Writer {
--- a/crates/testbed/src/fleet_simulation/network.rs
+++ b/crates/testbed/src/fleet_simulation/network.rs
@@ -2,19 +2,19 @@
 
 use super::assumptions::*;
 use super::topology::Place;
-use copperroute_routing::chance::Chance;
 use copperroute_routing::interface::Nanos;
+use copperroute_routing::structures::random::Random;
 
 #[derive(Debug)]
 pub(super) struct Network {
     /// From the first region nothing comes to the second.
     cut: [[bool; REGIONS]; REGIONS],
-    chance: Chance,
+    chance: Random,
 }
 
 impl Network {
     pub(super) fn new(seed: u64) -> Self {
-        Network { cut: [[false; REGIONS]; REGIONS], chance: Chance::new(seed) }
+        Network { cut: [[false; REGIONS]; REGIONS], chance: Random::new(seed) }
     }
 
     /// Cuts, or heals, the way from one region to another.
--- a/crates/testbed/src/fleet_simulation/world.rs
+++ b/crates/testbed/src/fleet_simulation/world.rs
@@ -11,8 +11,8 @@
 use super::source::{Connection, Source};
 use super::topology::{self, Place};
 use copperroute_dispatcher::effects::Effect;
-use copperroute_routing::chance::Chance;
 use copperroute_routing::interface::{Nanos, mix};
+use copperroute_routing::structures::random::Random;
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
@@ -110,7 +110,7 @@
     pub(super) order: u64,
     pub(super) queue: BinaryHeap<Queued>,
     pub(super) network: Network,
-    pub(super) chance: Chance,
+    pub(super) chance: Random,
     pub(super) record: Record,
     /// Purges that were issued while the log was away.
     pub(super) waiting: Vec<Nanos>,
@@ -140,7 +140,7 @@
             members: dispatchers.chain(replicas).map(member).collect(),
             sources,
             network: Network::new(mix(case.seed ^ 0x6E65)),
-            chance: Chance::new(mix(case.seed)),
+            chance: Random::new(mix(case.seed)),
             record: Record::default(),
             waiting: Vec::new(),
             queue: BinaryHeap::new(),
