--- a/crates/config-rollout/src/lib.rs
+++ b/crates/config-rollout/src/lib.rs
@@ -2,8 +2,8 @@
 //! stated time, though none hears another. See docs/agreement.md.
 //!
 //! No input or output here: times come with each call. [`rules`] says what a rule is and which of two values is the
-//! stricter, [`issue`] what a version says and when it will do, [`lease`] how long one may believe to be up to date,
-//! [`core`] on which rules a dispatcher acts.
+//! stricter, [`version`] what a version says and when it will do, [`lease`] how long one may believe to be up to date,
+//! [`agreement`] on which rules a dispatcher acts.
 
 pub mod agreement;
 pub mod faults;
--- a/crates/config-rollout/src/tests/lists.rs
+++ b/crates/config-rollout/src/tests/lists.rs
@@ -1,4 +1,4 @@
-//! Tests of what `lists.rs` keeps to itself.
+//! Tests of what `list_versions.rs` keeps to itself.
 
 use super::*;
 
--- a/crates/dispatcher/src/changes/stream.rs
+++ b/crates/dispatcher/src/changes/stream.rs
@@ -1,5 +1,5 @@
 //! One stream of the change log: the calls that may bring it, of which the first to answer in time is followed. When the next
-//! call begins, `copperroute_routing::calls` decides.
+//! call begins, `copperroute_routing::reconnect_schedule` decides.
 //!
 //! A call that brings nothing is not given up when the next one begins: a service that answers late would never be heard. So
 //! several may be open, [`MOST_LINKS`] at the most; once one of them tells lines in time, the others end.
--- a/crates/dispatcher/src/changes/told.rs
+++ b/crates/dispatcher/src/changes/told.rs
@@ -9,7 +9,8 @@
 /// What it tells, in order.
 #[derive(Debug)]
 pub enum ChangeLogUpdate {
-    /// An event. Where `lost`, what lies between it and the one before was not told; what it brings stands for that.
+    /// An event. Where `after_gap`, what lies between it and the one before was not told; what it brings stands for
+    /// that.
     Change {
         /// What it says.
         change: Box<Change>,
--- a/crates/dispatcher/src/deadlines.rs
+++ b/crates/dispatcher/src/deadlines.rs
@@ -5,10 +5,10 @@
 //! *Bound*: a request arms a bounded number of deadlines (its expiry, one for the disk, and for each of its attempts, of
 //! which there are a fixed number at most, one or two). Deadlines are not cancelled one by one: a request that ends early
 //! would have to know its own. They lapse, or are forgotten together once they have doubled in number, so that there
-//! are at most twice as many as were wanted by somebody then, or [`FORGOTTEN_FROM`]. Without that, 50,000 requests a
+//! are at most twice as many as were wanted by somebody then, or [`PRUNE_THRESHOLD`]. Without that, 50,000 requests a
 //! second with a time-out of 60 s would leave some millions behind that nobody waits for.
 //!
-//! *Moment of forgetting*: when a deadline is taken as due, or in the pass over all of them that [`Deadlines::forget`]
+//! *Moment of forgetting*: when a deadline is taken as due, or in the pass over all of them that [`Deadlines::prune`]
 //! makes. A pass looks at each deadline once and comes after at least half as many were armed: a constant cost for each.
 
 use copperroute_routing::interface::Nanos;
--- a/crates/dispatcher/src/effects.rs
+++ b/crates/dispatcher/src/effects.rs
@@ -67,7 +67,7 @@
     EndOfStream(Peer),
     /// A connection could not be made for want of something of this machine's own, which says nothing of the other side.
     ConnectFailedLocally(Peer),
-    /// All that had come when `Effect::ReadLast` was asked for has been told.
+    /// All that had come when `Effect::FinalRead` was asked for has been told.
     FinalReadDone,
     /// The time has come.
     TimerFired(TimerKind),
--- a/crates/dispatcher/src/external_time.rs
+++ b/crates/dispatcher/src/external_time.rs
@@ -1,12 +1,13 @@
 //! What time it is outside, by witnesses: Unix times that others told, and this machine's wall clock.
 //!
 //! A Unix time that was told has passed where it was written, so the largest one heard, carried on by the monotonic clock,
-//! bounds the outside's present from below. The own wall clock counts where it lies within [`AGREES`] above that bound; one
-//! further ahead or behind is taken to have been stepped, and what was told stands. Spans are never read off it alone:
-//! what happened is no older than the bound says, and, whatever its number says, no younger than when it was heard of.
+//! bounds the outside's present from below. The own wall clock counts where it lies within [`MAX_CLOCK_LEAD`] above
+//! that bound; one further ahead or behind is taken to have been stepped, and what was told stands. Spans are never
+//! read off it alone: what happened is no older than the bound says, and, whatever its number says, no younger than
+//! when it was heard of.
 //!
-//! Owner: the reducer. Bound: two times of each kind of witness. Forgotten: after one to two times [`KEPT`], as soon as
-//! newer ones are heard. No I/O; time comes with each call.
+//! Owner: the reducer. Bound: two times of each kind of witness. Forgotten: after one to two times
+//! [`OBSERVATION_WINDOW`], as soon as newer ones are heard. No I/O; time comes with each call.
 
 use crate::clock::Epoch;
 use copperroute_protocol::changes::Change;
--- a/crates/dispatcher/src/freshness.rs
+++ b/crates/dispatcher/src/freshness.rs
@@ -78,7 +78,7 @@
     }
 
     /// Whether sockets are to be looked at again before anything leaves for a node. To be asked once for each that is
-    /// held back or not; after `MOST_LOOKS` in a row it leaves all the same.
+    /// held back or not; after `MAX_CONSECUTIVE_POLLS` in a row it leaves all the same.
     pub fn needs_poll(&self, now: Nanos) -> bool {
         now.since(self.looked) > STALE_AFTER && self.looks < MAX_CONSECUTIVE_POLLS
     }
--- a/crates/routing/src/change_log/knowledge.rs
+++ b/crates/routing/src/change_log/knowledge.rs
@@ -3,8 +3,8 @@
 //! Events are pushed, so while heartbeats come in time all that was written is known but for how late the stream is. When
 //! they stop, nobody can say whether events were written meanwhile; by the platform's protocol these count as told after a
 //! span that depends on what happened to the stream. Whatever must not act on events that it has not heard asks
-//! [`Knowledge::is_doubtful`] with the time that the rules give to heed an event. docs/change-log.md has the table of what
-//! is done in doubt.
+//! [`Knowledge::may_be_stale`] with the time that the rules give to heed an event. docs/change-log.md has the table of
+//! what is done in doubt.
 
 use super::lateness::HEARTBEAT_PERIOD;
 use crate::interface::Nanos;
--- a/crates/routing/src/change_log/merge.rs
+++ b/crates/routing/src/change_log/merge.rs
@@ -137,7 +137,7 @@
     CaughtUp,
     /// It vouches for nothing now: it came late, or events of its stream are held back.
     Inconclusive,
-    /// It knows of less than what was applied; `news` the first time in a row that this lasts.
+    /// It knows of less than what was applied; `should_log` the first time in a row that this lasts.
     Behind {
         /// It was not so at its last heartbeat.
         should_log: bool,
--- a/crates/routing/src/change_log/selection.rs
+++ b/crates/routing/src/change_log/selection.rs
@@ -7,7 +7,7 @@
 //!
 //! The bound: where zones hold equally many replicas, each of R replicas has 2 D / R of D dispatchers, give or take
 //! about two roots of that. Where they don't, a replica that stands alone in its zone is second choice of more of the
-//! others; [`most_followers`] says how many, and rounds of reconnects are laid out for that.
+//! others; [`expected_max_followers`] says how many, and rounds of reconnects are laid out for that.
 //!
 //! The dispatcher's own region is not preferred. Dispatchers are not told how many there are in each region, so none
 //! can know that a preference leaves the spread as it is; a replica in an own region that is cut off hears as little
--- a/crates/routing/src/fleet/overload_control/mod.rs
+++ b/crates/routing/src/fleet/overload_control/mod.rs
@@ -1,7 +1,7 @@
 //! Overload control for retry storms: detects overload per content type, admits what the backends can serve, and gives the
-//! other requests a retry-after. The policy (`src/policy/`) calls [`OverloadControl::arrives`] before a request's first attempt
-//! and [`OverloadControl::answered`] for each final answer. No I/O; time comes with each call, random numbers from a seed. See
-//! docs/storms.md.
+//! other requests a retry-after. The policy (`src/policy/`) calls [`OverloadControl::admit`] before a request's first
+//! attempt and [`OverloadControl::request_answered`] for each final answer. No I/O; time comes with each call, random
+//! numbers from a seed. See docs/storms.md.
 
 mod tries;
 
@@ -155,7 +155,7 @@
         self.pages.len() + self.once.len()
     }
 
-    /// Whether [`Self::look`] is due.
+    /// Whether [`Self::evaluate`] is due.
     pub fn is_evaluation_due(&self, now: Nanos) -> bool {
         now.since(self.looked) >= LOOK_EVERY
     }
--- a/crates/routing/src/fleet/slow_start.rs
+++ b/crates/routing/src/fleet/slow_start.rs
@@ -7,11 +7,11 @@
 //! to, and they are spent, sent or not.
 //!
 //! The sum, stated: in any window of the rule's length all together may send what grows in it and what was saved before
-//! it ([`Rate::most_in_window_s`]). What is saved is bounded so that this is `WORST` of the N calls that the rule bears in
-//! that window, were every dispatcher to come at once with all that it may have saved; chance puts roots of N around that,
-//! and the bound that is kept is N + 2 roots of N + 2 for every N (`tests/module/cold_sum.rs`: 1 to 900 dispatchers, N from
-//! 2, uneven traffic, silence and then all at once, restarts). Before, one whole attempt was saved by each: of 300 far more
-//! than N.
+//! it ([`Rate::max_in_window_s`]). What is saved is bounded so that this is `WORST` of the N calls that the rule bears
+//! in that window, were every dispatcher to come at once with all that it may have saved; chance puts roots of N around
+//! that, and the bound that is kept is N + 2 roots of N + 2 for every N (`tests/module/cold_sum.rs`: 1 to 900
+//! dispatchers, N from 2, uneven traffic, silence and then all at once, restarts). Before, one whole attempt was saved
+//! by each: of 300 far more than N.
 //!
 //! The share of one is that of as many dispatchers as the settings name, and nothing that one sees tells how many there
 //! are. `WORST` leaves room for half as many again; twice as many keep the bound while they ask steadily, and not where all
--- a/crates/routing/src/interface.rs
+++ b/crates/routing/src/interface.rs
@@ -205,7 +205,7 @@
     pub zone: ZoneId,
     /// Its machine kind.
     pub kind: u32,
-    /// Its cell, for deduped content types; [`UNTOLD`] where it is not told, as for the zone.
+    /// Its cell, for deduped content types; [`UNKNOWN_ID`] where it is not told, as for the zone.
     pub cell: u32,
     /// Whether it takes work.
     pub readiness: Readiness,
@@ -355,10 +355,10 @@
     fn fail(&mut self, request_id: RequestId);
     /// Asks for [`crate::policy::Dispatcher::timer`] with `token` after `span`.
     fn arm_timer(&mut self, span: Nanos, token: u64);
-    /// Asks a node what it is doing; the answer comes by [`crate::policy::Dispatcher::probed`].
+    /// Asks a node what it is doing; the answer comes by [`crate::policy::Dispatcher::load_probe_answered`].
     fn probe_load(&mut self, node: NodeId);
-    /// Asks a node whether it takes work; the answer comes by [`crate::policy::Dispatcher::probe_answered`]. Only where the
-    /// adapter tells what is known of the change log.
+    /// Asks a node whether it takes work; the answer comes by [`crate::policy::Dispatcher::readiness_probe_answered`].
+    /// Only where the adapter tells what is known of the change log.
     fn probe_readiness(&mut self, _node: NodeId) {}
     /// Opens the standing subscription to the list of nodes.
     fn subscribe_to_list(&mut self);
--- a/crates/routing/tests/module/cold_sum.rs
+++ b/crates/routing/tests/module/cold_sum.rs
@@ -165,7 +165,8 @@
         for age_ms in [window, 5_000, 14_999] {
             for dispatchers in [1, 2, 4, 12, 30, 300, 900] {
                 let n = case(dispatchers, (weight, multiple, window)).allowed(ms(age_ms - window));
-                // As `src/policy/rules.rs` has it: half of what the rule bears, and never over what the node can do.
+                // As `src/policy/safety_rules.rs` has it: half of what the rule bears, and never over what the node can
+                // do.
                 let bearable = n * WORK_S / ms(window).secs() / multiple * (multiple / 2.0).min(1.0);
                 let most_s =
                     Rate::new(bearable, multiple.max(2.0), ms(window), dispatchers).max_in_window_s();
--- a/crates/testbed/src/fleet_simulation/arrangement.rs
+++ b/crates/testbed/src/fleet_simulation/arrangement.rs
@@ -14,7 +14,8 @@
     pub streams: usize,
     /// Calls that each source bears, times what the log bears today.
     pub calls_times: f64,
-    /// A dispatcher that starts with a list calls as late as it may be told (`Calls::started`), or in the next round.
+    /// A dispatcher that starts with a list calls as late as it may be told (`ReconnectSchedule::started`), or in the
+    /// next round.
     pub waits_at_start: bool,
 }
 
--- a/crates/testbed/src/fleet_simulation/follower.rs
+++ b/crates/testbed/src/fleet_simulation/follower.rs
@@ -1,5 +1,5 @@
-//! One follower of the change log: the program's own cores, `ChangeLog` (with `Calls`) for each stream and `Agreement`
-//! for versions. With two streams the first copy of an event counts; that merge is the simulation's own.
+//! One follower of the change log: the program's own cores, `ChangeLog` (with `ReconnectSchedule`) for each stream and
+//! `Agreement` for versions. With two streams the first copy of an event counts; that merge is the simulation's own.
 
 use super::assumptions::*;
 use copperroute_config_rollout::agreement::Agreement;
@@ -117,7 +117,7 @@
         self.agreement.as_ref().is_some_and(|agreement| agreement.out_of_touch().is_some())
     }
 
-    /// It starts; one that has a list `waits` as `Calls` has it, one that has none calls in the next round.
+    /// It starts; one that has a list `waits` as `ReconnectSchedule` has it, one that has none calls in the next round.
     pub(super) fn start(&mut self, stream: usize, waits: bool, now: Nanos, effects: &mut Vec<Effect>) {
         self.streams[stream].start(waits, now, effects);
     }
