--- a/crates/change-log-replica/src/core/stream.rs
+++ b/crates/change-log-replica/src/core/stream.rs
@@ -32,7 +32,7 @@
 
     /// A whole line has come.
     fn heard(&mut self, now: Nanos) {
-        if let Some(away) = self.calls.heard(now) {
+        if let Some(away) = self.calls.line_received(now) {
             let address = self.sources.present().address;
             log::info!("{}: source {address}: steady after {:.1} s", self.name, away.secs());
         }
@@ -101,7 +101,7 @@
         if !fresh && !self.faults.is(Fault::TrustQueue) {
             return;
         }
-        self.heartbeats.vouch(now);
+        self.heartbeats.confirm(now);
         self.overlap = true;
         if self.phase == Phase::Calling {
             self.move_to(Phase::Current);
--- a/crates/config-rollout/src/rules.rs
+++ b/crates/config-rollout/src/rules.rs
@@ -4,7 +4,7 @@
 //! nothing. Settings that no stand-in could see another dispatcher break are no rules (docs/agreement.md lists them):
 //! where clients and nodes are, memory, descriptors, connections, seeds, log levels, target times, benefits.
 
-use copperroute_routing::interface::{Nanos, Readiness, Repeat, Settings};
+use copperroute_routing::interface::{Nanos, Readiness, RetrySafety, Settings};
 use serde_json::{Map, Value, json};
 use std::fmt;
 
@@ -58,12 +58,12 @@
     "max_pulls" Lower Whole max_attempts count;
     "cold_share" Lower Number cache_cold.share number;
     "cold_s" Higher Number cache_cold.warm_after span;
-    "cold_falls_at" Lower Number cache_cold.fall_multiple number;
+    "cold_falls_at" Lower Number cache_cold.overload_multiple number;
     "parent_cold_share" Lower Number parent_cold.share number;
     "parent_cold_s" Higher Number parent_cold.warm_after span;
-    "parent_falls_at" Lower Number parent_cold.fall_multiple number;
-    "past_caches" Lower Flag direct flag;
-    "from_other_locations" Lower Flag sideways flag;
+    "parent_falls_at" Lower Number parent_cold.overload_multiple number;
+    "past_caches" Lower Flag direct_to_parents flag;
+    "from_other_locations" Lower Flag fill_from_other_locations flag;
     "purge_done_s" Higher Number purge_done span;
     "purge_notice_s" Higher Number purge_notice span;
 };
@@ -130,12 +130,12 @@
 
 impl RuleSet {
     /// What the platform's settings say, with the expiries of the content types.
-    pub fn of(s: &Settings, expiries: &[Nanos]) -> RuleSet {
+    pub fn from_settings(s: &Settings, expiries: &[Nanos]) -> RuleSet {
         let of = |(told, expiry): (&copperroute_routing::interface::ContentType, &Nanos)| {
-            let repeat = match told.repeat {
-                Repeat::NonRetriable => 0.0,
-                Repeat::Deduped { .. } => 1.0,
-                Repeat::Retriable => 2.0,
+            let repeat = match told.retry_safety {
+                RetrySafety::NonRetriable => 0.0,
+                RetrySafety::Deduped { .. } => 1.0,
+                RetrySafety::Retriable => 2.0,
             };
             [repeat, expiry.secs(), told.fresh_for.map_or(f64::INFINITY, Nanos::secs)]
         };
@@ -151,7 +151,7 @@
         FLEET.iter().zip(self.fleet).for_each(|(row, value)| (row.set)(&mut s, value));
         for ((told, expiry), of) in s.content_types.iter_mut().zip(&mut expiries).zip(&self.types) {
             if of[REPEAT] == 0.0 {
-                told.repeat = Repeat::NonRetriable;
+                told.retry_safety = RetrySafety::NonRetriable;
             }
             *expiry = Nanos::from_secs(of[EXPIRY]).min(*expiry);
             told.fresh_for = of[FRESH].is_finite().then(|| Nanos::from_secs(of[FRESH]));
@@ -190,7 +190,7 @@
     }
 
     /// The first field in which these allow what others forbid.
-    pub fn looser_than(&self, other: &RuleSet) -> Option<Field> {
+    pub fn first_looser_field(&self, other: &RuleSet) -> Option<Field> {
         self.fields().find(|field| Self::is_looser(*field, self.get(*field), other.get(*field)))
     }
 
@@ -211,7 +211,7 @@
     }
 
     /// Reads the fields that a document names; the others are as in `base`.
-    pub fn read(
+    pub fn parse(
         base: &RuleSet,
         types: &[String],
         path: &str,
@@ -283,7 +283,7 @@
     }
 
     /// A value as documents write it.
-    pub fn written(field: Field, value: f64) -> Value {
+    pub fn to_json(field: Field, value: f64) -> Value {
         match field.form() {
             Form::Whole => json!(value as u64),
             Form::Number if value.is_infinite() => Value::Null,
@@ -309,7 +309,7 @@
 
 impl fmt::Display for Difference {
     fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let [a, b] = self.values.map(|value| RuleSet::written(self.field, value));
+        let [a, b] = self.values.map(|value| RuleSet::to_json(self.field, value));
         write!(to, "{}: {a} to {b}, {}", self.path, if self.stricter { "stricter" } else { "looser" })
     }
 }
--- a/crates/config-rollout/tests/agreement/common.rs
+++ b/crates/config-rollout/tests/agreement/common.rs
@@ -1,11 +1,11 @@
 //! Rules of a small fleet, and versions of them.
 
-use copperroute_config_rollout::core::Agreement;
+use copperroute_config_rollout::agreement::Agreement;
 use copperroute_config_rollout::faults::Faults;
-use copperroute_config_rollout::issue::{Ground, Issue};
 use copperroute_config_rollout::rules::RuleSet;
-use copperroute_config_rollout::terms::Terms;
-use copperroute_routing::interface::{ColdStart, ContentType, Nanos, Repeat, Settings, ZoneId};
+use copperroute_config_rollout::timing::TimingBounds;
+use copperroute_config_rollout::version::{IssuedVersion, ValidationContext};
+use copperroute_routing::interface::{ColdStart, ContentType, Nanos, RetrySafety, Settings, ZoneId};
 use serde_json::{Map, Value, json};
 
 /// So many milliseconds.
@@ -20,27 +20,27 @@
 
 /// What the platform says.
 pub(crate) fn settings() -> Settings {
-    let content_type = |repeat| ContentType {
-        target_time: ms(400),
-        target_stretch: 1.0,
-        repeat,
+    let content_type = |retry_safety| ContentType {
+        latency_target: ms(400),
+        latency_target_stretch: 1.0,
+        retry_safety,
         fresh_for: None,
         uncacheable: false,
         benefit: 1.0,
     };
-    let cold = ColdStart { share: 0.3, warm_after: ms(12_000), fall_multiple: 1.5 };
+    let cold = ColdStart { share: 0.3, warm_after: ms(12_000), overload_multiple: 1.5 };
     Settings {
         seed: 1,
         zone: ZoneId(0),
         dispatchers: 4,
         zone_dispatchers: 4,
-        content_types: vec![content_type(Repeat::Retriable), content_type(Repeat::NonRetriable)],
+        content_types: vec![content_type(RetrySafety::Retriable), content_type(RetrySafety::NonRetriable)],
         parent_kind: Some(1),
         origin_kind: Some(2),
-        direct: true,
-        joins: false,
-        fills_told: true,
-        sideways: false,
+        direct_to_parents: true,
+        coalesces_fills: false,
+        fill_source_reported: true,
+        fill_from_other_locations: false,
         client_kb_per_s: 0.0,
         link_kb_per_s: 0.0,
         purge_done: ms(6_000),
@@ -48,23 +48,23 @@
         drain_grace: ms(1_000),
         cache_cold: cold,
         parent_cold: cold,
-        fall_for: ms(3_000),
+        overload_window: ms(3_000),
         origin_stop_multiple: 2.5,
-        list_is_asked: false,
+        list_needs_subscription: false,
         cancel: true,
         retry_after: true,
         max_retry_after: ms(1_000),
         max_attempts: 6,
-        sizes_told: true,
-        probes: false,
-        may_probe: false,
-        storms: None,
+        capacities_listed: true,
+        load_probes: false,
+        readiness_probes: false,
+        overload_control: None,
     }
 }
 
 /// The same as rules.
 pub(crate) fn base() -> RuleSet {
-    RuleSet::of(&settings(), &[ms(5_000), ms(3_000)])
+    RuleSet::from_settings(&settings(), &[ms(5_000), ms(3_000)])
 }
 
 /// An object of JSON.
@@ -74,21 +74,24 @@
 
 /// Rules that say otherwise than the platform.
 pub(crate) fn saying(told: Value) -> RuleSet {
-    RuleSet::read(&base(), &types(), "rules", &object(told)).expect("good rules")
+    RuleSet::parse(&base(), &types(), "rules", &object(told)).expect("good rules")
 }
 
 /// Lease 3 s, clock error 0.25 s, slack 0.5 s.
-pub(crate) const TERMS: Terms =
-    Terms { lease: Nanos(3_000_000_000), clock_error: Nanos(250_000_000), slack: Nanos(500_000_000) };
+pub(crate) const TERMS: TimingBounds = TimingBounds {
+    lease: Nanos(3_000_000_000),
+    clock_error: Nanos(250_000_000),
+    propagation_bound: Nanos(500_000_000),
+};
 
 /// A dispatcher of the small fleet; no version may say less than two attempts.
-pub(crate) fn dispatcher(terms: Terms, faults: Faults) -> Agreement {
-    let ground = Ground { base: base(), types: types(), terms, faults };
+pub(crate) fn dispatcher(timing: TimingBounds, faults: Faults) -> Agreement {
+    let ground = ValidationContext { platform_rules: base(), content_types: types(), timing, faults };
     Agreement::new(ground, &saying(json!({"max_pulls": 2, "cold_share": 0.1})))
 }
 
 /// A version.
-pub(crate) fn issue(version: u64, after: &str, issued_ms: u64, from_ms: u64, rules: Value) -> Issue {
+pub(crate) fn issue(version: u64, after: &str, issued_ms: u64, from_ms: u64, rules: Value) -> IssuedVersion {
     let (after, rules) = (after.to_string(), object(rules));
-    Issue { version, after, issuer: "ops".into(), issued_ms, from_ms, rules, floor: None }
+    IssuedVersion { version, after, issuer: "ops".into(), issued_ms, from_ms, rules, floor: None }
 }
--- a/crates/config-rollout/tests/agreement/rules.rs
+++ b/crates/config-rollout/tests/agreement/rules.rs
@@ -3,7 +3,7 @@
 use crate::common::{base, ms, object, saying, settings, types};
 use copperroute_config_rollout::rules::{RuleSet, differences, stricter_state};
 use copperroute_routing::interface::Readiness::{Draining, Gone, Ready};
-use copperroute_routing::interface::Repeat;
+use copperroute_routing::interface::RetrySafety;
 use expect_test::expect;
 use proptest::prelude::*;
 use serde_json::json;
@@ -37,7 +37,7 @@
     assert!(back.iter().all(|differs| !differs.stricter));
     let first = base().contradiction(&tight).map(|field| field.path(&types()));
     assert_eq!((first.as_deref(), base().contradiction(&base())), (Some("max_pulls"), None));
-    assert_eq!(tight.looser_than(&base()), None);
+    assert_eq!(tight.first_looser_field(&base()), None);
 }
 
 #[test]
@@ -53,7 +53,7 @@
         json!({"types": {"image": {"repeat": "deduped"}}}),
         json!({"types": {"post": {"repeat": "retriable"}}}),
     ];
-    let said = told.map(|told| match RuleSet::read(&base(), &types(), "rules", &object(told)) {
+    let said = told.map(|told| match RuleSet::parse(&base(), &types(), "rules", &object(told)) {
         Ok(_) => "good\n".to_string(),
         Err(why) => format!("{why}\n"),
     });
@@ -77,7 +77,7 @@
     let (s, expiries) = rules.apply(&settings(), &[ms(5_000), ms(3_000)]);
     let mut expected = settings();
     expected.max_attempts = 3;
-    expected.content_types[0].repeat = Repeat::NonRetriable;
+    expected.content_types[0].retry_safety = RetrySafety::NonRetriable;
     assert_eq!((s, expiries), (expected, vec![ms(2_000), ms(3_000)]));
 }
 
@@ -103,8 +103,8 @@
     #[test]
     fn the_stricter_of_both_obeys_both_and_nothing_stricter_is_asked(a in any_rules(), b in any_rules()) {
         let both = a.stricter(&b);
-        prop_assert_eq!(both.looser_than(&a), None);
-        prop_assert_eq!(both.looser_than(&b), None);
+        prop_assert_eq!(both.first_looser_field(&a), None);
+        prop_assert_eq!(both.first_looser_field(&b), None);
         prop_assert_eq!(&both, &b.stricter(&a));
         for field in both.fields() {
             prop_assert!(both.get(field) == a.get(field) || both.get(field) == b.get(field));
--- a/crates/dispatcher/src/changes/mod.rs
+++ b/crates/dispatcher/src/changes/mod.rs
@@ -7,16 +7,16 @@
 pub mod stricter;
 mod told;
 
-use crate::effects::{Due, Effect};
-use crate::logs::Sparse;
+use crate::effects::{Effect, TimerKind};
+use crate::logs::LogRateLimiter;
 use copperroute_protocol::changes::{Change, Line};
-use copperroute_routing::calls::{CallSettings, Calls};
 use copperroute_routing::change_log::{Arrival, Content, Heartbeat, Knowledge, Merge, Reason, Step};
 use copperroute_routing::interface::{Nanos, mix, stable_hash};
+use copperroute_routing::reconnect_schedule::{ReconnectSchedule, ReconnectSettings};
 use std::net::SocketAddr;
 use stream::{Heard, Stream};
 use told::arrival;
-pub use told::{ChangeLogSettings, Told};
+pub use told::{ChangeLogSettings, ChangeLogUpdate};
 
 /// The change log as this dispatcher follows it.
 #[derive(Debug)]
@@ -36,7 +36,7 @@
     /// A stream is judged by another call since that was last asked.
     leads_anew: bool,
     knowledge: Knowledge,
-    contradictions: Sparse,
+    contradictions: LogRateLimiter,
 }
 
 impl ChangeLog {
@@ -51,7 +51,7 @@
             begun_anew: false,
             leads_anew: false,
             knowledge: Knowledge::started(Nanos::ZERO),
-            contradictions: Sparse::default(),
+            contradictions: LogRateLimiter::default(),
             settings,
         };
         for address in log.settings.addresses.clone() {
@@ -67,7 +67,8 @@
             true => 0,
             false => mix(stable_hash(address.to_string().as_bytes())),
         };
-        let calls = Calls::new(self.settings.calls, self.settings.seed ^ own, self.settings.unix_zero);
+        let calls =
+            ReconnectSchedule::new(self.settings.calls, self.settings.seed ^ own, self.settings.unix_zero);
         self.streams.push(Stream::new(address, calls, false));
         self.merge.add_source();
     }
@@ -76,7 +77,7 @@
     fn several_or_one(&mut self) {
         let several = self.streams.len() > 1;
         self.streams.iter_mut().for_each(|stream| stream.named = several);
-        self.merge.look_for_anew(several || self.settings.looks_for_anew);
+        self.merge.detect_log_restart(several || self.settings.detects_log_restart);
     }
 
     /// When one last told that there was no more to tell.
@@ -115,12 +116,12 @@
     fn call_at(&mut self, of: usize, at: Nanos, now: Nanos, effects: &mut Vec<Effect>) {
         match at <= now {
             true => self.connect_one(of, now, effects),
-            false => effects.push(Effect::Arm(at, Due::ChangeLog)),
+            false => effects.push(Effect::Arm(at, TimerKind::ConnectChangeLog)),
         }
     }
 
     /// Connects what is to be called now.
-    pub fn connect(&mut self, now: Nanos, effects: &mut Vec<Effect>) {
+    pub fn connect_due(&mut self, now: Nanos, effects: &mut Vec<Effect>) {
         (0..self.streams.len()).for_each(|of| self.connect_one(of, now, effects));
     }
 
@@ -153,7 +154,7 @@
                 }
             }
             if !self.is_heard() {
-                self.knowledge.moved(now);
+                self.knowledge.address_changed(now);
             }
         }
         for address in new {
@@ -167,7 +168,7 @@
     }
 
     /// What the operators tell of calls has changed.
-    pub fn told(&mut self, calls: CallSettings) {
+    pub fn told(&mut self, calls: ReconnectSettings) {
         self.settings.calls = calls;
         self.streams.iter_mut().for_each(|stream| stream.told(calls));
     }
@@ -180,8 +181,8 @@
     /// A connection has come up: asks for what follows.
     pub fn connected(&mut self, connection: u32, now: Nanos, effects: &mut Vec<Effect>) {
         let Some(of) = self.of(connection) else { return };
-        self.merge.asked(now, of);
-        self.knowledge.asked(now);
+        self.merge.request_sent(now, of);
+        self.knowledge.request_sent(now);
         self.streams[of].ask(connection, self.merge.applied(), now, effects);
     }
 
@@ -196,7 +197,7 @@
             self.merge.ended(of);
         }
         if !self.is_heard() {
-            self.knowledge.lost(now);
+            self.knowledge.stream_lost(now);
         }
     }
 
@@ -222,7 +223,7 @@
     }
 
     /// Where one has been silent for too long the next call is made.
-    pub fn watch(&mut self, now: Nanos, effects: &mut Vec<Effect>) {
+    pub fn check_silence(&mut self, now: Nanos, effects: &mut Vec<Effect>) {
         self.streams.iter_mut().for_each(|stream| stream.watch(now, effects));
     }
 
@@ -244,14 +245,14 @@
     }
 
     /// What is told next, each event once and in order; nothing if there is none yet, or none to be had here.
-    pub fn next_told(&mut self, now: Nanos, effects: &mut Vec<Effect>) -> Option<Told> {
+    pub fn next_update(&mut self, now: Nanos, effects: &mut Vec<Effect>) -> Option<ChangeLogUpdate> {
         loop {
             let told = match self.merge.next_step(now) {
                 Some(step) => self.take(step, now, effects),
                 None => match self.read(now, effects) {
                     Some(told) => told,
                     None => {
-                        self.knowledge.read(now, self.streams.iter().any(Stream::is_midway));
+                        self.knowledge.bytes_read(now, self.streams.iter().any(Stream::is_midway));
                         return None;
                     }
                 },
@@ -263,12 +264,19 @@
     }
 
     /// Takes a step of the merge.
-    fn take(&mut self, step: Step<Box<Change>>, now: Nanos, effects: &mut Vec<Effect>) -> Option<Told> {
+    fn take(
+        &mut self,
+        step: Step<Box<Change>>,
+        now: Nanos,
+        effects: &mut Vec<Effect>,
+    ) -> Option<ChangeLogUpdate> {
         match step {
-            Step::Apply { event, lost } => return Some(Told::Change { change: event, lost }),
-            Step::LeftOut { number, why } => log::warn!("change log: event {number} left out: {why}"),
+            Step::Apply { event, lost: after_gap } => {
+                return Some(ChangeLogUpdate::Change { change: event, after_gap });
+            }
+            Step::Skip { number, why } => log::warn!("change log: event {number} left out: {why}"),
             Step::Reconnect { source, reason } => {
-                self.knowledge.missing();
+                self.knowledge.events_missing();
                 self.give_up(source, now, &reason.to_string(), effects);
             }
             Step::Contradiction { source, number, event } => {
@@ -276,15 +284,15 @@
                 let line =
                     format_args!("{stream}: event {number} says other than was applied; the stricter acts");
                 self.contradictions.warn(now, line);
-                let change = stricter::restrictions(&event).map(Box::new)?;
-                return Some(Told::Restriction { change });
+                let change = stricter::stricter_part(&event).map(Box::new)?;
+                return Some(ChangeLogUpdate::Restriction { change });
             }
         }
         None
     }
 
     /// Reads a line of any stream; `None` if there is none.
-    fn read(&mut self, now: Nanos, effects: &mut Vec<Effect>) -> Option<Option<Told>> {
+    fn read(&mut self, now: Nanos, effects: &mut Vec<Effect>) -> Option<Option<ChangeLogUpdate>> {
         for of in 0..self.streams.len() {
             match self.streams[of].next_line(now, effects) {
                 Ok(None) => continue,
@@ -299,9 +307,15 @@
         None
     }
 
-    fn line(&mut self, of: usize, heard: Heard, now: Nanos, effects: &mut Vec<Effect>) -> Option<Told> {
+    fn line(
+        &mut self,
+        of: usize,
+        heard: Heard,
+        now: Nanos,
+        effects: &mut Vec<Effect>,
+    ) -> Option<ChangeLogUpdate> {
         if heard.leads_anew {
-            self.merge.asked(now, of);
+            self.merge.request_sent(now, of);
             self.leads_anew = true;
         }
         let late_by = heard.late_by;
@@ -316,11 +330,11 @@
                 self.merge.arrived(of, Arrival { number, bytes, digest, content: Content::Unusable(why) });
                 None
             }
-            Line::Last(last) if heard.is_leading => self.last(of, last, late_by, now, effects),
+            Line::Heartbeat(last) if heard.is_leading => self.last(of, last, late_by, now, effects),
             // Of a call that is not judged by: it may have waited for long, and renews no lease.
-            Line::Last(last) => {
+            Line::Heartbeat(last) => {
                 if last == self.merge.applied() {
-                    self.knowledge.vouched(now, late_by);
+                    self.knowledge.heartbeat_confirmed(now, late_by);
                 }
                 None
             }
@@ -335,25 +349,25 @@
         late_by: Nanos,
         now: Nanos,
         effects: &mut Vec<Effect>,
-    ) -> Option<Told> {
+    ) -> Option<ChangeLogUpdate> {
         let alone = self.streams.len() == 1;
         let caught_up = match self.merge.heartbeat(now, of, last) {
             Heartbeat::CaughtUp => true,
-            Heartbeat::Unsure => false,
-            Heartbeat::Behind { news } => {
+            Heartbeat::Inconclusive => false,
+            Heartbeat::Behind { should_log } => {
                 self.caught_up |= alone;
-                if news && !alone {
+                if should_log && !alone {
                     let applied = self.merge.applied();
                     log::warn!("{}: behind, at {last}, applied {applied}", self.streams[of]);
                 }
                 false
             }
             Heartbeat::Reconnect(reason) => {
-                self.knowledge.missing();
+                self.knowledge.events_missing();
                 self.give_up(of, now, &reason.to_string(), effects);
                 return None;
             }
-            Heartbeat::BegunAnew(reason) => {
+            Heartbeat::LogRestarted(reason) => {
                 (self.caught_up, self.begun_anew) = (true, true);
                 self.begin_anew(&reason, now, effects);
                 return None;
@@ -361,9 +375,9 @@
         };
         if caught_up {
             (self.caught_up, self.told_all) = (true, now.since(late_by));
-            self.knowledge.vouched(now, late_by);
+            self.knowledge.heartbeat_confirmed(now, late_by);
         }
-        Some(Told::Line { caught_up: caught_up && late_by <= self.settings.slack })
+        Some(ChangeLogUpdate::Heartbeat { caught_up: caught_up && late_by <= self.settings.slack })
     }
 
     /// All is to be asked for again, of all.
--- a/crates/dispatcher/src/changes/stream.rs
+++ b/crates/dispatcher/src/changes/stream.rs
@@ -1,16 +1,16 @@
 //! One stream of the change log: the calls that may bring it, of which the first to answer in time is followed. When the next
-//! call begins, `copperroute_routing::calls` decides.
+//! call begins, `copperroute_routing::reconnect_schedule` decides.
 //!
 //! A call that brings nothing is not given up when the next one begins: a service that answers late would never be heard. So
 //! several may be open, [`MOST_LINKS`] at the most; once one of them tells lines in time, the others end.
 
 use super::link::Link;
-use crate::effects::{Due, Effect, Peer};
-use crate::logs::Sparse;
+use crate::effects::{Effect, Peer, TimerKind};
+use crate::logs::LogRateLimiter;
 use copperroute_protocol::changes::{Line, encode_since};
-use copperroute_protocol::incoming::Unreadable;
-use copperroute_routing::calls::{CallSettings, Calls, Line as CallState};
+use copperroute_protocol::incoming::DecodeError;
 use copperroute_routing::interface::Nanos;
+use copperroute_routing::reconnect_schedule::{ConnectionState, ReconnectSchedule, ReconnectSettings};
 use std::fmt;
 use std::net::SocketAddr;
 
@@ -41,10 +41,10 @@
     links: Vec<Link>,
     /// The connection whose heartbeats count: the newest that came up, until another one is in time.
     leading: Option<u32>,
-    calls: Calls,
+    calls: ReconnectSchedule,
     /// It is one of several: lines name it.
     pub(super) named: bool,
-    ends: Sparse,
+    ends: LogRateLimiter,
 }
 
 impl fmt::Display for Stream {
@@ -58,8 +58,8 @@
 
 impl Stream {
     /// Not called yet.
-    pub(super) fn new(address: SocketAddr, calls: Calls, named: bool) -> Self {
-        Stream { address, links: Vec::new(), leading: None, calls, named, ends: Sparse::default() }
+    pub(super) fn new(address: SocketAddr, calls: ReconnectSchedule, named: bool) -> Self {
+        Stream { address, links: Vec::new(), leading: None, calls, named, ends: LogRateLimiter::default() }
     }
 
     /// Whether it has this connection.
@@ -89,15 +89,15 @@
 
     /// Connects under a new number, if it is to be called now; tells whether it does.
     pub(super) fn connect(&mut self, connection: u32, now: Nanos, effects: &mut Vec<Effect>) -> bool {
-        if let Some(at) = self.calls.overslept(now) {
-            effects.push(Effect::Arm(at, Due::ChangeLog));
+        if let Some(at) = self.calls.skip_missed_turn(now) {
+            effects.push(Effect::Arm(at, TimerKind::ConnectChangeLog));
             return false;
         }
         if !self.calls.is_due(now) {
             return false;
         }
         self.make_room(now, effects);
-        self.calls.called(now);
+        self.calls.connect_started(now);
         self.links.push(Link::new(connection, now));
         log::debug!(target: "copperroute::trace", "{self}: call begins, connection {connection}");
         effects.push(Effect::Connect(Peer::ChangeLog(connection), self.address));
@@ -141,7 +141,7 @@
 
     /// It is to be called at an address that is new to it; returns when.
     pub(super) fn moved(&mut self, now: Nanos) -> Nanos {
-        self.calls.moved(now)
+        self.calls.address_changed(now)
     }
 
     /// Closes all connections.
@@ -155,7 +155,7 @@
     fn end(&mut self, connection: u32, now: Nanos, why: &str, effects: &mut Vec<Effect>) {
         let Some(at) = self.links.iter().position(|link| link.connection == connection) else { return };
         let link = self.links.remove(at);
-        if self.ends.may_write(now) {
+        if self.ends.allows(now) {
             link.log_end(now, self.address, why);
         }
         self.leading = self.leading.filter(|leading| *leading != connection);
@@ -163,8 +163,8 @@
     }
 
     /// What the operators tell of calls has changed.
-    pub(super) fn told(&mut self, calls: CallSettings) {
-        self.calls.told(calls);
+    pub(super) fn told(&mut self, calls: ReconnectSettings) {
+        self.calls.settings_changed(calls);
     }
 
     /// A connection is over, or could not be made.
@@ -188,20 +188,20 @@
     /// The present call brings nothing, and is not waited for: another one begins, in its time. The service may be away for
     /// long, and is called often: one line tells of it.
     fn call_again(&mut self, now: Nanos, why: &str, effects: &mut Vec<Effect>) {
-        if matches!(self.calls.line(), CallState::Waiting(_)) {
+        if matches!(self.calls.state(), ConnectionState::Waiting(_)) {
             return;
         }
         let (at, news) = self.calls.ended(now);
         if news {
             log::warn!("{self}: lost, {why}; called again in {:.1} s", at.since(now).secs());
         }
-        effects.push(Effect::Arm(at, Due::ChangeLog));
+        effects.push(Effect::Arm(at, TimerKind::ConnectChangeLog));
     }
 
     /// The connection could not be made for want of this machine's own: it is tried again.
     pub(super) fn unopened(&mut self, connection: u32, now: Nanos, effects: &mut Vec<Effect>) {
         self.links.retain(|link| link.connection != connection);
-        effects.push(Effect::Arm(self.calls.unopened(now), Due::ChangeLog));
+        effects.push(Effect::Arm(self.calls.local_failure(now), TimerKind::ConnectChangeLog));
     }
 
     /// Where it has been silent for too long the next call is made beside those that are open.
@@ -223,7 +223,7 @@
         &mut self,
         now: Nanos,
         effects: &mut Vec<Effect>,
-    ) -> Result<Option<Heard>, (u32, Unreadable)> {
+    ) -> Result<Option<Heard>, (u32, DecodeError)> {
         for at in 0..self.links.len() {
             let link = &mut self.links[at];
             let line = link.next_line(now).map_err(|fault| (link.connection, fault))?;
@@ -244,8 +244,8 @@
         let mut is_leading = was_leading;
         if self.links[at].is_prompt() && (was_leading || !leader_is_prompt) {
             (self.leading, is_leading) = (Some(connection), true);
-            self.calls.answered_late(called);
-            if let Some(away) = self.calls.heard(now) {
+            self.calls.answered_after_timeout(called);
+            if let Some(away) = self.calls.line_received(now) {
                 log::info!("{self}: heard again after {:.1} s", away.secs());
             }
             let others: Vec<_> =
--- a/crates/dispatcher/src/changes/told.rs
+++ b/crates/dispatcher/src/changes/told.rs
@@ -1,20 +1,21 @@
 //! What the change log is started with, what it tells, and an event in the form that the merge takes.
 
 use copperroute_protocol::changes::Change;
-use copperroute_routing::calls::CallSettings;
 use copperroute_routing::change_log::{Arrival, Content};
 use copperroute_routing::interface::{Nanos, stable_hash};
+use copperroute_routing::reconnect_schedule::ReconnectSettings;
 use std::net::SocketAddr;
 
 /// What it tells, in order.
 #[derive(Debug)]
-pub enum Told {
-    /// An event. Where `lost`, what lies between it and the one before was not told; what it brings stands for that.
+pub enum ChangeLogUpdate {
+    /// An event. Where `after_gap`, what lies between it and the one before was not told; what it brings stands for
+    /// that.
     Change {
         /// What it says.
         change: Box<Change>,
         /// Events before it were not told.
-        lost: bool,
+        after_gap: bool,
     },
     /// The part of another content of an event before that is stricter than what was told.
     Restriction {
@@ -22,7 +23,7 @@
         change: Box<Change>,
     },
     /// A second's line; `caught_up` if all that it knows of has been handed on, and it knows of all that was.
-    Line {
+    Heartbeat {
         /// All that was told has been handed on.
         caught_up: bool,
     },
@@ -36,7 +37,7 @@
     /// The number of the last event that is known.
     pub applied: u64,
     /// What is known of those who are called.
-    pub calls: CallSettings,
+    pub calls: ReconnectSettings,
     /// What settles when they are called.
     pub seed: u64,
     /// The Unix time, in nanoseconds, at which the dispatcher's clock shows zero.
@@ -44,7 +45,7 @@
     /// How long a line may take on its way.
     pub slack: Nanos,
     /// Whether it is looked for that a single log begins anew, with lower numbers; with two replicas it always is.
-    pub looks_for_anew: bool,
+    pub detects_log_restart: bool,
 }
 
 /// An event as the merge takes it. What it says is told from other contents where there are streams to compare.
--- a/crates/dispatcher/src/event_loop/mod.rs
+++ b/crates/dispatcher/src/event_loop/mod.rs
@@ -1,12 +1,12 @@
 //! The event loop: carries sockets, timers and signals to the reducer, and out what it asks for.
 
 use crate::clock::Clock;
-use crate::config::{Config, Sources};
+use crate::config::{Config, ConfigFiles};
 use crate::deadlines::Deadlines;
-use crate::effects::{Behind, Due, Effect, Event, Peer};
-use crate::freshness::{Freshness, PutOff};
-use crate::logs::{self, Sparse};
-use crate::purge_cover::purges_are_told_after;
+use crate::effects::{Effect, Event, Peer, TimerKind, TrailingInput};
+use crate::freshness::{Freshness, TimerPostponement};
+use crate::logs::{self, LogRateLimiter};
+use crate::purge_coverage::covers_purges_after;
 use crate::reducer::Reducer;
 use crate::snapshot_writer::{self, SnapshotWriter};
 use calloop::channel::{Sender, channel};
@@ -17,9 +17,9 @@
 use copperroute_cache_store::disk::{Disk, Found, Limits, Location, Sync};
 use copperroute_cache_store::record::Facts;
 use copperroute_cache_store::worker::{Answers, Worker};
-use copperroute_protocol::changes::Known;
+use copperroute_protocol::changes::KnownEvents;
 use copperroute_routing::interface::Nanos;
-use copperroute_settings::operator::{Numbers, SyncWhen};
+use copperroute_settings::operator::{SequenceNumbers, SyncPolicy};
 use socket2::{Domain, Protocol, Socket, Type};
 use std::collections::{HashMap, VecDeque};
 use std::io::{self, ErrorKind, Read, Write};
@@ -106,7 +106,7 @@
     effects: VecDeque<Effect>,
     carrying: bool,
     /// All that the reducer has armed and is not due yet.
-    deadlines: Deadlines<Due>,
+    deadlines: Deadlines<TimerKind>,
     /// Connections with something new to write.
     dirty: Vec<Peer>,
     /// Connections to nodes that are not written to before clients are looked at again.
@@ -121,7 +121,7 @@
     /// All that clients have sent is to be told, for the last time.
     reads_last: bool,
     last_client: u32,
-    complaints: Sparse,
+    complaints: LogRateLimiter,
     stopped: bool,
     /// The disk's thread, where there is one.
     disk: Option<Worker>,
@@ -130,7 +130,7 @@
 }
 
 /// Serves with the configuration in these files, as it was read from them, until told to end.
-pub fn serve(sources: &Sources, mut config: Config) -> Result<(), String> {
+pub fn serve(sources: &ConfigFiles, mut config: Config) -> Result<(), String> {
     let said = |what: &'static str| move |fault: calloop::Error| format!("{what}: {fault}");
     let listener = listen(config.listen).map_err(|fault| format!("{}: {fault}", config.listen))?;
     let mut event_loop: EventLoop<'static, Inbox> = EventLoop::try_new().map_err(said("event loop"))?;
@@ -165,7 +165,7 @@
     let snapshot_writer = open_list(&mut config, &clock)?;
     // What is known may have come from the last good list: the disk is judged by that.
     let disk = open_disk(&config)?;
-    let watched = config.agreeing.is_some();
+    let watched = config.agreement.is_some();
     let reducer = Reducer::new(config, clock.epoch());
     let mut carrier = Carrier {
         handle,
@@ -187,13 +187,13 @@
         scratch: vec![0; READ_AT_ONCE],
         reads_last: false,
         last_client: 0,
-        complaints: Sparse::default(),
+        complaints: LogRateLimiter::default(),
         stopped: false,
         disk: None,
         snapshot_writer,
     };
     let mut inbox = Inbox::default();
-    let (mut due, mut put_off) = (Vec::new(), PutOff::default());
+    let (mut due, mut put_off) = (Vec::new(), TimerPostponement::default());
     if let Some((location, disk)) = disk {
         let (tell, told) = channel();
         carrier
@@ -225,12 +225,12 @@
         carrier.flush_all();
         // What was put off, or held back, waits for nothing.
         let began = carrier.clock.now();
-        let at_once = put_off.is_on() || !carrier.dirty.is_empty();
+        let at_once = put_off.is_active() || !carrier.dirty.is_empty();
         let wait = if at_once { Some(Duration::ZERO) } else { carrier.until_first_deadline(began) };
         let dispatched = event_loop.dispatch(wait, &mut inbox);
         let found = carrier.clock.now();
         match dispatched {
-            Ok(()) => carrier.freshness.looked(began, wait, found),
+            Ok(()) => carrier.freshness.polled(began, wait, found),
             // What it has found before it failed is in the inbox; the rest shows again.
             Err(fault) => {
                 carrier.complaints.warn(found, format_args!("event loop: {fault}"));
@@ -259,8 +259,8 @@
             more |= carrier.ready(peer, readiness);
         }
         std::mem::take(&mut inbox.disk).into_iter().for_each(|told| carrier.disk_told(told));
-        if !put_off.puts_off(found, more && !due.is_empty()) {
-            due.drain(..).for_each(|due| carrier.reduce(Event::Due(due)));
+        if !put_off.postpone(found, more && !due.is_empty()) {
+            due.drain(..).for_each(|due| carrier.reduce(Event::TimerFired(due)));
         }
         carrier.listen_on(std::mem::take(&mut inbox.accept));
         if std::mem::take(&mut carrier.reads_last) {
@@ -290,10 +290,10 @@
     }
 
     /// Arms a deadline. Once many stand, those of requests that have ended are forgotten.
-    fn arm(&mut self, at: Nanos, due: Due) {
+    fn arm(&mut self, at: Nanos, due: TimerKind) {
         self.deadlines.arm(at, due);
-        if self.deadlines.are_crowded() {
-            self.deadlines.forget(|due| self.reducer.waits_for(due));
+        if self.deadlines.needs_pruning() {
+            self.deadlines.prune(|due| self.reducer.is_timer_needed(due));
         }
     }
 
@@ -330,16 +330,16 @@
         match effect {
             Effect::Connect(peer, address) => self.connect(peer, address),
             Effect::Write(peer, bytes) => self.write(peer, bytes),
-            Effect::Retract(peer, from) => self.retract(peer, from),
-            Effect::Read(peer, wanted) => {
+            Effect::TruncateOutput(peer, from) => self.retract(peer, from),
+            Effect::SetReading(peer, wanted) => {
                 if let Some(connection) = self.connections.get_mut(&peer) {
                     connection.reads = wanted;
                 }
                 self.set_interest(peer);
             }
-            Effect::Shut(peer, behind) => self.shut(peer, behind),
+            Effect::CloseLingering(peer, behind) => self.shut(peer, behind),
             Effect::Close(peer) => self.close(peer),
-            Effect::ReadLast => self.reads_last = true,
+            Effect::FinalRead => self.reads_last = true,
             Effect::Arm(at, due) => self.arm(at, due),
             Effect::ReadCopy(key, ticket) => {
                 if !self.disk.as_ref().is_some_and(|disk| disk.read(key, ticket)) {
@@ -351,15 +351,15 @@
                     disk.write(key, facts, rank, body);
                 }
             }
-            Effect::MarkObject(object, at_ms, seq) => {
+            Effect::MarkObjectPurged(object, at_ms, seq) => {
                 self.disk.iter().for_each(|disk| disk.purge_object(object, at_ms, seq));
             }
-            Effect::MarkGroup(group, at_ms, seq) => {
+            Effect::MarkGroupPurged(group, at_ms, seq) => {
                 self.disk.iter().for_each(|disk| disk.purge_group(group, at_ms, seq));
             }
-            Effect::KeepList(bytes) => {
+            Effect::SaveNodeList(bytes) => {
                 if let Some(snapshot_writer) = &self.snapshot_writer {
-                    snapshot_writer.keep(bytes);
+                    snapshot_writer.save(bytes);
                 }
             }
             Effect::Exit => self.stopped = true,
@@ -367,7 +367,7 @@
     }
 
     /// Reads the configuration again; one that can't be used changes nothing.
-    fn reload(&mut self, sources: &Sources) {
+    fn reload(&mut self, sources: &ConfigFiles) {
         match sources.read() {
             Ok(config) => self.reduce(Event::Reload(&config)),
             Err(fault) => log::error!("configuration: not taken: {fault}"),
--- a/crates/dispatcher/src/event_loop/startup.rs
+++ b/crates/dispatcher/src/event_loop/startup.rs
@@ -1,7 +1,7 @@
 //! What is opened before the loop runs.
 
 use super::*;
-use crate::outside_time::OutsideTime;
+use crate::external_time::ExternalTime;
 
 /// Listens, also at once after another process did so, with room for a burst of new connections.
 pub(super) fn listen(address: SocketAddr) -> io::Result<TcpListener> {
@@ -25,9 +25,9 @@
         most_bytes: tier.most_mb * 1_000_000,
         segment_bytes: (tier.segment_mb * 1_000_000).min(u64::from(u32::MAX)) as u32,
         sync: match tier.sync {
-            SyncWhen::Never => Sync::Never,
-            SyncWhen::Segments => Sync::Segments,
-            SyncWhen::Always => Sync::Always,
+            SyncPolicy::Never => Sync::Never,
+            SyncPolicy::Segments => Sync::Segments,
+            SyncPolicy::Always => Sync::Always,
         },
     };
     let location = Location::new(&tier.folder, limits);
@@ -37,15 +37,15 @@
         }
         Err(fault) => Err(fault),
         Ok((disk, found)) => {
-            judged(disk, found, Some(&config.known).filter(|_| tier.change_log == Numbers::Lasting))
+            judged(disk, found, Some(&config.known).filter(|_| tier.change_log == SequenceNumbers::Continued))
         }
     };
     Ok(Some((location, disk.map_err(|fault| fault.to_string()))))
 }
 
 /// A disk as it may be used: with what was found, or with nothing where that can't be judged.
-fn judged(mut disk: Disk, found: Found, known: Option<&Known>) -> io::Result<Disk> {
-    let trusted = known.is_some_and(|known| purges_are_told_after(known, disk.seq()));
+fn judged(mut disk: Disk, found: Found, known: Option<&KnownEvents>) -> io::Result<Disk> {
+    let trusted = known.is_some_and(|known| covers_purges_after(known, disk.seq()));
     if !trusted && found.copies > 0 {
         disk.clear()?;
     }
@@ -56,13 +56,13 @@
 /// Finds the last good list, where the operators want one kept: it stands in for what the configuration knows if it is
 /// newer. One that does not do is as if absent. A folder that can't be made ends the start.
 pub(super) fn open_list(config: &mut Config, clock: &Clock) -> Result<Option<SnapshotWriter>, String> {
-    let Some(told) = config.last_list.clone() else { return Ok(None) };
+    let Some(told) = config.snapshot.clone() else { return Ok(None) };
     let most_age_ms = (told.most_age_s * 1e3) as u64;
     // What the configuration tells has passed: a clock before that is behind, and a list older than it seems.
-    let mut outside = OutsideTime::new(clock.epoch());
-    config.known.results.iter().for_each(|change| outside.event_heard(clock.now(), change));
+    let mut outside = ExternalTime::new(clock.epoch());
+    config.known.results.iter().for_each(|change| outside.observe_event(clock.now(), change));
     let unix_ms = outside.latest_ms(clock.now());
-    match snapshot_writer::find(&told.folder, unix_ms, config.print(), most_age_ms, config.known.seq) {
+    match snapshot_writer::load(&told.folder, unix_ms, config.fingerprint(), most_age_ms, config.known.seq) {
         Ok(Some((known, age_ms))) => {
             log::info!("list: of event {}, {:.1} s old, taken", known.seq, age_ms as f64 / 1e3);
             config.known = known;
--- a/crates/dispatcher/src/event_loop/writing.rs
+++ b/crates/dispatcher/src/event_loop/writing.rs
@@ -2,14 +2,14 @@
 
 use super::connections::REPEATS;
 use super::*;
-use copperroute_change_log_replica::socket_errors::{TransferError, of_transfer};
+use copperroute_change_log_replica::socket_errors::{TransferError, classify_transfer_error};
 
 impl Carrier {
     /// Writes what is left, then ends the sending side.
-    pub(super) fn shut(&mut self, peer: Peer, behind: Behind) {
+    pub(super) fn shut(&mut self, peer: Peer, behind: TrailingInput) {
         if let Some(connection) = self.connections.get_mut(&peer) {
             connection.shuts = true;
-            connection.reads = behind == Behind::Read;
+            connection.reads = behind == TrailingInput::Discard;
             self.dirty.push(peer);
         }
     }
@@ -56,7 +56,7 @@
             self.reduce(Event::Written(peer, left));
         }
         match flushed {
-            Err(fault) if of_transfer(&fault) == TransferError::Broken => self.broken(peer),
+            Err(fault) if classify_transfer_error(&fault) == TransferError::Broken => self.broken(peer),
             Err(fault) => self.wants(&fault),
             Ok(()) => {}
         }
@@ -71,15 +71,15 @@
     /// was encoded long ago is encoded anew.
     fn may_leave(&mut self, peer: Peer) -> bool {
         let now = self.clock.now();
-        if self.freshness.wants_look(now) {
+        if self.freshness.needs_poll(now) {
             self.held_back.push(peer);
             return false;
         }
         if let Some(connection) = self.connections.get_mut(&peer)
-            && Freshness::are_stale(connection.asked_at, now)
+            && Freshness::is_stale(connection.asked_at, now)
         {
             connection.asked_at = now;
-            self.reduce(Event::Stale(peer));
+            self.reduce(Event::OutputStale(peer));
             // That took time as well.
             return self.has_to_write(peer) && self.may_leave(peer);
         }
@@ -114,7 +114,7 @@
                     self.at += count;
                     self.left += count as u64;
                 }
-                Err(fault) => match of_transfer(&fault) {
+                Err(fault) => match classify_transfer_error(&fault) {
                     TransferError::NotReady => return Ok(()),
                     TransferError::Interrupted if interrupted < REPEATS => interrupted += 1,
                     _ => return Err(fault),
--- a/crates/dispatcher/src/last_list.rs
+++ b/crates/dispatcher/src/node_list_snapshot.rs
@@ -4,7 +4,7 @@
 //! configuration's `known`. SAVED is the Unix millisecond at which the service was last heard, OF tells whose it is,
 //! CRC is CRC-32C of all before it on the line and of the JSON.
 
-use copperroute_protocol::changes::{Change, Fleet, Known, Listed, Purge, State};
+use copperroute_protocol::changes::{Change, Fleet, KnownEvents, ListedNode, NodeState, Purge};
 use copperroute_routing::interface::Nanos;
 use std::collections::BTreeMap;
 
@@ -18,15 +18,15 @@
 const MOST_RULES: usize = 16;
 const MAGIC: &str = "copperroute-list 1";
 /// No list is larger; what is larger is none.
-pub const LARGEST: usize = 64 * 1024 * 1024;
+pub const MAX_FILE_BYTES: usize = 64 * 1024 * 1024;
 
 /// What would be needed after a restart: the nodes that are not gone, and purges for as long as old copies may lie
 /// about. Bounded by the list, and by time.
 #[derive(Debug)]
-pub struct LastList {
+pub struct NodeListSnapshot {
     of: u64,
     keep_purges: Nanos,
-    nodes: BTreeMap<String, Listed>,
+    nodes: BTreeMap<String, ListedNode>,
     /// Purges, each with when it was heard of.
     purges: Vec<(Nanos, Change)>,
     /// Versions of the rules: those to come, and the last one before.
@@ -39,11 +39,11 @@
     written: Nanos,
 }
 
-impl LastList {
+impl NodeListSnapshot {
     /// Nothing yet, of the dispatcher with this print; old copies may lie about for so long after a purge.
     pub fn new(of: u64, keep_purges: Nanos) -> Self {
         let (nodes, purges, rules) = Default::default();
-        LastList {
+        NodeListSnapshot {
             of,
             keep_purges,
             nodes,
@@ -58,7 +58,7 @@
     }
 
     /// An event was applied; this Unix millisecond has come for sure.
-    pub fn applied(&mut self, now: Nanos, change: &Change, unix_ms: u64) {
+    pub fn apply(&mut self, now: Nanos, change: &Change, unix_ms: u64) {
         if let Some(fleet) = &change.fleet {
             self.version = self.version.max(fleet.version);
             if fleet.full {
@@ -66,7 +66,7 @@
             }
             for listed in &fleet.servers {
                 match listed.state {
-                    State::Left => drop(self.nodes.remove(&listed.id)),
+                    NodeState::Left => drop(self.nodes.remove(&listed.id)),
                     _ => drop(self.nodes.insert(listed.id.clone(), listed.clone())),
                 }
             }
@@ -89,12 +89,12 @@
     }
 
     /// The service has said that there is no more to tell.
-    pub fn heard(&mut self) {
+    pub fn confirm_current(&mut self) {
         self.heard = true;
     }
 
     /// The bytes of the file, if it is time to write it, at this Unix millisecond.
-    pub fn due(&mut self, now: Nanos, unix_ms: u64) -> Option<Vec<u8>> {
+    pub fn bytes_if_due(&mut self, now: Nanos, unix_ms: u64) -> Option<Vec<u8>> {
         let after = if self.changed { WRITTEN_AFTER } else { WRITTEN_ANEW };
         // What nobody has heard since the start is no newer than what stands there.
         if !std::mem::take(&mut self.heard) || self.nodes.is_empty() {
@@ -111,7 +111,7 @@
         let fleet = Some(Fleet { version: self.version, full: true, servers });
         let list = Change { seq: self.seq, fleet, invalidate: None, rules: None, agreed: None };
         let results = [vec![list], purges, self.rules.clone()].concat();
-        Some(encode(&Known { seq: self.seq, results }, unix_ms, self.of))
+        Some(encode(&KnownEvents { seq: self.seq, results }, unix_ms, self.of))
     }
 }
 
@@ -121,7 +121,7 @@
 }
 
 /// A list as it stands in its file.
-pub fn encode(known: &Known, saved_ms: u64, of: u64) -> Vec<u8> {
+pub fn encode(known: &KnownEvents, saved_ms: u64, of: u64) -> Vec<u8> {
     let body = serde_json::to_vec(known).unwrap_or_default();
     let line = format!("{MAGIC} {} {saved_ms} {of:016x} {}", known.seq, body.len());
     let sum = crc32c::crc32c_append(crc32c::crc32c(line.as_bytes()), &body);
@@ -136,7 +136,7 @@
     of: u64,
     most_age_ms: u64,
     known: u64,
-) -> Result<(Known, u64), String> {
+) -> Result<(KnownEvents, u64), String> {
     let end = bytes.iter().position(|byte| *byte == b'\n').ok_or("torn: no first line")?;
     let line = std::str::from_utf8(&bytes[..end]).map_err(|_| "no list: its first line is no text")?;
     let body = &bytes[end + 1..];
--- a/crates/dispatcher/src/reducer/changes.rs
+++ b/crates/dispatcher/src/reducer/changes.rs
@@ -4,13 +4,13 @@
 
 impl Reducer {
     /// The number of the version of the rules in force, where there is an agreement on them.
-    pub fn rules_in_force(&self) -> Option<u64> {
+    pub fn rules_version(&self) -> Option<u64> {
         self.agreed.as_ref().map(Agreed::in_force)
     }
 
     pub(super) fn change_log_connected(&mut self, now: Nanos, connection: u32) {
         self.agreed.iter_mut().for_each(|agreed| agreed.asked(now));
-        self.heartbeats.asked(now);
+        self.heartbeats.request_sent(now);
         self.log.connected(connection, now, &mut self.request_table.effects);
     }
 
@@ -19,27 +19,27 @@
         self.change_log_told(now);
         if self.log.is_caught_up() {
             self.copies.iter_mut().for_each(Copies::caught_up);
-            self.last_list.iter_mut().for_each(LastList::heard);
+            self.last_list.iter_mut().for_each(NodeListSnapshot::confirm_current);
         }
     }
 
     /// Takes all that the change log has to tell by now; also what was held back and may wait no longer.
     pub(super) fn change_log_told(&mut self, now: Nanos) {
-        while let Some(told) = self.log.next_told(now, &mut self.request_table.effects) {
+        while let Some(told) = self.log.next_update(now, &mut self.request_table.effects) {
             if self.log.has_new_lead() {
                 self.agreed.iter_mut().for_each(|agreed| agreed.asked(now));
-                self.heartbeats.asked(now);
+                self.heartbeats.request_sent(now);
             }
             match told {
-                Told::Change { change, lost } => {
-                    if lost {
+                ChangeLogUpdate::Change { change, after_gap } => {
+                    if after_gap {
                         self.purges_lost(now, change.seq);
                     }
-                    self.apply(now, &change, lost);
+                    self.apply(now, &change, after_gap);
                 }
-                Told::Restriction { change } => self.restrict(now, &change),
-                Told::Line { caught_up } => {
-                    self.heartbeats.comes(now, SLACK);
+                ChangeLogUpdate::Restriction { change } => self.restrict(now, &change),
+                ChangeLogUpdate::Heartbeat { caught_up } => {
+                    self.heartbeats.received(now, SLACK);
                     self.agreed.iter_mut().for_each(|agreed| agreed.line(now, caught_up));
                 }
             }
@@ -53,12 +53,12 @@
     /// What is stricter in another content of an event that was applied: purges and drains, whatever the list's version,
     /// and rules as the agreement judges them.
     fn restrict(&mut self, now: Nanos, change: &Change) {
-        let unix_ms = self.outside.earliest_ms(now);
+        let unix_ms = self.external_time.earliest_ms(now);
         if let Some(agreed) = &mut self.agreed {
             // When it was purged says nothing of the clocks: it may have waited for long.
             agreed.event(now, unix_ms, &Change { invalidate: None, ..change.clone() }, false);
         }
-        self.last_list.iter_mut().for_each(|list| list.applied(now, change, unix_ms));
+        self.last_list.iter_mut().for_each(|list| list.apply(now, change, unix_ms));
         if let Some(fleet) = &change.fleet {
             self.list(now, fleet);
         }
@@ -68,8 +68,8 @@
     }
 
     pub(super) fn apply(&mut self, now: Nanos, change: &Change, lost: bool) {
-        self.outside.event_heard(now, change);
-        let unix_ms = self.outside.earliest_ms(now);
+        self.external_time.observe_event(now, change);
+        let unix_ms = self.external_time.earliest_ms(now);
         let takes_list = match &mut self.agreed {
             Some(agreed) => {
                 agreed.event(now, unix_ms, change, lost);
@@ -78,7 +78,7 @@
             None => true,
         };
         if takes_list || change.fleet.is_none() {
-            self.last_list.iter_mut().for_each(|list| list.applied(now, change, unix_ms));
+            self.last_list.iter_mut().for_each(|list| list.apply(now, change, unix_ms));
         }
         if let Some(fleet) = change.fleet.as_ref().filter(|_| takes_list) {
             self.list(now, fleet);
@@ -136,7 +136,7 @@
         if fleet.full {
             withdrawn
                 .extend(self.request_table.unlisted(&named).into_iter().map(|node| (node, Readiness::Gone)));
-            self.module.nodes_listed(now, &entries, &mut self.request_table);
+            self.module.node_list_replaced(now, &entries, &mut self.request_table);
         } else {
             self.module.nodes_changed(now, &entries, &mut self.request_table);
         }
@@ -148,24 +148,24 @@
         self.life.move_to(Phase::Serving);
     }
 
-    pub(super) fn entry(&mut self, now: Nanos, listed: &Listed, is_live: bool) -> NodeEntry {
-        let place = |names: &[String], name: &str| place(names, name).unwrap_or(UNTOLD);
+    pub(super) fn entry(&mut self, now: Nanos, listed: &ListedNode, is_live: bool) -> NodeEntry {
+        let place = |names: &[String], name: &str| name_index(names, name).unwrap_or(UNKNOWN_ID);
         let readiness = listed.state.into();
         let start = self.start_of(now, listed, is_live);
-        let pool = Pool {
+        let pool = NodePool {
             address: listed.addr,
             start,
             readiness,
             connections: Vec::new(),
-            listed: self.request_table.now,
-            opening: NodeBackOff::default(),
+            listed_at: self.request_table.now,
+            back_off: NodeBackOff::default(),
         };
         NodeEntry {
             node: self.request_table.list(&listed.id, pool),
             hash: stable_hash(listed.id.as_bytes()),
             zone: ZoneId(place(&self.config.names.zones, &listed.zone)),
             kind: place(&self.config.names.kinds, &listed.kind),
-            cell: listed.cell.unwrap_or(UNTOLD),
+            cell: listed.cell.unwrap_or(UNKNOWN_ID),
             readiness,
             weight: listed.weight.unwrap_or(1.0),
             started: start.map_or(Nanos::ZERO, |start| start.at),
@@ -176,7 +176,7 @@
 /// The marks of a purge for the disk.
 fn marks(object: Option<&str>, group: Option<u64>, at_ms: u64, seq: u64) -> Option<Effect> {
     match object {
-        Some(object) => Hex::read(object).map(|object| Effect::MarkObject(object.bytes(), at_ms, seq)),
-        None => group.and_then(|of| u8::try_from(of).ok()).map(|of| Effect::MarkGroup(of, at_ms, seq)),
+        Some(object) => Hex::parse(object).map(|object| Effect::MarkObjectPurged(object.bytes(), at_ms, seq)),
+        None => group.and_then(|of| u8::try_from(of).ok()).map(|of| Effect::MarkGroupPurged(of, at_ms, seq)),
     }
 }
--- a/crates/dispatcher/src/reducer/clients.rs
+++ b/crates/dispatcher/src/reducer/clients.rs
@@ -5,7 +5,7 @@
 impl Reducer {
     pub(super) fn client_received(&mut self, now: Nanos, number: u32, bytes: &[u8]) {
         let Some(client) = self.request_table.clients.get_mut(number) else {
-            if self.request_table.clients.lingering.came(number, bytes.len()) {
+            if self.request_table.clients.lingering.received(number, bytes.len()) {
                 self.request_table.effects.push(Effect::Close(Peer::Client(number)));
             }
             return;
@@ -88,14 +88,14 @@
     /// The content type of a request that the settings allow, or why they don't.
     pub(super) fn usable(&self, request: &Request) -> Result<u32, String> {
         let name = &request.content_type;
-        let content_type = place(&self.config.names.content_types, name)
+        let content_type = name_index(&self.config.names.content_types, name)
             .ok_or_else(|| format!("no content type '{}'", name.escape_default()))?;
-        let offer = self.config.offers[content_type as usize];
+        let offer = self.config.request_limits[content_type as usize];
         match request {
-            _ if request.timeout_ms > offer.expiry.0.div_ceil(1_000_000) => {
+            _ if request.timeout_ms > offer.max_timeout.0.div_ceil(1_000_000) => {
                 Err(format!("timeout: {} ms are more than the expiry of '{name}'", request.timeout_ms))
             }
-            _ if !request.body.is_empty() && !offer.writes => Err(format!("'{name}' takes no bytes")),
+            _ if !request.body.is_empty() && !offer.allows_body => Err(format!("'{name}' takes no bytes")),
             // Answers of two requests with one id could not be told apart.
             _ if self.request_table.has(request.id) => Err(format!("req: {} is open already", request.id)),
             _ => Ok(content_type),
@@ -104,13 +104,13 @@
 
     pub(super) fn request_arrived(&mut self, now: Nanos, client: u32, tag: u64, mut request: Request) {
         let id = stable_hash(request.id.as_str().as_bytes());
-        let content_type = match (self.conduct.judge(now, id), self.usable(&request)) {
-            (Verdict::Take, Ok(content_type)) => content_type,
-            (Verdict::Take, Err(why)) => {
+        let content_type = match (self.conduct.check(now, id), self.usable(&request)) {
+            (Verdict::New, Ok(content_type)) => content_type,
+            (Verdict::New, Err(why)) => {
                 self.complaints.warn(now, format_args!("client {client}: {why}"));
                 return self.request_table.write(client, tag, Answer::Failed);
             }
-            (Verdict::Again, _) => {
+            (Verdict::Duplicate, _) => {
                 self.complaints.warn(now, format_args!("client {client}: req: {} came before", request.id));
                 return self.request_table.write(client, tag, Answer::Failed);
             }
@@ -118,14 +118,14 @@
         // Under a rule that came later a client waits no longer, whatever it asked for.
         let most_ms = self.expiries[content_type as usize].0.div_ceil(1_000_000);
         request.timeout_ms = request.timeout_ms.min(most_ms);
-        let of_copies = !self.config.offers[content_type as usize].writes;
-        let once = self.settings.content_types[content_type as usize].repeat != Repeat::Retriable;
+        let of_copies = !self.config.request_limits[content_type as usize].allows_body;
+        let once = self.settings.content_types[content_type as usize].retry_safety != RetrySafety::Retriable;
         let object_hash = stable_hash(request.object.as_str().as_bytes());
         let (part, group) = (request.part, request.group);
-        let (repeat, size_kb) = (request.repeat, request.size_kb);
+        let (is_retry, size_kb) = (request.is_retry, request.size_kb);
         let body_hash = if request.body.is_empty() { 0 } else { stable_hash(&request.body) };
         let from = self.request_table.clients.from(client);
-        let (request_id, object, expires) = self.request_table.open(client, tag, request, of_copies, once);
+        let (request_id, object, deadline) = self.request_table.open(client, tag, request, of_copies, once);
         let routing_request = RoutingRequest {
             request_id,
             content_type: TypeId(content_type),
@@ -133,8 +133,8 @@
             copy_hash: mix(object_hash.wrapping_add(part)),
             object_hash,
             group,
-            expires,
-            repeat,
+            deadline,
+            is_retry,
             size_kb,
             client: from,
             body_hash,
@@ -146,10 +146,10 @@
             let generation = self.request_table.generation_of(request_id);
             self.reading.insert(request_id.0, Reading { generation, routing_request, key });
             self.request_table.effects.push(Effect::ReadCopy(key, ticket(request_id, generation)));
-            return self
-                .request_table
-                .effects
-                .push(Effect::Arm(now.after(DISK_PATIENCE), Due::Disk(request_id, generation)));
+            return self.request_table.effects.push(Effect::Arm(
+                now.after(DISK_PATIENCE),
+                TimerKind::DiskReadTimeout(request_id, generation),
+            ));
         }
         self.request_table.tell(&routing_request);
         self.module.request_arrived(now, &routing_request, &mut self.request_table);
@@ -157,20 +157,20 @@
 
     /// Answers a request from an own copy.
     pub(super) fn serve(&mut self, now: Nanos, routing_request: &RoutingRequest, own: Own) {
-        self.module.served_here(now, routing_request, &mut self.request_table);
+        self.module.served_from_own_copy(now, routing_request, &mut self.request_table);
         match own {
             Own::Bytes(body) => self.request_table.answer(routing_request.request_id, Answer::Served(&body)),
-            Own::Current => self.request_table.answer(routing_request.request_id, Answer::Current),
+            Own::Current => self.request_table.answer(routing_request.request_id, Answer::NotModified),
         }
         self.request_table.release(routing_request.request_id);
     }
 
     /// The key of a copy that the disk is to be asked for.
     pub(super) fn asks_disk(&self, now: Nanos, routing_request: &RoutingRequest) -> Option<Key> {
-        let copies = self.copies.as_ref().filter(|_| !self.module.purges_are_doubtful(now))?;
+        let copies = self.copies.as_ref().filter(|_| !self.module.may_miss_purges(now))?;
         let content_type = self.settings.content_types.get(routing_request.content_type.0 as usize)?;
         // How old they are after a restart no wall clock can tell by itself.
-        if content_type.fresh_for.is_some() && !self.outside.is_answered() {
+        if content_type.fresh_for.is_some() && !self.external_time.has_copy_time() {
             return None;
         }
         let (object, part, _) = self.request_table.asked_for(routing_request.request_id)?;
@@ -185,19 +185,19 @@
         let (Some(Reading { routing_request, key, .. }), Some(copies)) = (asked, &mut self.copies) else {
             return;
         };
-        if self.module.purges_are_doubtful(now) {
+        if self.module.may_miss_purges(now) {
             return self.go_on(now, request_id);
         }
-        let target = self.settings.content_types[routing_request.content_type.0 as usize].target_time;
+        let target = self.settings.content_types[routing_request.content_type.0 as usize].latency_target;
         let held = self.request_table.asked_for(request_id).and_then(|asked| asked.2);
         if let Some((facts, _)) = copy {
-            self.outside.kept_copy_heard(now, facts.made_ms);
+            self.external_time.observe_restored_copy(now, facts.made_ms);
         }
-        let own = copies.read([now, target], self.outside.latest_ms(now), key, held, copy);
+        let own = copies.read([now, target], self.external_time.latest_ms(now), key, held, copy);
         let Some(own) = own else { return self.go_on(now, request_id) };
         let (routing_request, key) = (*routing_request, *key);
         self.reading.remove(&request_id.0);
-        if let (Some((facts, body)), Some((rate, hops))) = (copy, self.module.known(&routing_request)) {
+        if let (Some((facts, body)), Some((rate, hops))) = (copy, self.module.copy_demand(&routing_request)) {
             let offered = Offered { key, facts, body: body.into() };
             if let Some(copies) = &mut self.copies {
                 copies.offer(offered, rate, hops);
@@ -229,14 +229,14 @@
     ) -> Option<Own> {
         let copies = self.copies.as_mut()?;
         // A purge that was not heard may be of any copy.
-        if self.module.purges_are_doubtful(now) {
+        if self.module.may_miss_purges(now) {
             self.doubt.own_copies_withheld += 1;
             return None;
         }
         let (object, part, held) = self.request_table.asked_for(request_id)?;
         let key = copies::key(routing_request.content_type.0, object, part)?;
-        let target = self.settings.content_types[routing_request.content_type.0 as usize].target_time;
-        copies.serve(now, self.outside.latest_ms(now), &key, held, target)
+        let target = self.settings.content_types[routing_request.content_type.0 as usize].latency_target;
+        copies.serve(now, self.external_time.latest_ms(now), &key, held, target)
     }
 
     pub(super) fn forsake(&mut self, now: Nanos, request_id: RequestId) {
--- a/crates/dispatcher/src/reducer/mod.rs
+++ b/crates/dispatcher/src/reducer/mod.rs
@@ -2,33 +2,33 @@
 //! connected or timed comes out as effects, which the event loop carries out.
 
 use crate::agreed::Agreed;
-use crate::changes::{ChangeLog, ChangeLogSettings, Told};
+use crate::changes::{ChangeLog, ChangeLogSettings, ChangeLogUpdate};
 use crate::clients::MOST_OPEN;
 use crate::clock::Epoch;
-use crate::config::{Agreeing, Config};
+use crate::config::{AgreementConfig, Config};
 use crate::copies::{self, Copies, Offered, Own};
-use crate::effects::{Due, Effect, Event, Peer};
-use crate::last_list::LastList;
-use crate::lingering::LINGERS_AT_END;
-use crate::logs::Sparse;
-use crate::nodes::{Pool, ProbeCounts, Start};
-use crate::outside_time::OutsideTime;
+use crate::effects::{Effect, Event, Peer, TimerKind};
+use crate::external_time::ExternalTime;
+use crate::lingering::EXIT_LINGER_TIMEOUT;
+use crate::logs::LogRateLimiter;
+use crate::node_list_snapshot::NodeListSnapshot;
+use crate::nodes::{NodePool, NodeStart, ProbeCounts};
 use crate::phases::{Life, Phase};
 use crate::request_table::RequestTable;
 use copperroute_cache_store::record::{Facts, Key};
 use copperroute_config_rollout::rules::RuleSet;
-use copperroute_protocol::changes::{Change, Fleet, Listed, Purge};
+use copperroute_protocol::changes::{Change, Fleet, ListedNode, Purge};
 use copperroute_protocol::clients::{Answer, Message, Request};
 use copperroute_protocol::hex::Hex;
 use copperroute_routing::change_log::{Heartbeats, Knowledge};
 use copperroute_routing::fleet::connection_back_off::NodeBackOff;
-use copperroute_routing::fleet::duplicate_filter::{DuplicateFilter, MOST_IDS, Verdict};
+use copperroute_routing::fleet::duplicate_filter::{DuplicateFilter, MAX_IDS, Verdict};
 use copperroute_routing::interface::{
-    Actions as _, Nanos, NodeEntry, NodeId, Readiness, Repeat, RequestId, RoutingRequest, Settings, TypeId,
-    UNTOLD, ZoneId, mix, stable_hash,
+    Actions as _, Nanos, NodeEntry, NodeId, Readiness, RequestId, RetrySafety, RoutingRequest, Settings,
+    TypeId, UNKNOWN_ID, ZoneId, mix, stable_hash,
 };
 use copperroute_routing::policy::Dispatcher;
-use copperroute_settings::place;
+use copperroute_settings::name_index;
 use std::collections::HashMap;
 
 mod changes;
@@ -77,7 +77,7 @@
     module: Dispatcher,
     request_table: RequestTable,
     log: ChangeLog,
-    outside: OutsideTime,
+    external_time: ExternalTime,
     /// Whether what the change log tells has waited on its way.
     heartbeats: Heartbeats,
     /// Nothing new can come any more.
@@ -96,7 +96,7 @@
     known: Option<Knowledge>,
     doubt: DoubtReport,
     /// What is kept of the change log over a restart, where it is.
-    last_list: Option<LastList>,
+    last_list: Option<NodeListSnapshot>,
     /// What is held of the agreement on rules, where there is one.
     agreed: Option<Agreed>,
     /// The settings under the rules in force.
@@ -104,7 +104,7 @@
     /// The longest that a client waits for each content type, under the rules in force.
     expiries: Vec<Nanos>,
     /// Lines that clients cause.
-    complaints: Sparse,
+    complaints: LogRateLimiter,
     /// What clients have shown of themselves.
     conduct: DuplicateFilter,
     /// What the program was started with, and what has been taken of it since.
@@ -114,28 +114,31 @@
 impl Reducer {
     /// A dispatcher that has not started.
     pub fn new(config: Config, epoch: Epoch) -> Self {
-        let (bytes, s) = (config.copies_bytes, &config.settings);
-        let copies = || Copies::new(bytes, config.own_link, &s.content_types, s.purge_done);
+        let (bytes, s) = (config.copy_memory_bytes, &config.settings);
+        let copies = || Copies::new(bytes, config.link_bytes_per_s, &s.content_types, s.purge_done);
         let copies = (bytes > 0).then(copies);
         let mut request_table =
-            RequestTable::new(config.connections, config.limits, config.settings.seed.rotate_left(16));
+            RequestTable::new(config.connection_limits, config.limits, config.settings.seed.rotate_left(16));
         request_table.keeps_copies = copies.is_some();
         let purges = s.purge_done.after(s.purge_notice);
-        let last_list = config.last_list.as_ref().map(|_| LastList::new(config.print(), purges));
-        let agreed = config.agreeing.as_ref().map(|agreeing| Agreed::new(agreeing, &config));
+        let last_list = config.snapshot.as_ref().map(|_| NodeListSnapshot::new(config.fingerprint(), purges));
+        let agreed = config.agreement.as_ref().map(|agreeing| Agreed::new(agreeing, &config));
         let log = ChangeLog::new(ChangeLogSettings {
-            addresses: config.followed(),
+            addresses: config.change_log_addresses(),
             applied: config.known.seq,
-            calls: config.calls,
+            calls: config.reconnect,
             seed: config.settings.seed.rotate_left(32),
             unix_zero: epoch.unix_zero(),
-            slack: config.agreeing.as_ref().map_or(SLACK, |agreeing| agreeing.ground.terms.slack),
-            looks_for_anew: agreed.is_some(),
+            slack: config
+                .agreement
+                .as_ref()
+                .map_or(SLACK, |agreeing| agreeing.context.timing.propagation_bound),
+            detects_log_restart: agreed.is_some(),
         });
         Reducer {
             agreed,
             settings: config.settings.clone(),
-            expiries: config.offers.iter().map(|offer| offer.expiry).collect(),
+            expiries: config.request_limits.iter().map(|offer| offer.max_timeout).collect(),
             copies,
             last_list,
             reading: HashMap::new(),
@@ -146,13 +149,13 @@
             module: Dispatcher::new(config.settings.clone()),
             request_table,
             log,
-            outside: OutsideTime::new(epoch),
+            external_time: ExternalTime::new(epoch),
             heartbeats: Heartbeats::default(),
             last_requests: false,
             drained: false,
             shut: false,
-            complaints: Sparse::default(),
-            conduct: DuplicateFilter::new(longest_expiry(&config), MOST_IDS),
+            complaints: LogRateLimiter::default(),
+            conduct: DuplicateFilter::new(longest_expiry(&config), MAX_IDS),
             config,
         }
     }
@@ -163,24 +166,24 @@
     }
 
     /// How many nodes there is a place for: those listed, and those that left not long ago.
-    pub fn nodes_kept(&self) -> u32 {
+    pub fn node_slot_count(&self) -> u32 {
         self.request_table.nodes_kept()
     }
 
     /// How many objects there is a place for.
-    pub fn objects_kept(&self) -> u32 {
+    pub fn object_slot_count(&self) -> u32 {
         self.request_table.objects_kept()
     }
 
     /// The clients that would be closed for want of descriptors, and as many more as may take their places.
-    pub fn resting(&self, now: Nanos) -> Vec<u32> {
+    pub fn idle_clients(&self, now: Nanos) -> Vec<u32> {
         self.request_table.clients.resting(2 * IDLE_AT_ONCE, now)
     }
 
     /// What is out at each node: as the decisions believe, and as it is.
-    pub fn out(&self) -> Vec<(u32, u32)> {
-        let nodes = (0..self.nodes_kept()).map(NodeId);
-        nodes.map(|node| (self.module.out_at(node), self.request_table.out_at(node))).collect()
+    pub fn in_flight_counts(&self) -> Vec<(u32, u32)> {
+        let nodes = (0..self.node_slot_count()).map(NodeId);
+        nodes.map(|node| (self.module.in_flight_at(node), self.request_table.out_at(node))).collect()
     }
 
     /// Changes the state as the event asks, and returns what is to be done.
@@ -216,32 +219,34 @@
             Event::Received(Peer::ChangeLog(number), bytes) => self.change_log_received(now, number, bytes),
             Event::Written(Peer::Client(number), total) => self.request_table.client_written(number, total),
             Event::Written(Peer::Node(number), total) => self.request_table.node_written(number, total),
-            Event::Stale(Peer::Node(number)) => self.request_table.renew(number),
-            Event::Unread(span) => self.request_table.unread = span,
+            Event::OutputStale(Peer::Node(number)) => self.request_table.renew(number),
+            Event::InputDelay(span) => self.request_table.unread = span,
             Event::Closed(Peer::Client(number)) => self.client_closed(now, number),
-            Event::Ended(Peer::Client(number)) => self.client_ended(now, number),
-            Event::Closed(Peer::Node(number)) | Event::Ended(Peer::Node(number)) => {
+            Event::EndOfStream(Peer::Client(number)) => self.client_ended(now, number),
+            Event::Closed(Peer::Node(number)) | Event::EndOfStream(Peer::Node(number)) => {
                 self.request_table.node_closed(number)
             }
-            Event::Unopened(Peer::Node(number)) => self.request_table.node_unopened(number),
-            Event::Unopened(Peer::ChangeLog(number)) => {
+            Event::ConnectFailedLocally(Peer::Node(number)) => self.request_table.node_unopened(number),
+            Event::ConnectFailedLocally(Peer::ChangeLog(number)) => {
                 self.log.unopened(number, now, &mut self.request_table.effects);
             }
-            Event::Closed(Peer::ChangeLog(number)) | Event::Ended(Peer::ChangeLog(number)) => {
+            Event::Closed(Peer::ChangeLog(number)) | Event::EndOfStream(Peer::ChangeLog(number)) => {
                 self.log.closed(number, now, &mut self.request_table.effects);
                 self.change_log_told(now);
             }
-            Event::ReadLast => {
+            Event::FinalReadDone => {
                 self.request_table.clients.shut_all(now, &mut self.request_table.effects);
                 self.shut = true;
-                self.request_table.effects.push(Effect::Arm(now.after(LINGERS_AT_END), Due::Lingered));
+                self.request_table
+                    .effects
+                    .push(Effect::Arm(now.after(EXIT_LINGER_TIMEOUT), TimerKind::LingerDeadline));
             }
-            Event::Due(due) => self.due(now, due),
+            Event::TimerFired(due) => self.due(now, due),
             Event::Terminate => {
                 if self.life.move_to(Phase::Draining) {
                     let drained = self.longest_expiry().min(LONGEST_DRAIN).after(DRAINED_AFTER);
                     let drained = drained.max(SHORTEST_DRAIN);
-                    let armed = [(LAST_REQUESTS, Due::LastRequests), (drained, Due::Drained)];
+                    let armed = [(LAST_REQUESTS, TimerKind::IntakeEnd), (drained, TimerKind::DrainDeadline)];
                     self.request_table
                         .effects
                         .extend(armed.map(|(span, due)| Effect::Arm(now.after(span), due)));
@@ -261,8 +266,8 @@
                 self.request_table.clients.make_room(IDLE_AT_ONCE, now, &mut self.request_table.effects);
             }
             Event::Connected(Peer::Client(_))
-            | Event::Unopened(Peer::Client(_))
-            | Event::Stale(Peer::Client(_) | Peer::ChangeLog(_))
+            | Event::ConnectFailedLocally(Peer::Client(_))
+            | Event::OutputStale(Peer::Client(_) | Peer::ChangeLog(_))
             | Event::Written(Peer::ChangeLog(_), _) => {}
         }
         self.hand_on_ends(now);
@@ -271,7 +276,7 @@
         let over = self.drained || (self.last_requests && self.request_table.is_clear());
         if self.life.phase() == Phase::Draining && over {
             self.life.move_to(Phase::Closing);
-            self.request_table.effects.push(Effect::ReadLast);
+            self.request_table.effects.push(Effect::FinalRead);
         }
         if self.life.phase() == Phase::Closing && self.shut && self.request_table.clients.count() == 0 {
             self.life.move_to(Phase::Stopped);
@@ -283,7 +288,7 @@
     /// Before each decision: the rules that are in force by now. Leases run out, and moments come, between events.
     fn obey(&mut self, now: Nanos) {
         let Some(agreed) = &mut self.agreed else { return };
-        if let Some((settings, expiries)) = agreed.look(now, self.outside.earliest_ms(now)) {
+        if let Some((settings, expiries)) = agreed.look(now, self.external_time.earliest_ms(now)) {
             self.module.settings_changed(&settings);
             (self.settings, self.expiries) = (settings, expiries);
         }
@@ -291,32 +296,35 @@
 
     fn start(&mut self, now: Nanos) {
         self.module.start(now, &mut self.request_table);
-        self.config.known.results.iter().for_each(|change| self.outside.event_heard(now, change));
+        self.config.known.results.iter().for_each(|change| self.external_time.observe_event(now, change));
         for change in std::mem::take(&mut self.config.known.results) {
             self.apply(now, &change, false);
         }
-        if let (Some(agreed), Some(agreeing)) = (&mut self.agreed, &self.config.agreeing) {
-            agreeing.issued.iter().for_each(|issue| self.outside.time_told(now, issue.issued_ms));
-            agreed.issued(now, self.outside.earliest_ms(now), &agreeing.issued);
+        if let (Some(agreed), Some(agreeing)) = (&mut self.agreed, &self.config.agreement) {
+            agreeing
+                .issued_versions
+                .iter()
+                .for_each(|issue| self.external_time.observe_time(now, issue.issued_ms));
+            agreed.issued(now, self.external_time.earliest_ms(now), &agreeing.issued_versions);
         }
         self.obey(now);
         let has_list = self.life.phase() == Phase::Serving;
         self.log.start(has_list, now, &mut self.request_table.effects);
-        self.request_table.effects.push(Effect::Arm(now.after(SWEEP), Due::Sweep));
+        self.request_table.effects.push(Effect::Arm(now.after(SWEEP), TimerKind::Sweep));
     }
 
-    fn due(&mut self, now: Nanos, due: Due) {
+    fn due(&mut self, now: Nanos, due: TimerKind) {
         match due {
-            Due::Module(token) => self.module.timer(now, token, &mut self.request_table),
-            Due::Expiry(request_id, generation) => self.expire(now, request_id, generation),
-            Due::Disk(request_id, generation) => {
+            TimerKind::Routing(token) => self.module.timer(now, token, &mut self.request_table),
+            TimerKind::Expiry(request_id, generation) => self.expire(now, request_id, generation),
+            TimerKind::DiskReadTimeout(request_id, generation) => {
                 if self.is_reading(request_id, generation) {
                     self.go_on(now, request_id);
                 }
             }
-            Due::Connect(number) => self.request_table.connect_overdue(number),
-            Due::ChangeLog => self.log.connect(now, &mut self.request_table.effects),
-            Due::Sweep => {
+            TimerKind::ConnectTimeout(number) => self.request_table.connect_overdue(number),
+            TimerKind::ConnectChangeLog => self.log.connect_due(now, &mut self.request_table.effects),
+            TimerKind::Sweep => {
                 self.request_table.sweep();
                 // No request in hand is older than the longest expiry.
                 for node in self.request_table.forget_nodes(self.longest_expiry().after(SWEEP)) {
@@ -332,18 +340,20 @@
                     self.request_table.close_when_answered(number);
                 }
                 self.request_table.clients.sweep(now, &mut self.request_table.effects);
-                self.log.watch(now, &mut self.request_table.effects);
+                self.log.check_silence(now, &mut self.request_table.effects);
                 self.change_log_told(now);
                 self.place_starts(now);
-                let unix_ms = self.outside.latest_ms(now);
-                let list = self.last_list.as_mut().and_then(|list| list.due(now, unix_ms));
-                self.request_table.effects.extend(list.map(Effect::KeepList));
-                self.request_table.effects.push(Effect::Arm(now.after(SWEEP), Due::Sweep));
+                let unix_ms = self.external_time.latest_ms(now);
+                let list = self.last_list.as_mut().and_then(|list| list.bytes_if_due(now, unix_ms));
+                self.request_table.effects.extend(list.map(Effect::SaveNodeList));
+                self.request_table.effects.push(Effect::Arm(now.after(SWEEP), TimerKind::Sweep));
+            }
+            TimerKind::SendBy(attempt, generation) => self.request_table.too_late(attempt, generation),
+            TimerKind::IntakeEnd => self.last_requests = true,
+            TimerKind::LingerDeadline => {
+                self.request_table.clients.sweep(now, &mut self.request_table.effects)
             }
-            Due::SendBy(attempt, generation) => self.request_table.too_late(attempt, generation),
-            Due::LastRequests => self.last_requests = true,
-            Due::Lingered => self.request_table.clients.sweep(now, &mut self.request_table.effects),
-            Due::Drained => {
+            TimerKind::DrainDeadline => {
                 for (request_id, generation) in self.request_table.all_owed() {
                     self.expire(now, request_id, generation);
                 }
@@ -371,12 +381,12 @@
 
     /// A client that takes nothing for so long is gone.
     fn client_patience(&self) -> Nanos {
-        let idle = self.config.connections.idle;
+        let idle = self.config.connection_limits.peer_idle_timeout;
         if idle > Nanos::ZERO { idle } else { Nanos(u64::MAX) }
     }
 }
 
 /// The longest that any client waits.
 fn longest_expiry(config: &Config) -> Nanos {
-    config.offers.iter().map(|offer| offer.expiry).max().unwrap_or_default()
+    config.request_limits.iter().map(|offer| offer.max_timeout).max().unwrap_or_default()
 }
--- a/crates/dispatcher/src/request_table/actions.rs
+++ b/crates/dispatcher/src/request_table/actions.rs
@@ -11,10 +11,11 @@
         let (node, rank) = (self.nodes.id(attempt.node), attempt.rank);
         let from = source.as_deref().unwrap_or("-");
         log::debug!(target: TRACE, "{id} pull {} to {node} from {from} rank {rank}", place.number);
-        let connection = self.nodes.take(attempt.node, place, id, pending.once, self.now, &mut self.effects);
+        let connection =
+            self.nodes.assign(attempt.node, place, id, pending.once, self.now, &mut self.effects);
         let (at, number) = (self.now, connection.unwrap_or_default());
         if let Some(by) = attempt.send_by {
-            self.effects.push(Effect::Arm(by, Due::SendBy(place, pending.generation)));
+            self.effects.push(Effect::Arm(by, TimerKind::SendBy(place, pending.generation)));
         }
         pending.attempts.push(InFlightAttempt {
             attempt: *attempt,
@@ -42,21 +43,21 @@
         self.answer(request_id, Answer::Failed);
     }
 
-    fn arm(&mut self, span: Nanos, token: u64) {
-        self.effects.push(Effect::Arm(self.now.after(span), Due::Module(token)));
+    fn arm_timer(&mut self, span: Nanos, token: u64) {
+        self.effects.push(Effect::Arm(self.now.after(span), TimerKind::Routing(token)));
     }
 
-    fn probe(&mut self, _node: NodeId) {}
+    fn probe_load(&mut self, _node: NodeId) {}
 
-    fn ask_alive(&mut self, node: NodeId) {
-        self.nodes.ask_alive(node, self.now, &mut self.effects);
+    fn probe_readiness(&mut self, node: NodeId) {
+        self.nodes.probe_readiness(node, self.now, &mut self.effects);
     }
 
-    fn follow(&mut self) {
+    fn subscribe_to_list(&mut self) {
         // The change log is followed from the start.
     }
 
-    fn note(&mut self, line: &str) {
+    fn log_line(&mut self, line: &str) {
         log::info!("{line}");
     }
 
@@ -64,7 +65,7 @@
         if let Some(pending) = self.pending.get(request_id.0) {
             self.asked.remove(&pending.request.id);
         }
-        self.pending.clear(request_id.0);
+        self.pending.remove(request_id.0);
         self.request_ids.release(request_id.0);
     }
 
--- a/crates/dispatcher/src/request_table/attempts.rs
+++ b/crates/dispatcher/src/request_table/attempts.rs
@@ -10,36 +10,39 @@
             return;
         };
         ended.out = false;
-        let took = self.now.since(ended.at);
-        let closed = outcome == Outcome::Served;
+        let duration = self.now.since(ended.at);
+        let completes_request = outcome == Outcome::Served;
         let why = told.map_or(Remark::None, |told| told.remark);
         let (id, node) = (pending.request.id, self.nodes.id(ended.attempt.node));
         let bytes = told.map_or(0, |told| told.body.len());
         let size = pending.request.size_kb.unwrap_or_default();
-        let (number, us) = (attempt.number, took.0 / 1_000);
+        let (number, us) = (attempt.number, duration.0 / 1_000);
         log::debug!(target: TRACE, "{id} pull {number} at {node} {outcome:?} {why:?} in {us} us, {bytes} bytes for {size} KB");
         let client = pending.client;
         let made_ms = told.and_then(|told| told.copy).map(|(_, made_ms)| made_ms);
         self.latest_made_ms = self.latest_made_ms.max(made_ms);
-        if self.keeps_copies && closed {
+        if self.keeps_copies && completes_request {
             self.offered.extend(told.and_then(|told| pending.offer(told)));
         }
-        if let Some(told) = told.filter(|_| closed) {
+        if let Some(told) = told.filter(|_| completes_request) {
             let short = self.is_short_for(client);
             self.answer(
                 attempt.request_id,
-                match told.current {
-                    true => Answer::Current,
+                match told.not_modified {
+                    true => Answer::NotModified,
                     // It may have run, so nothing is promised; others are served from what memory is left.
                     false if short => Answer::Failed,
                     false => Answer::Served(&told.body),
                 },
             );
         }
-        let waited = told.and_then(|told| told.waited);
+        let first_byte_wait = told.and_then(|told| told.first_byte_wait);
         let remark = told.map_or(Remark::None, |told| told.remark);
-        let report = told.map_or(Report::default(), |told| told.report);
-        self.ended.push_back((attempt, AttemptEnd { outcome, took, closed, waited, remark, report }));
+        let report = told.map_or(LoadReport::default(), |told| told.report);
+        self.ended.push_back((
+            attempt,
+            AttemptEnd { outcome, duration, completes_request, first_byte_wait, remark, report },
+        ));
     }
 
     /// Gives up an attempt that is out. One that was not sent when its time was up never ran.
@@ -48,7 +51,7 @@
         let Some(out) = pending.attempts.get(attempt.number as usize).filter(|out| out.out) else { return };
         let id = pending.request.id;
         let connection = out.connection;
-        let unsent = self.nodes.give_up(connection, attempt, id, pending.owed, &mut self.effects);
+        let unsent = self.nodes.abort(connection, attempt, id, pending.owed, &mut self.effects);
         let outcome = if unsent && outcome == Outcome::TimedOut { Outcome::NotSent } else { outcome };
         self.end(attempt, outcome, None);
         if unsent {
@@ -68,7 +71,7 @@
                 out.attempt.send_by.is_some_and(|by| by < now) || out.until(pending).since(now) < LEAST_LEFT
             })
         };
-        let late = self.nodes.take_back_on(connection, late);
+        let late = self.nodes.retract_waiting(connection, late);
         late.into_iter().for_each(|attempt| self.end(attempt, Outcome::NotSent, None));
         let pending = &self.pending;
         let fetch = |attempt: AttemptId| {
@@ -80,22 +83,22 @@
                 content_type: &request.content_type,
                 object: request.object,
                 part: request.part,
-                wait: out.until(pending).since(now),
+                timeout: out.until(pending).since(now),
                 source: out.source.as_deref(),
                 // The age means the same moment as when it was ordered.
-                order: Attempt { max_age: order.max_age.map(|age| age.after(now.since(out.at))), ..*order },
-                held: request.held,
-                mark: request.mark.as_deref(),
+                attempt: Attempt { max_age: order.max_age.map(|age| age.after(now.since(out.at))), ..*order },
+                cached_tag: request.cached_tag,
+                idempotency_key: request.idempotency_key.as_deref(),
                 body: &request.body,
             };
             Some((fetch, pending.expires, pending.once))
         };
-        self.nodes.hand_over(connection, now, fetch, &mut self.effects);
+        self.nodes.write_waiting(connection, now, fetch, &mut self.effects);
     }
 
     /// What was to be written to a node has waited for long: what has not begun to leave is put into words anew as it does.
     pub fn renew(&mut self, connection: u32) {
-        self.nodes.unsay(connection, &mut self.effects);
+        self.nodes.requeue_unsent(connection, &mut self.effects);
         self.hand_over(connection);
         self.nodes.close_if_spent(connection, &mut self.effects);
     }
@@ -104,7 +107,7 @@
 
     /// A connection to a node has come up.
     pub fn node_connected(&mut self, connection: u32) {
-        self.nodes.connected(connection, self.now, &mut self.effects);
+        self.nodes.connection_opened(connection, self.now, &mut self.effects);
         self.hand_over(connection);
     }
 
@@ -118,18 +121,20 @@
     pub fn node_received(&mut self, connection: u32, bytes: &[u8]) {
         self.nodes.received(connection, bytes, self.now);
         loop {
-            match self.nodes.answer(connection, self.now) {
-                Next::Nothing => return self.nodes.close_if_spent(connection, &mut self.effects),
-                Next::Nobodys => {}
-                Next::Alive(node, asked, takes_work) => self.alive.push((node, asked, takes_work)),
-                Next::Answer(attempt, answer) if self.is_sound(attempt, &answer) => {
+            match self.nodes.next_message(connection, self.now) {
+                NextMessage::Incomplete => return self.nodes.close_if_spent(connection, &mut self.effects),
+                NextMessage::Unmatched => {}
+                NextMessage::ProbeAnswer(node, asked, takes_work) => {
+                    self.alive.push((node, asked, takes_work))
+                }
+                NextMessage::Answer(attempt, answer) if self.is_sound(attempt, &answer) => {
                     self.end(attempt, answer.outcome, Some(&answer));
                 }
-                Next::Answer(attempt, _) => {
+                NextMessage::Answer(attempt, _) => {
                     self.end(attempt, Outcome::Broken, None);
                     return self.node_closed(connection);
                 }
-                Next::Unreadable => return self.node_closed(connection),
+                NextMessage::Unreadable => return self.node_closed(connection),
             }
         }
     }
@@ -139,8 +144,8 @@
     pub(super) fn is_sound(&self, attempt: AttemptId, answer: &nodes::Answer) -> bool {
         let Some(pending) = self.pending.get(attempt.request_id.0) else { return true };
         let copy = answer.copy.is_some() || !pending.of_copies;
-        let current = pending.request.held.is_some() && answer.body.is_empty();
-        answer.outcome != Outcome::Served || (copy && (current || !answer.current))
+        let current = pending.request.cached_tag.is_some() && answer.body.is_empty();
+        answer.outcome != Outcome::Served || (copy && (current || !answer.not_modified))
     }
 
     /// A connection to a node is over, or never came up: what had not left whole never ran.
@@ -149,14 +154,14 @@
             let id = self.nodes.id(node);
             log::debug!(target: TRACE, "node {id}: connection {connection} ended");
         }
-        for (attempt, outcome) in self.nodes.ended(connection, self.now, &mut self.effects) {
+        for (attempt, outcome) in self.nodes.connection_ended(connection, self.now, &mut self.effects) {
             self.end(attempt, outcome, None);
         }
     }
 
     /// A connection to a node could not be made for want of something of this machine's own: the node is not to blame.
     pub fn node_unopened(&mut self, connection: u32) {
-        for (attempt, _) in self.nodes.ended(connection, self.now, &mut self.effects) {
+        for (attempt, _) in self.nodes.connection_ended(connection, self.now, &mut self.effects) {
             self.end(attempt, Outcome::NotSent, None);
         }
     }
--- a/crates/dispatcher/src/request_table/mod.rs
+++ b/crates/dispatcher/src/request_table/mod.rs
@@ -5,19 +5,19 @@
 use crate::clients::Clients;
 use crate::config::Limits;
 use crate::copies::{self, Offered};
-use crate::effects::{Due, Effect};
-use crate::nodes::{AttemptId, Next, Nodes, Pool, ProbeCounts, Start};
+use crate::effects::{Effect, TimerKind};
+use crate::nodes::{AttemptId, NextMessage, NodePool, NodeStart, Nodes, ProbeCounts};
 use copperroute_cache_store::record::Facts;
 use copperroute_protocol::clients::{Answer, Request};
 use copperroute_protocol::hex::Hex;
 use copperroute_protocol::nodes::{self, Fetch};
 use copperroute_routing::interface::{
-    Actions, Attempt, AttemptEnd, Nanos, NodeId, ObjectId, Outcome, Readiness, Remark, Report, RequestId,
+    Actions, Attempt, AttemptEnd, LoadReport, Nanos, NodeId, ObjectId, Outcome, Readiness, Remark, RequestId,
     RoutingRequest,
 };
 use copperroute_routing::state::Slots;
 use copperroute_routing::structures::ids::Ids;
-use copperroute_settings::Connections;
+use copperroute_settings::ConnectionLimits;
 
 mod actions;
 mod attempts;
@@ -50,7 +50,7 @@
 impl InFlightAttempt {
     /// Until when its answer is of use.
     fn until(&self, pending: &PendingRequest) -> Nanos {
-        self.attempt.try_for.map_or(pending.expires, |span| self.at.after(span).min(pending.expires))
+        self.attempt.time_limit.map_or(pending.expires, |span| self.at.after(span).min(pending.expires))
     }
 }
 
@@ -76,7 +76,7 @@
 impl PendingRequest {
     /// The copy that an answer brings, for those who keep them.
     fn offer(&self, answer: &nodes::Answer) -> Option<(RoutingRequest, Offered)> {
-        let (routing_request, (etag, made_ms)) = (self.told?, answer.copy.filter(|_| !answer.current)?);
+        let (routing_request, (etag, made_ms)) = (self.told?, answer.copy.filter(|_| !answer.not_modified)?);
         let key = copies::key(routing_request.content_type.0, self.request.object, self.request.part)?;
         let group = self.request.group.and_then(|group| u8::try_from(group).ok());
         let facts = Facts { etag: etag.bytes(), made_ms, group };
@@ -117,9 +117,9 @@
 
 impl RequestTable {
     /// An empty request table.
-    pub fn new(connections: Connections, limits: Limits, seed: u64) -> Self {
+    pub fn new(connections: ConnectionLimits, limits: Limits, seed: u64) -> Self {
         let mut clients = Clients::default();
-        clients.lingering.limit(limits.sockets as usize);
+        clients.lingering.set_descriptor_limit(limits.sockets as usize);
         RequestTable {
             now: Nanos::ZERO,
             unread: Nanos::ZERO,
@@ -142,21 +142,21 @@
     }
 
     /// Takes new limits.
-    pub fn limit(&mut self, connections: Connections, limits: Limits) {
+    pub fn limit(&mut self, connections: ConnectionLimits, limits: Limits) {
         self.most_unsent = limits.memory_mb * 1024 * 1024 / UNSENT_PART;
-        self.clients.lingering.limit(limits.sockets as usize);
-        self.nodes.limit(connections, limits.sockets as usize / NODES_PART);
+        self.clients.lingering.set_descriptor_limit(limits.sockets as usize);
+        self.nodes.set_limits(connections, limits.sockets as usize / NODES_PART);
     }
 
     /// Nodes that have turned connections away since this was asked, and until when none is opened there.
     pub fn turned_away(&mut self) -> Vec<(NodeId, Nanos)> {
-        self.nodes.turned_away()
+        self.nodes.take_refusing_nodes()
     }
 
     /// Looks after connections; to be called now and then.
     pub fn sweep(&mut self) {
-        self.nodes.stuck(self.now).into_iter().for_each(|connection| self.node_closed(connection));
-        self.nodes.sweep(self.now, &mut self.effects);
+        self.nodes.stalled(self.now).into_iter().for_each(|connection| self.node_closed(connection));
+        self.nodes.close_idle(self.now, &mut self.effects);
     }
 
     // Requests.
@@ -171,12 +171,12 @@
         once: bool,
     ) -> (RequestId, ObjectId, Nanos) {
         self.generation += 1;
-        let request_id = RequestId(self.request_ids.open(self.generation));
-        let object = ObjectId(self.objects.open((request.object, request.part)));
+        let request_id = RequestId(self.request_ids.get_or_assign(self.generation));
+        let object = ObjectId(self.objects.get_or_assign((request.object, request.part)));
         // Its client waits since it asked.
         let waits = Nanos(request.timeout_ms.saturating_mul(1_000_000)).since(self.unread);
         let expires = self.now.after(waits);
-        self.effects.push(Effect::Arm(expires, Due::Expiry(request_id, self.generation)));
+        self.effects.push(Effect::Arm(expires, TimerKind::Expiry(request_id, self.generation)));
         self.asked.insert(request.id);
         let (id, of, part) = (request.id, &request.content_type, request.part);
         let (named, ms) = (request.object, request.timeout_ms);
@@ -213,7 +213,7 @@
     pub fn asked_for(&self, request_id: RequestId) -> Option<(Hex, u64, Option<Hex>)> {
         self.pending
             .get(request_id.0)
-            .map(|pending| (pending.request.object, pending.request.part, pending.request.held))
+            .map(|pending| (pending.request.object, pending.request.part, pending.request.cached_tag))
     }
 
     /// The module is told of a request in these words.
@@ -289,8 +289,8 @@
 
     /// While clients take too little, nodes are not read from: what they hold back costs no memory here.
     fn balance(&mut self) {
-        let most = self.most_unsent / if self.nodes.are_held_back() { 2 } else { 1 };
-        self.nodes.hold_back(self.clients.unsent() > most, &mut self.effects);
+        let most = self.most_unsent / if self.nodes.reads_paused() { 2 } else { 1 };
+        self.nodes.pause_reads(self.clients.unsent() > most, &mut self.effects);
     }
 
     /// Notes that the answer of a request is owed no more; tells who asked for it, if it was owed.
@@ -329,7 +329,7 @@
     pub fn all_owed(&self) -> Vec<(RequestId, u64)> {
         let owed = self.pending.iter().filter(|pending| pending.owed);
         owed.filter_map(|pending| {
-            self.request_ids.held(&pending.generation).map(|slot| (RequestId(slot), pending.generation))
+            self.request_ids.get(&pending.generation).map(|slot| (RequestId(slot), pending.generation))
         })
         .collect()
     }
--- a/crates/dispatcher/tests/dispatcher/agreed.rs
+++ b/crates/dispatcher/tests/dispatcher/agreed.rs
@@ -1,10 +1,10 @@
 //! Rules with versions: which a dispatcher acts on, seen from its connections.
 
 use crate::common::{CONFIG, Play, request};
-use copperroute_config_rollout::issue::{Issue, written_digest};
+use copperroute_config_rollout::version::{IssuedVersion, format_digest};
 use copperroute_dispatcher::config::Config;
 use copperroute_dispatcher::effects::{Event, Peer};
-use copperroute_settings::operator::Operator;
+use copperroute_settings::operator::OperatorFile;
 use expect_test::expect;
 use serde_json::{Value, json};
 use std::fmt::Write as _;
@@ -15,7 +15,8 @@
 fn config() -> Config {
     let operator = json!({"agreement": {"lease_s": 3, "floor": {"max_pulls": 2, "types": {"image": {"expiry_s": 0.5}}}}});
     let mut config = Config::parse(CONFIG).expect("a good configuration");
-    config.agreeing = config.agreeing(&Operator::parse(&operator.to_string()).expect("good")).expect("good");
+    config.agreement =
+        config.agreeing(&OperatorFile::parse(&operator.to_string()).expect("good")).expect("good");
     config
 }
 
@@ -78,9 +79,9 @@
     lines(&mut play, 2, 1);
     let first = version(2, 1, "", 2_000, 4_000, json!({"max_pulls": 2}));
     let told: Value = serde_json::from_str(&first).expect("JSON");
-    let digest = Issue::read(&told["rules"]).expect("a version").digest();
+    let digest = IssuedVersion::from_value(&told["rules"]).expect("a version").digest();
     play.log(1, &first);
-    play.log(1, &version(3, 2, &written_digest(1, digest), 2_000, 4_500, json!({"max_pulls": 6})));
+    play.log(1, &version(3, 2, &format_digest(1, digest), 2_000, 4_500, json!({"max_pulls": 6})));
     play.log(1, "3");
     let _ = writeln!(trace, "tightened: {}", attempts(&mut play, 1));
     lines(&mut play, 5, 3);
--- a/crates/dispatcher/tests/dispatcher/last_list_clocks.rs
+++ b/crates/dispatcher/tests/dispatcher/last_list_clocks.rs
@@ -3,10 +3,10 @@
 use crate::common::{CONFIG, Play, START_MS, request};
 use copperroute_dispatcher::clock::Epoch;
 use copperroute_dispatcher::config::Config;
-use copperroute_dispatcher::last_list::decode;
-use copperroute_dispatcher::outside_time::OutsideTime;
+use copperroute_dispatcher::external_time::ExternalTime;
+use copperroute_dispatcher::node_list_snapshot::decode;
 use copperroute_routing::interface::Nanos;
-use copperroute_settings::operator::LastList as Told;
+use copperroute_settings::operator::SnapshotSettings as Told;
 use expect_test::expect;
 
 const HOUR: i64 = 3_600_000;
@@ -22,7 +22,7 @@
 
 fn config() -> Config {
     let mut config = Config::parse(CONFIG).expect("a good configuration");
-    config.last_list = Some(Told { folder: "unused".into(), most_age_s: MOST_AGE_S });
+    config.snapshot = Some(Told { folder: "unused".into(), most_age_s: MOST_AGE_S });
     config
 }
 
@@ -51,10 +51,10 @@
     let mut config = config();
     let start_ms = START_MS + LIVED_S * 1_000 + AWAY_MS;
     // As a start judges it.
-    let mut outside = OutsideTime::new(Epoch::at(start_ms.saturating_add_signed(off_ms) * 1_000_000));
-    config.known.results.iter().for_each(|change| outside.event_heard(EPOCH, change));
+    let mut outside = ExternalTime::new(Epoch::at(start_ms.saturating_add_signed(off_ms) * 1_000_000));
+    config.known.results.iter().for_each(|change| outside.observe_event(EPOCH, change));
     let most_age_ms = (MOST_AGE_S * 1e3) as u64;
-    match decode(bytes, outside.latest_ms(EPOCH), config.print(), most_age_ms, config.known.seq) {
+    match decode(bytes, outside.latest_ms(EPOCH), config.fingerprint(), most_age_ms, config.known.seq) {
         Err(why) => why,
         Ok((known, age_ms)) => {
             config.known = known;
--- a/crates/dispatcher/tests/dispatcher/two_streams.rs
+++ b/crates/dispatcher/tests/dispatcher/two_streams.rs
@@ -1,11 +1,11 @@
 //! The change log followed by streams from two replicas, seen from the reducer's connections.
 
 use crate::common::{CONFIG, LOOPBACK, Play, request};
-use copperroute_dispatcher::changes::stricter::restrictions;
+use copperroute_dispatcher::changes::stricter::stricter_part;
 use copperroute_dispatcher::config::Config;
 use copperroute_dispatcher::effects::{Event, Peer};
 use copperroute_protocol::changes::Change;
-use copperroute_settings::operator::Operator;
+use copperroute_settings::operator::OperatorFile;
 use expect_test::expect;
 use serde_json::json;
 
@@ -18,11 +18,11 @@
         "lists": {"calls_per_s": 60, "dispatchers": 59, "replicas": replicas},
         "agreement": {"lease_s": 3, "floor": {"max_pulls": 2}},
     });
-    let operator = Operator::parse(&operator.to_string()).expect("a good file");
+    let operator = OperatorFile::parse(&operator.to_string()).expect("a good file");
     let mut config = Config::parse(CONFIG).expect("a good configuration");
-    config.calls = operator.calls(config.calls).expect("good");
+    config.reconnect = operator.reconnect_settings(config.reconnect).expect("good");
     config.replicas = operator.replicas().expect("good");
-    config.agreeing = config.agreeing(&operator).expect("good");
+    config.agreement = config.agreeing(&operator).expect("good");
     config
 }
 
@@ -252,7 +252,7 @@
     ];
     let taken = contents.map(|content| {
         let change: Change = serde_json::from_str(content).expect("an event");
-        restrictions(&change).map_or("nothing\n".into(), |taken| json!(taken).to_string() + "\n")
+        stricter_part(&change).map_or("nothing\n".into(), |taken| json!(taken).to_string() + "\n")
     });
     expect![[r#"
         {"fleet":null,"invalidate":{"bucket":null,"object":"7f3a","time":1},"seq":2}
--- a/crates/dispatcher/tests/dispatcher/two_streams_sum.rs
+++ b/crates/dispatcher/tests/dispatcher/two_streams_sum.rs
@@ -1,11 +1,11 @@
 //! The calls of 590 dispatchers, each of which follows two of six replicas, counted at each replica.
 
 use copperroute_dispatcher::changes::{ChangeLog, ChangeLogSettings};
-use copperroute_dispatcher::effects::{Due, Effect, Peer};
-use copperroute_routing::calls::CallSettings;
-use copperroute_routing::change_log::{Replica, followed};
+use copperroute_dispatcher::effects::{Effect, Peer, TimerKind};
+use copperroute_routing::change_log::{Replica, select_replicas};
 use copperroute_routing::interface::{Nanos, stable_hash};
-use copperroute_settings::operator::Operator;
+use copperroute_routing::reconnect_schedule::ReconnectSettings;
+use copperroute_settings::operator::OperatorFile;
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -23,11 +23,11 @@
 type Calls = BTreeMap<SocketAddr, Vec<Nanos>>;
 
 /// Six replicas in three zones.
-fn operator() -> Operator {
+fn operator() -> OperatorFile {
     let replica = |at: u8| json!({"address": format!("10.0.{at}.1:2379"), "region": "north", "zone": format!("z{}", at / 2)});
     let replicas: Vec<_> = (0..6).map(replica).collect();
     let lists = json!({"calls_per_s": BEARS, "dispatchers": DISPATCHERS, "replicas": replicas});
-    Operator::parse(&json!({ "lists": lists }).to_string()).expect("a good file")
+    OperatorFile::parse(&json!({ "lists": lists }).to_string()).expect("a good file")
 }
 
 /// One dispatcher's change log, and when it wants to be looked at.
@@ -39,8 +39,8 @@
 }
 
 impl Follower {
-    fn new(name: &str, replicas: &[Replica], calls: CallSettings, unix_zero: u64) -> Follower {
-        let two = followed(replicas, name).expect("two or more");
+    fn new(name: &str, replicas: &[Replica], calls: ReconnectSettings, unix_zero: u64) -> Follower {
+        let two = select_replicas(replicas, name).expect("two or more");
         let settings = ChangeLogSettings {
             addresses: two.map(|replica| replica.address).to_vec(),
             applied: 1,
@@ -48,7 +48,7 @@
             seed: stable_hash(name.as_bytes()),
             unix_zero,
             slack: Nanos(500_000_000),
-            looks_for_anew: false,
+            detects_log_restart: false,
         };
         Follower { log: ChangeLog::new(settings), armed: Vec::new(), connections: BTreeMap::new() }
     }
@@ -57,7 +57,7 @@
     fn take(&mut self, now: Nanos, effects: Vec<Effect>, calls: &mut Calls) {
         for effect in effects {
             match effect {
-                Effect::Arm(at, Due::ChangeLog) => self.armed.push(at),
+                Effect::Arm(at, TimerKind::ConnectChangeLog) => self.armed.push(at),
                 Effect::Connect(Peer::ChangeLog(connection), address) => {
                     calls.entry(address).or_default().push(now);
                     self.connections.insert(connection, address);
@@ -78,7 +78,7 @@
         self.armed.sort();
         for at in std::mem::take(&mut self.armed) {
             let mut effects = Vec::new();
-            self.log.connect(at, &mut effects);
+            self.log.connect_due(at, &mut effects);
             self.take(at, effects, calls);
         }
     }
@@ -94,7 +94,7 @@
                     self.log.connected(*connection, now, &mut effects);
                 }
                 self.log.received(*connection, now, b"1\n");
-                while self.log.next_told(now, &mut effects).is_some() {}
+                while self.log.next_update(now, &mut effects).is_some() {}
             }
         }
     }
@@ -112,8 +112,14 @@
 
 fn followers(deployment: u64) -> Vec<Follower> {
     let operator = operator();
-    let known = CallSettings { dispatchers: 1, calls_per_s: None, told_after: Nanos::ZERO, part: [0.0, 1.0] };
-    let (replicas, calls) = (operator.replicas().expect("good"), operator.calls(known).expect("good"));
+    let known = ReconnectSettings {
+        dispatchers: 1,
+        calls_per_s: None,
+        delivered_after: Nanos::ZERO,
+        window_range: [0.0, 1.0],
+    };
+    let (replicas, calls) =
+        (operator.replicas().expect("good"), operator.reconnect_settings(known).expect("good"));
     let unix_zero = 1_764_576_000_000_000_000 + deployment * 377_000_000;
     let follower = |at| Follower::new(&format!("d{deployment}-{at}"), &replicas, calls, unix_zero);
     (0..DISPATCHERS).map(follower).collect()
--- a/crates/dispatcher/tests/dispatcher/unsent.rs
+++ b/crates/dispatcher/tests/dispatcher/unsent.rs
@@ -2,7 +2,7 @@
 
 use crate::common::{CONFIG, LOOPBACK, Play, message, request};
 use copperroute_dispatcher::effects::{Event, Peer};
-use copperroute_dispatcher::lingering::Lingering;
+use copperroute_dispatcher::lingering::LingeringConnections;
 use copperroute_routing::interface::Nanos;
 use expect_test::expect;
 
@@ -34,7 +34,7 @@
             play.client(&request(7, "image", "9b1f", ",need=100"));
             match leave {
                 0 => play.client(&message("ABORT", 7)),
-                1 => play.event(Event::Ended(Peer::Client(1))),
+                1 => play.event(Event::EndOfStream(Peer::Client(1))),
                 _ => play.event(Event::Closed(Peer::Client(1))),
             }
             play.event(Event::Connected(Peer::Node(1)));
@@ -188,7 +188,9 @@
             if numbers.is_empty() {
                 break;
             }
-            numbers.into_iter().for_each(|number| play.event(Event::Unopened(Peer::Node(number))));
+            numbers
+                .into_iter()
+                .for_each(|number| play.event(Event::ConnectFailedLocally(Peer::Node(number))));
         }
     }
     play.calm = true;
@@ -270,12 +272,17 @@
 #[test]
 fn a_lingering_close_is_bounded_in_time_bytes_and_number() {
     let (now, later) = (Nanos(5_000_000_000), Nanos(6_000_000_000));
-    let mut lingering = Lingering::default();
-    lingering.limit(64);
+    let mut lingering = LingeringConnections::default();
+    lingering.set_descriptor_limit(64);
     let closed: Vec<_> = (1..=6).filter_map(|number| lingering.begin(now, number)).collect();
     // Four linger, whatever the limit of descriptors; then the oldest makes room.
     assert_eq!((closed, lingering.count()), (vec![1, 2], 4));
-    assert!(!lingering.came(3, 500_000) && lingering.came(3, 100_000) && !lingering.came(9, 1 << 30));
-    lingering.ended(4);
-    assert_eq!((lingering.over(now), lingering.over(later), lingering.count()), (vec![], vec![5, 6], 0));
+    assert!(
+        !lingering.received(3, 500_000) && lingering.received(3, 100_000) && !lingering.received(9, 1 << 30)
+    );
+    lingering.remove(4);
+    assert_eq!(
+        (lingering.take_expired(now), lingering.take_expired(later), lingering.count()),
+        (vec![], vec![5, 6], 0)
+    );
 }
--- a/crates/routing/src/fleet/overload_control/mod.rs
+++ b/crates/routing/src/fleet/overload_control/mod.rs
@@ -1,12 +1,12 @@
 //! Overload control for retry storms: detects overload per content type, admits what the backends can serve, and gives the
-//! other requests a retry-after. The policy (`src/policy/`) calls [`OverloadControl::arrives`] before a request's first attempt
-//! and [`OverloadControl::answered`] for each final answer. No I/O; time comes with each call, random numbers from a seed. See
-//! docs/storms.md.
+//! other requests a retry-after. The policy (`src/policy/`) calls [`OverloadControl::admit`] before a request's first
+//! attempt and [`OverloadControl::request_answered`] for each final answer. No I/O; time comes with each call, random
+//! numbers from a seed. See docs/storms.md.
 
 mod tries;
 
 use crate::fleet::admission_control::{AdmissionControl, LEVELS};
-use crate::interface::{ContentType, Nanos, Repeat, RoutingRequest, StormSettings, TypeId, mix};
+use crate::interface::{ContentType, Nanos, OverloadSettings, RetrySafety, RoutingRequest, TypeId, mix};
 use crate::state::{RequestState, Reservation, Stage};
 use crate::structures::generational_map::GenerationalMap;
 use crate::structures::random::Random;
@@ -60,29 +60,30 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Admission {
     /// Admitted, with this reservation.
-    Take(Reservation),
+    Admit(Reservation),
     /// Rejected at once, with retry-after.
-    Later(Reservation),
+    RetryLater(Reservation),
     /// Failed: it may have run already, or its attempts are used up.
-    Never(Reservation),
+    Fail(Reservation),
 }
 
 impl Admission {
     /// What is noted of the request, whatever is done with it.
     pub fn reservation(&self) -> Reservation {
-        let (Admission::Take(reservation) | Admission::Later(reservation) | Admission::Never(reservation)) =
-            self;
+        let (Admission::Admit(reservation)
+        | Admission::RetryLater(reservation)
+        | Admission::Fail(reservation)) = self;
         *reservation
     }
 }
 
 /// The capacity to admit to: this dispatcher's share, in concurrent transfers.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Supply {
+pub struct BackendCapacity {
     /// Of the zone's caches, or of the ways that bypass them: now, and after the longest retry-after.
     pub caches: [f64; 2],
     /// No cache is available: `caches` is the capacity of the ways that bypass them.
-    pub past: bool,
+    pub bypasses_caches: bool,
     /// Of the origin, at the same two times.
     pub origin: [f64; 2],
 }
@@ -103,7 +104,7 @@
 /// The overload control of one dispatcher.
 #[derive(Debug)]
 pub struct OverloadControl {
-    s: StormSettings,
+    s: OverloadSettings,
     longest: Nanos,
     rows: Vec<Row>,
     /// For requests to the caches and to the origin, see [`Self::backend_of`].
@@ -117,7 +118,7 @@
 
 impl OverloadControl {
     /// Clients honour a retry-after of at most `longest`; nodes are judged by what they are sent in `window`.
-    pub fn new(s: StormSettings, types: &[ContentType], longest: Nanos, window: Nanos, seed: u64) -> Self {
+    pub fn new(s: OverloadSettings, types: &[ContentType], longest: Nanos, window: Nanos, seed: u64) -> Self {
         let row = |told: &ContentType| Row {
             told: told.clone(),
             load_state: LoadState::Calm,
@@ -125,13 +126,13 @@
             seen: RingBuffer::new(SEEN_OVER, BUCKETS),
             let_in: RingBuffer::new(SEEN_OVER, BUCKETS),
         };
-        let admission = |_| AdmissionControl::new(types.len(), longest, window, s.slots, s.newcomers);
+        let admission = |_| AdmissionControl::new(types.len(), longest, window, s.slots, s.unreserved_share);
         OverloadControl {
             longest,
             rows: types.iter().map(row).collect(),
             admission: [0, 1].map(admission),
-            pages: GenerationalMap::new(s.remember, s.most_remembered),
-            once: GenerationalMap::new(s.remember, s.most_remembered),
+            pages: GenerationalMap::new(s.remember_for, s.max_remembered),
+            once: GenerationalMap::new(s.remember_for, s.max_remembered),
             random: Random::new(seed.rotate_left(17)),
             born: None,
             looked: Nanos::ZERO,
@@ -145,26 +146,30 @@
     }
 
     /// The share of its usual further attempts that a content type may make.
-    pub fn further(&self, content_type: TypeId) -> f64 {
+    pub fn retry_share(&self, content_type: TypeId) -> f64 {
         FURTHER[self.load_state(content_type) as usize]
     }
 
     /// The number of remembered tries.
-    pub fn remembered(&self) -> usize {
+    pub fn remembered_requests(&self) -> usize {
         self.pages.len() + self.once.len()
     }
 
-    /// Whether [`Self::look`] is due.
-    pub fn is_due(&self, now: Nanos) -> bool {
+    /// Whether [`Self::evaluate`] is due.
+    pub fn is_evaluation_due(&self, now: Nanos) -> bool {
         now.since(self.looked) >= LOOK_EVERY
     }
 
     /// Evaluates load states and sets admission rates for `supply`. Returns a change of load state: content type, old, new.
-    pub fn look(&mut self, now: Nanos, supply: Supply) -> Option<(TypeId, LoadState, LoadState)> {
+    pub fn evaluate(
+        &mut self,
+        now: Nanos,
+        supply: BackendCapacity,
+    ) -> Option<(TypeId, LoadState, LoadState)> {
         self.looked = now;
         self.pages.rotate(now);
         self.once.rotate(now);
-        self.admission[0].look(now, supply.caches, supply.past);
+        self.admission[0].look(now, supply.caches, supply.bypasses_caches);
         self.admission[1].look(now, supply.origin, false);
         (0..self.rows.len()).find_map(|at| self.judge(now, at))
     }
@@ -210,30 +215,37 @@
     }
 
     /// Decides on a request that has arrived.
-    pub fn arrives(&mut self, now: Nanos, d: &RoutingRequest, work_s: f64) -> Admission {
+    pub fn admit(&mut self, now: Nanos, d: &RoutingRequest, work_s: f64) -> Admission {
         let born = *self.born.get_or_insert(now);
         let at = d.content_type.0 as usize;
-        let print = mix(d.client ^ mix(d.copy_hash ^ mix(u64::from(d.content_type.0) ^ d.body_hash)));
-        let mut reservation = Reservation { print, taken: now, level: 0, damped: false, spent: 0 };
+        let fingerprint = mix(d.client ^ mix(d.copy_hash ^ mix(u64::from(d.content_type.0) ^ d.body_hash)));
+        let mut reservation = Reservation {
+            fingerprint,
+            arrived_at: now,
+            priority_level: 0,
+            admitted_under_overload: false,
+            earlier_attempts: 0,
+        };
         if self.rows[at].is_once() {
-            let repeats = d.repeat || !self.s.clients_mark;
+            let repeats = d.is_retry || !self.s.clients_mark_retries;
             // What was in flight before a start, or was dropped early, is unknown: it may have run.
-            let unknown =
-                now.since(born) < self.s.remember || self.once.has_lost_entries(now) || self.s.doubt_unknown;
-            let may_have_run = match self.once.get(print) {
+            let unknown = now.since(born) < self.s.remember_for
+                || self.once.has_lost_entries(now)
+                || self.s.unknown_retry_may_have_run;
+            let may_have_run = match self.once.get(fingerprint) {
                 Some(Ran::InHand | Ran::Maybe) => repeats,
                 Some(Ran::Never) => false,
-                None => d.repeat && unknown,
+                None => d.is_retry && unknown,
             };
             if may_have_run {
-                return Admission::Never(reservation);
+                return Admission::Fail(reservation);
             }
         }
-        let page = self.pages.get(print).cloned();
-        let repeat = d.repeat || (!self.s.clients_mark && page.as_ref().is_some_and(Page::waits));
+        let page = self.pages.get(fingerprint).cloned();
+        let repeat = d.is_retry || (!self.s.clients_mark_retries && page.as_ref().is_some_and(Page::waits));
         let mut page = page.unwrap_or_default();
         let tried = if repeat { page.returns(now) } else { None };
-        reservation.spent = tried.map_or(0, |tried| tried.attempts);
+        reservation.earlier_attempts = tried.map_or(0, |tried| tried.attempts);
         let row = &mut self.rows[at];
         if !repeat {
             row.seen.add(now, 0, 1.0);
@@ -247,52 +259,55 @@
         // A retry before its retry-after gets the same retry-after again and no new slot.
         if let Some(early) = told.filter(|tried| damped && tried.back > now.after(EARLY)) {
             page.put(early);
-            self.pages.insert(now, print, page);
-            return Admission::Later(Reservation { level: Reservation::EARLY, ..reservation });
+            self.pages.insert(now, fingerprint, page);
+            return Admission::RetryLater(Reservation {
+                priority_level: Reservation::EARLY_RETRY_LEVEL,
+                ..reservation
+            });
         }
         if repeat {
-            self.pages.insert(now, print, page);
+            self.pages.insert(now, fingerprint, page);
         }
-        if u32::from(reservation.spent) >= self.s.max_attempts {
-            return Admission::Never(reservation);
+        if u32::from(reservation.earlier_attempts) >= self.s.max_attempts {
+            return Admission::Fail(reservation);
         }
         let in_time = told.is_some_and(|tried| tried.reserved && now <= tried.back.after(LATE));
-        reservation.level =
+        reservation.priority_level =
             if in_time { AdmissionControl::RESERVED } else { AdmissionControl::level(benefit, work_s) };
         let backend = self.backend_of(d.content_type);
-        self.admission[backend].asked(now, reservation.level, work_s);
+        self.admission[backend].asked(now, reservation.priority_level, work_s);
         if damped {
-            let draw = self.random.share();
-            if !self.admission[backend].lets_in(at, reservation.level, work_s, draw) {
-                return Admission::Later(reservation);
+            let draw = self.random.next_f64();
+            if !self.admission[backend].lets_in(at, reservation.priority_level, work_s, draw) {
+                return Admission::RetryLater(reservation);
             }
-            reservation.damped = true;
+            reservation.admitted_under_overload = true;
         }
         if self.rows[at].is_once() {
-            self.once.insert(now, print, Ran::InHand);
+            self.once.insert(now, fingerprint, Ran::InHand);
         }
-        Admission::Take(reservation)
+        Admission::Admit(reservation)
     }
 
     /// A request has its final answer, or its client has left. For a rejected one returns its retry-after, or `None` for the
     /// usual.
-    pub fn answered(
+    pub fn request_answered(
         &mut self,
         now: Nanos,
         request_id: &RequestState,
         to: Stage,
         target_s: f64,
     ) -> Option<Nanos> {
-        let (at, reservation) = (request_id.d.content_type.0 as usize, request_id.reservation);
+        let (at, reservation) = (request_id.routing_request.content_type.0 as usize, request_id.reservation);
         let served = to == Stage::Served;
-        let ended = to != Stage::Left;
+        let ended = to != Stage::ClientGone;
         let row = &mut self.rows[at];
-        if ended && reservation.level != Reservation::EARLY {
+        if ended && reservation.priority_level != Reservation::EARLY_RETRY_LEVEL {
             row.seen.add(now, if served { 2 } else { 3 }, 1.0);
         }
         let backend = usize::from(row.told.uncacheable);
-        if reservation.damped && ended {
-            let in_time = served && now.since(reservation.taken).secs() <= target_s;
+        if reservation.admitted_under_overload && ended {
+            let in_time = served && now.since(reservation.arrived_at).secs() <= target_s;
             if to == Stage::Rejected && request_id.missed_at.is_some() {
                 self.admission[backend].came_to_nothing(request_id.work_s);
             } else {
@@ -301,34 +316,38 @@
             }
         }
         let attempts = reservation
-            .spent
+            .earlier_attempts
             .saturating_add(request_id.attempts.iter().filter(|attempt| attempt.reached).count() as u8);
         if to != Stage::Rejected {
             if to == Stage::Failed && attempts > 0 && !row.is_once() {
-                self.remember(now, reservation.print, Tried { attempts, back: Nanos::ZERO, reserved: false });
+                self.remember(
+                    now,
+                    reservation.fingerprint,
+                    Tried { attempts, back: Nanos::ZERO, reserved: false },
+                );
             }
             return None;
         }
         if row.is_once() {
             // It is rejected with retry-after only if no attempt has run.
-            self.once.insert(now, reservation.print, Ran::Never);
+            self.once.insert(now, reservation.fingerprint, Ran::Never);
         }
-        if reservation.level == Reservation::EARLY {
-            let back = self.pages.get(reservation.print).and_then(Page::next_back);
+        if reservation.priority_level == Reservation::EARLY_RETRY_LEVEL {
+            let back = self.pages.get(reservation.fingerprint).and_then(Page::next_back);
             return Some(back.map_or(self.longest, |back| back.since(now)));
         }
         let (back, reserved) = match row.load_state {
             LoadState::Calm => (Nanos::ZERO, false),
-            _ => self.slot(now, backend, reservation.level, request_id.work_s),
+            _ => self.slot(now, backend, reservation.priority_level, request_id.work_s),
         };
-        self.remember(now, reservation.print, Tried { attempts, back, reserved });
+        self.remember(now, reservation.fingerprint, Tried { attempts, back, reserved });
         (back > Nanos::ZERO).then(|| back.since(now))
     }
 
     /// When to retry, and whether a slot is reserved: at random within the first slot that has room; if there is none,
     /// retries are spread at random.
     fn slot(&mut self, now: Nanos, backend: usize, level: u8, work_s: f64) -> (Nanos, bool) {
-        let draw = self.random.share();
+        let draw = self.random.next_f64();
         match self.admission[backend].reserve(now, level, work_s, draw) {
             Some(back) => (back.min(now.after(self.longest)), true),
             None => {
@@ -344,11 +363,15 @@
     }
 
     /// All attempts of an answered request have ended: whether it may have run is now final.
-    pub fn settled(&mut self, now: Nanos, request_id: &RequestState) {
-        let row = &self.rows[request_id.d.content_type.0 as usize];
-        if row.is_once() && self.once.get(request_id.reservation.print) == Some(&Ran::InHand) {
+    pub fn request_settled(&mut self, now: Nanos, request_id: &RequestState) {
+        let row = &self.rows[request_id.routing_request.content_type.0 as usize];
+        if row.is_once() && self.once.get(request_id.reservation.fingerprint) == Some(&Ran::InHand) {
             let ran = request_id.may_have_run.is_some() || request_id.stage == Stage::Served;
-            self.once.insert(now, request_id.reservation.print, if ran { Ran::Maybe } else { Ran::Never });
+            self.once.insert(
+                now,
+                request_id.reservation.fingerprint,
+                if ran { Ran::Maybe } else { Ran::Never },
+            );
         }
     }
 }
@@ -363,8 +386,8 @@
     /// Whether it must not run twice, as not every node recognises its retries.
     fn is_once(&self) -> bool {
         use crate::interface::DedupScope::All;
-        !matches!(self.told.repeat, Repeat::Retriable | Repeat::Deduped { scope: All, .. })
+        !matches!(self.told.retry_safety, RetrySafety::Retriable | RetrySafety::Deduped { scope: All, .. })
     }
 }
 
-const _: () = assert!((Reservation::EARLY as usize) >= LEVELS);
+const _: () = assert!((Reservation::EARLY_RETRY_LEVEL as usize) >= LEVELS);
--- a/crates/routing/src/interface.rs
+++ b/crates/routing/src/interface.rs
@@ -4,7 +4,7 @@
 //! [`crate::policy::Dispatcher`] as things happen, and implements [`Actions`], through which the
 //! module sends. Nothing here decides anything.
 
-pub use crate::retry_safety::{DedupScope, Repeat, UNTOLD};
+pub use crate::retry_safety::{DedupScope, RetrySafety, UNKNOWN_ID};
 
 /// A time of the adapter's clock, or a span, in whole nanoseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Hash)]
@@ -76,11 +76,11 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct ContentType {
     /// An answer within this time earns the whole benefit.
-    pub target_time: Nanos,
+    pub latency_target: Nanos,
     /// Added to the target time, as a multiple of the request's own sending time.
-    pub target_stretch: f64,
+    pub latency_target_stretch: f64,
     /// Whether it may run again.
-    pub repeat: Repeat,
+    pub retry_safety: RetrySafety,
     /// How long a copy is fresh; `None` for no limit.
     pub fresh_for: Option<Nanos>,
     /// Runs at the origin and leaves no copy.
@@ -97,25 +97,25 @@
     /// When it is warm at the latest.
     pub warm_after: Nanos,
     /// It falls over when sent more than this many times its present capacity.
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
 }
 
 /// What the operators tell of retry storms.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct StormSettings {
+pub struct OverloadSettings {
     /// For how long a try that failed is remembered: as long as clients may retry.
-    pub remember: Nanos,
+    pub remember_for: Nanos,
     /// How many are remembered at most.
-    pub most_remembered: usize,
+    pub max_remembered: usize,
     /// Slots that the longest advice is divided into.
     pub slots: usize,
     /// The part of the pace that is not given away beforehand, in [0, 1).
-    pub newcomers: f64,
+    pub unreserved_share: f64,
     /// Clients mark their repeats; else a repeat is told by what is remembered.
-    pub clients_mark: bool,
+    pub clients_mark_retries: bool,
     /// A marked repeat of what must not run twice counts as one that may have run, though its first try is not
     /// known here.
-    pub doubt_unknown: bool,
+    pub unknown_retry_may_have_run: bool,
     /// The most attempts for one request and its repeats.
     pub max_attempts: u32,
 }
@@ -138,13 +138,13 @@
     /// The kind of node that is the origin.
     pub origin_kind: Option<u32>,
     /// Whether parents and the origin take attempts too.
-    pub direct: bool,
+    pub direct_to_parents: bool,
     /// Whether a request can join a fill that is under way.
-    pub joins: bool,
+    pub coalesces_fills: bool,
     /// Whether answers tell a fill that a parent held from one that went to the origin.
-    pub fills_told: bool,
+    pub fill_source_reported: bool,
     /// Whether a cache may fill from the caches of other locations.
-    pub sideways: bool,
+    pub fill_from_other_locations: bool,
     /// The top pace of one answer in KB a second; 0 if not told.
     pub client_kb_per_s: f64,
     /// What the own location's link for fills carries, in KB a second; 0 if not told.
@@ -160,11 +160,11 @@
     /// How parents start.
     pub parent_cold: ColdStart,
     /// A cold node falls over when sent more than it bears for this long.
-    pub fall_for: Nanos,
+    pub overload_window: Nanos,
     /// The origin stops when asked for this many times what it can do; 0 for never.
     pub origin_stop_multiple: f64,
     /// The list of nodes comes only when followed.
-    pub list_is_asked: bool,
+    pub list_needs_subscription: bool,
     /// Attempts may be called off.
     pub cancel: bool,
     /// Clients are told when to come back.
@@ -174,13 +174,13 @@
     /// The most attempts for one request.
     pub max_attempts: u32,
     /// The list tells the sizes of nodes, exactly or roughly; else it gives every node the same.
-    pub sizes_told: bool,
+    pub capacities_listed: bool,
     /// Nodes may be probed, and say what they are doing.
-    pub probes: bool,
+    pub load_probes: bool,
     /// Nodes may be asked whether they take work.
-    pub may_probe: bool,
+    pub readiness_probes: bool,
     /// What storms are met with; `None` for nothing.
-    pub storms: Option<StormSettings>,
+    pub overload_control: Option<OverloadSettings>,
 }
 
 /// Where a node stands in its life.
@@ -205,7 +205,7 @@
     pub zone: ZoneId,
     /// Its machine kind.
     pub kind: u32,
-    /// Its cell, for deduped content types; [`UNTOLD`] where it is not told, as for the zone.
+    /// Its cell, for deduped content types; [`UNKNOWN_ID`] where it is not told, as for the zone.
     pub cell: u32,
     /// Whether it takes work.
     pub readiness: Readiness,
@@ -231,9 +231,9 @@
     /// The group of the object, as a purge may name it.
     pub group: Option<u64>,
     /// When the client stops waiting for this try.
-    pub expires: Nanos,
+    pub deadline: Nanos,
     /// A client's repeat of a request that was not served, where clients mark it.
-    pub repeat: bool,
+    pub is_retry: bool,
     /// Its size, where told.
     pub size_kb: Option<f64>,
     /// A hash that stands for the client, whatever connection it comes on; zero where not known.
@@ -298,22 +298,22 @@
     /// How it ended.
     pub outcome: Outcome,
     /// How long it took.
-    pub took: Nanos,
+    pub duration: Nanos,
     /// Nothing more is owed for the request.
-    pub closed: bool,
+    pub completes_request: bool,
     /// Time to the source's first byte or to the fill's failure, where told.
-    pub waited: Option<Nanos>,
+    pub first_byte_wait: Option<Nanos>,
     /// How the answer came about, where told.
     pub remark: Remark,
     /// The node's load report, where answers carry one.
-    pub report: Report,
+    pub report: LoadReport,
 }
 
 /// What a node says of its load: some time old, and not exact.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct Report {
+pub struct LoadReport {
     /// Requests in hand.
-    pub in_hand: Option<f64>,
+    pub in_flight: Option<f64>,
     /// The part of the node that is busy, 0 to 1.
     pub busy: Option<f64>,
 }
@@ -326,7 +326,7 @@
     /// Who supplies a miss; the node itself for no fill.
     pub source: NodeId,
     /// Given up after this long; `None` for as long as the client waits.
-    pub try_for: Option<Nanos>,
+    pub time_limit: Option<Nanos>,
     /// 0 keeps no copy, 1 to 3 keep it at that rank.
     pub rank: u8,
     /// The oldest copy that will do; `None` for the content type's own limit.
@@ -354,16 +354,16 @@
     /// Final answer: not served, and nothing is promised.
     fn fail(&mut self, request_id: RequestId);
     /// Asks for [`crate::policy::Dispatcher::timer`] with `token` after `span`.
-    fn arm(&mut self, span: Nanos, token: u64);
-    /// Asks a node what it is doing; the answer comes by [`crate::policy::Dispatcher::probed`].
-    fn probe(&mut self, node: NodeId);
-    /// Asks a node whether it takes work; the answer comes by [`crate::policy::Dispatcher::probe_answered`]. Only where the
-    /// adapter tells what is known of the change log.
-    fn ask_alive(&mut self, _node: NodeId) {}
+    fn arm_timer(&mut self, span: Nanos, token: u64);
+    /// Asks a node what it is doing; the answer comes by [`crate::policy::Dispatcher::load_probe_answered`].
+    fn probe_load(&mut self, node: NodeId);
+    /// Asks a node whether it takes work; the answer comes by [`crate::policy::Dispatcher::readiness_probe_answered`].
+    /// Only where the adapter tells what is known of the change log.
+    fn probe_readiness(&mut self, _node: NodeId) {}
     /// Opens the standing subscription to the list of nodes.
-    fn follow(&mut self);
+    fn subscribe_to_list(&mut self);
     /// Writes a line for on-call staff.
-    fn note(&mut self, line: &str);
+    fn log_line(&mut self, line: &str);
     /// The module holds nothing more of this request.
     fn release(&mut self, request_id: RequestId);
     /// The module holds nothing more of this object.
--- a/crates/routing/src/policy/ends.rs
+++ b/crates/routing/src/policy/attempt_outcome.rs
@@ -44,7 +44,8 @@
         request.erred_at = erred.or(request.erred_at);
         request.missed_at = (missed || lacks).then_some(sent.node);
         // Where fills can't be shared, one under way for another request is waited for, not made twice.
-        request.rides = (missed && end.remark == Remark::Joined && !self.s.joins).then_some(sent.node);
+        request.rides =
+            (missed && end.remark == Remark::Joined && !self.s.coalesces_fills).then_some(sent.node);
         let request = request.clone();
         if !sent.is_look() {
             self.fill_ended(now, &request, &sent, end);
@@ -54,23 +55,29 @@
         if again {
             self.further.add(now, usize::from(!worked), 1.0);
         }
-        if end.closed {
-            self.move_to(now, id, if worked { Stage::Served } else { Stage::Left }, out);
+        if end.completes_request {
+            self.move_to(now, id, if worked { Stage::Served } else { Stage::ClientGone }, out);
         } else if request.stage == Stage::Attempting && request.attempts.iter().all(|p| !p.out) {
             // Further attempts follow the share of recent ones that worked, so a wide failure brings no storm.
             let [worked, failed] = self.further.sums(now);
             let share = ((worked + 2.0) / (worked + failed + 2.0)).max(FURTHER_FLOOR);
-            let in_time = request.d.expires.since(now).secs() > request.work_s;
-            let storm = self.storm.as_ref().map_or(1.0, |storm| storm.further(request.d.content_type));
-            let attempts = request.attempts.len() + usize::from(request.reservation.spent);
+            let in_time = request.routing_request.deadline.since(now).secs() > request.work_s;
+            let storm = self
+                .storm
+                .as_ref()
+                .map_or(1.0, |storm| storm.retry_share(request.routing_request.content_type));
+            let attempts = request.attempts.len() + usize::from(request.reservation.earlier_attempts);
             let most = request.pinned.max_attempts();
             let allowed = in_time && attempts < most;
             // What a parent lacks, or the origin refused or failed, is to be had nowhere else.
             let nowhere = (end.outcome == Missed && !missed && !lacks) || end.remark == Remark::OriginFailed;
             // The look after it leaves room for a fill of its own.
-            let wait =
-                if request.rides.is_some() { self.fill_usual_s * (0.5 + self.random.share()) } else { 0.0 };
-            let in_time = request.d.expires.since(now).secs() > wait + request.work_s;
+            let wait = if request.rides.is_some() {
+                self.fill_usual_s * (0.5 + self.random.next_f64())
+            } else {
+                0.0
+            };
+            let in_time = request.routing_request.deadline.since(now).secs() > wait + request.work_s;
             let rides = allowed && request.rides.is_some() && in_time && attempts + 2 <= most;
             self.requests
                 .get_mut(id.0)
@@ -78,8 +85,8 @@
                 .into_iter()
                 .for_each(|request| request.rides = None);
             if rides {
-                out.arm(Nanos::from_secs(wait), u64::from(id.0) << 32 | u64::from(LOOK_AGAIN));
-            } else if allowed && !nowhere && (missed || lacks || self.random.share() < share * storm) {
+                out.arm_timer(Nanos::from_secs(wait), u64::from(id.0) << 32 | u64::from(LOOK_AGAIN));
+            } else if allowed && !nowhere && (missed || lacks || self.random.next_f64() < share * storm) {
                 self.attempt(now, id, out);
             } else {
                 self.give_up(now, id, out);
@@ -90,15 +97,15 @@
 
     /// The answer tells how far the closest held copy was; a hit keeps the hops of the last fill.
     pub(super) fn learn(&mut self, now: Nanos, request: &RequestState, sent: &Sent, end: &AttemptEnd) {
-        let told = request.d.size_kb.is_some() && self.s.client_kb_per_s > 0.0;
+        let told = request.routing_request.size_kb.is_some() && self.s.client_kb_per_s > 0.0;
         let own_s = match end.remark {
             _ if told => Some(request.work_s),
-            Remark::Hit => Some(end.took.secs()),
+            Remark::Hit => Some(end.duration.secs()),
             _ => None,
         };
-        self.types[request.d.content_type.0 as usize].saw(own_s);
+        self.types[request.routing_request.content_type.0 as usize].saw(own_s);
         // A hit shows how slow its cache is; of a fill only what was sent is known, by cache and source.
-        let hit_s = (end.remark == Remark::Hit).then_some(end.took.secs());
+        let hit_s = (end.remark == Remark::Hit).then_some(end.duration.secs());
         for id in [Some(sent.node), (!sent.is_look()).then_some(sent.source)].into_iter().flatten() {
             let (cold, sharers) = self.cold_start(id);
             let warm = !self.nodes.is_cold(now, id, cold.warm_after);
@@ -107,9 +114,13 @@
         let filled = matches!(end.remark, Remark::FilledFromCopy | Remark::FilledFromOrigin);
         self.fills.add(now, request.keep.ratio, filled && request.keep.fill_rank > 0);
         // Where fills by way of the origin are not told, the source that was named stands in.
-        let from_origin = Some(sent.source) == self.nodes.origin() && !self.s.fills_told;
+        let from_origin = Some(sent.source) == self.nodes.origin() && !self.s.fill_source_reported;
         // The slot may have been given to another object meanwhile.
-        let Some(entry) = self.ghost_cache.get_mut(request.d.object, request.d.copy_hash) else { return };
+        let Some(entry) =
+            self.ghost_cache.get_mut(request.routing_request.object, request.routing_request.copy_hash)
+        else {
+            return;
+        };
         match end.remark {
             Remark::FilledFromCopy if !from_origin => entry.hops = 1.0,
             Remark::FilledFromCopy | Remark::FilledFromOrigin => entry.hops = 2.0,
@@ -132,7 +143,7 @@
         self.lease_shown(sent, end);
         let origin = self.nodes.origin();
         if sent.overdue && matches!(end.remark, Remark::FilledFromCopy | Remark::FilledFromOrigin) {
-            self.origin.came(now);
+            self.origin.overdue_ended(now);
         }
         let from_source = match end.remark {
             Remark::SourceRefused | Remark::SourceLost => Some(sent.source),
@@ -140,16 +151,16 @@
             _ => None,
         };
         if end.remark == Remark::OriginFailed || (end.outcome == Refused && Some(sent.source) == origin) {
-            self.origin.refused(now);
+            self.origin.fetch_refused(now);
         }
         let answered = !matches!(end.outcome, TimedOut | Unreachable | Cancelled | NotSent);
-        let mean = self.row(&request.d).mean_work_s;
-        self.nodes.held(now, end.took.secs(), if end.outcome == Served { request.work_s } else { 0.0 });
+        let mean = self.row(&request.routing_request).mean_work_s;
+        self.nodes.held(now, end.duration.secs(), if end.outcome == Served { request.work_s } else { 0.0 });
         let can = self.nodes.get(sent.node).map_or(0.0, |n| self.can(n));
         if let Some(n) = self.nodes.get_mut(sent.node).filter(|_| answered) {
             n.heard = now;
             // A load report counts as a hit of mean size that took so many times as long.
-            if let Some(in_hand) = end.report.in_hand {
+            if let Some(in_hand) = end.report.in_flight {
                 n.saw_pace(now, mean * (in_hand / can.max(0.1)).max(1.0), mean);
             }
         }
@@ -161,8 +172,8 @@
                     self.mark(now, sent.source, true, false, out);
                     if let Some(origin) = origin.filter(|_| end.remark == Remark::FilledFromOrigin) {
                         self.mark(now, origin, true, false, out);
-                        let waited_s = end.waited.unwrap_or_default().secs();
-                        self.origin.answered(now, waited_s, self.target_s(request));
+                        let waited_s = end.first_byte_wait.unwrap_or_default().secs();
+                        self.origin.fetch_answered(now, waited_s, self.target_s(request));
                     }
                 }
             }
@@ -197,7 +208,7 @@
     /// Sets a node aside for a fixed time and a random part; then it is tried with one attempt first. One
     /// that may have died comes back cold, told or not, and is treated so.
     pub(super) fn set_aside(&mut self, now: Nanos, id: NodeId, died: bool, out: &mut impl Actions) {
-        let aside = ASIDE.after(Nanos::from_secs(ASIDE_SPREAD_S * self.random.share()));
+        let aside = ASIDE.after(Nanos::from_secs(ASIDE_SPREAD_S * self.random.next_f64()));
         let Some(n) = self.nodes.get_mut(id).filter(|n| n.aside_until <= now) else { return };
         n.aside_until = now.after(aside);
         n.on_trial = true;
@@ -205,14 +216,14 @@
         if died {
             (n.started, n.bucket) = (n.aside_until, Default::default());
         }
-        out.note(&format!("node {} set aside for {:.1} s", id.0, aside.secs()));
+        out.log_line(&format!("node {} set aside for {:.1} s", id.0, aside.secs()));
     }
 
     /// An attempt is overdue. If its node, or its source, answered nothing since it was sent, that is silent: it
     /// is set aside, and what is out there is called off to go elsewhere.
     pub fn timer(&mut self, now: Nanos, token: u64, out: &mut impl Actions) {
         match token {
-            FOLLOW_DUE => return out.follow(),
+            FOLLOW_DUE => return out.subscribe_to_list(),
             PROBE_DUE => return self.probe(out),
             LEASES_DUE => return self.renew_leases(now, out),
             _ => {}
@@ -222,13 +233,13 @@
             && request.rides.is_some()
             && request.attempts.iter().all(|p| !p.out);
         if token as u32 == LOOK_AGAIN && waits {
-            return self.attempt(now, request.d.request_id, out);
+            return self.attempt(now, request.routing_request.request_id, out);
         }
         let found = request.attempts.iter().position(|p| p.out && p.serial == token as u32);
         let Some((number, sent)) = found.map(|at| (at, request.attempts[at])) else { return };
         let at_origin = self.nodes.is_origin(sent.node) || self.nodes.from_above(&sent);
         if at_origin && !sent.held_only {
-            self.origin.overdue(now);
+            self.origin.fetch_overdue(now);
             self.requests
                 .get_mut((token >> 32) as u32)
                 .into_iter()
@@ -246,13 +257,13 @@
             self.mark(now, silent, false, false, out);
         }
         let aside = self.nodes.get(silent).is_some_and(|n| n.aside_until > now);
-        let retriable = |request: &&RequestState| request.pinned.repeat() == Repeat::Retriable;
+        let retriable = |request: &&RequestState| request.pinned.retry_safety() == RetrySafety::Retriable;
         let stuck = self
             .requests
             .iter()
             .filter(|request| aside && request.stage == Stage::Attempting)
             .filter(retriable);
-        for id in stuck.map(|request| request.d.request_id).collect::<Vec<_>>() {
+        for id in stuck.map(|request| request.routing_request.request_id).collect::<Vec<_>>() {
             self.cancel(id, Some(silent), out);
         }
     }
--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -5,26 +5,26 @@
 use crate::change_log::Knowledge;
 use crate::fleet::bandwidth_share::BandwidthShare;
 use crate::fleet::origin_limiter::OriginLimiter;
-use crate::fleet::overload_control::{Admission, OverloadControl, Supply};
+use crate::fleet::overload_control::{Admission, BackendCapacity, OverloadControl};
 use crate::fleet::slow_start::{Rate, keep_one_cold};
 use crate::interface::*;
+use crate::node_capacity::PROBE_EVERY;
 use crate::nodes::{Node, Nodes};
 use crate::pinned_rules::PinnedRules;
 use crate::purges::{Purged, Purges};
-use crate::size::PROBE_EVERY;
 use crate::state::*;
 use crate::structures::random::Random;
 use crate::structures::ring_buffer::RingBuffer;
 use std::cell::Cell;
 
-mod ends;
-mod fill;
-mod ordinary;
-mod place;
-mod rules;
-mod unheard;
+mod attempt_outcome;
+mod fill_source;
+mod node_selection;
+mod request_path;
+mod safety_rules;
+mod staleness;
 
-pub use unheard::UnheardCounts;
+pub use staleness::StalenessCounts;
 
 // MC3's open choices, and the starting values of the design page.
 const TABLE: usize = 20_000; // shadow entries
@@ -88,7 +88,7 @@
     again: Nanos,                   // when the cold node that was asked last bears an attempt of this one's
     knowledge: Option<Knowledge>,   // of the change log, where the adapter tells
     probes_leases: bool,            // a timer is set for that
-    unheard: Cell<UnheardCounts>,   // counted where choices are only read
+    unheard: Cell<StalenessCounts>, // counted where choices are only read
     random: Random,
     serial: u32,
 }
@@ -98,10 +98,10 @@
     pub fn new(s: Settings) -> Self {
         let row = |told: &ContentType| TypeRow::new(told, DEFAULT_WORK_S);
         let storm =
-            |told| OverloadControl::new(told, &s.content_types, s.max_retry_after, s.fall_for, s.seed);
+            |told| OverloadControl::new(told, &s.content_types, s.max_retry_after, s.overload_window, s.seed);
         Dispatcher {
             types: s.content_types.iter().map(row).collect(),
-            nodes: Nodes::new(s.zone, s.parent_kind, s.origin_kind, s.sizes_told),
+            nodes: Nodes::new(s.zone, s.parent_kind, s.origin_kind, s.capacities_listed),
             requests: Slots::default(),
             ghost_cache: GhostCache::default(),
             fills: Fills::new(FILLS_SEEN, BUCKETS),
@@ -110,7 +110,7 @@
             origin: OriginLimiter::new(),
             further: RingBuffer::new(JUDGED_OVER, BUCKETS),
             purges: Purges::default(),
-            storm: s.storms.map(storm),
+            storm: s.overload_control.map(storm),
             again: Nanos::ZERO,
             knowledge: None,
             probes_leases: false,
@@ -125,19 +125,19 @@
     pub fn settings_changed(&mut self, s: &Settings) {
         self.requests
             .iter_mut()
-            .for_each(|request| request.pinned = request.pinned.and(s, request.d.content_type));
+            .for_each(|request| request.pinned = request.pinned.and(s, request.routing_request.content_type));
         self.types.iter_mut().zip(&s.content_types).for_each(|(row, told)| row.told = told.clone());
-        self.s = Settings { seed: self.s.seed, storms: self.s.storms, ..s.clone() };
+        self.s = Settings { seed: self.s.seed, overload_control: self.s.overload_control, ..s.clone() };
     }
 
     /// The dispatcher comes up.
     pub fn start(&mut self, now: Nanos, out: &mut impl Actions) {
         self.nodes.begin(now);
-        if self.s.list_is_asked {
-            out.follow();
+        if self.s.list_needs_subscription {
+            out.subscribe_to_list();
         }
-        if self.s.probes && !self.s.sizes_told {
-            out.arm(PROBE_EVERY, PROBE_DUE);
+        if self.s.load_probes && !self.s.capacities_listed {
+            out.arm_timer(PROBE_EVERY, PROBE_DUE);
         }
     }
 
@@ -148,15 +148,15 @@
 
     /// Asks a node at random what it is doing.
     fn probe(&mut self, out: &mut impl Actions) {
-        let asked = self.nodes.drawn([self.random.share(), self.random.share()]);
-        asked.into_iter().for_each(|id| out.probe(id));
-        out.arm(PROBE_EVERY, PROBE_DUE);
+        let asked = self.nodes.drawn([self.random.next_f64(), self.random.next_f64()]);
+        asked.into_iter().for_each(|id| out.probe_load(id));
+        out.arm_timer(PROBE_EVERY, PROBE_DUE);
     }
 
     /// A node has said what it is doing.
-    pub fn probed(&mut self, now: Nanos, id: NodeId, report: Report) {
+    pub fn load_probe_answered(&mut self, now: Nanos, id: NodeId, report: LoadReport) {
         if self.nodes.reported(now, id, self.cold_start(id).0.warm_after, report) {
-            self.link.listed(&self.s, self.nodes.caches_can(self.s.zone_dispatchers));
+            self.link.caches_listed(&self.s, self.nodes.caches_can(self.s.zone_dispatchers));
         }
     }
 
@@ -165,27 +165,27 @@
     }
 
     fn target_s(&self, request: &RequestState) -> f64 {
-        let told = &self.row(&request.d).told;
-        told.target_time.secs() + told.target_stretch * request.work_s
+        let told = &self.row(&request.routing_request).told;
+        told.latency_target.secs() + told.latency_target_stretch * request.work_s
     }
 
     /// The whole list: what is not in it is gone.
-    pub fn nodes_listed(&mut self, now: Nanos, entries: &[NodeEntry], out: &mut impl Actions) {
+    pub fn node_list_replaced(&mut self, now: Nanos, entries: &[NodeEntry], out: &mut impl Actions) {
         self.nodes.unlist_all();
         self.nodes_changed(now, entries, out);
     }
 
     /// Changed entries. A node that drains or is gone leaves every choice at once (rule 3).
     pub fn nodes_changed(&mut self, _now: Nanos, entries: &[NodeEntry], out: &mut impl Actions) {
-        if self.s.probes && !self.s.sizes_told {
-            self.nodes.unmet(entries).into_iter().for_each(|id| out.probe(id));
+        if self.s.load_probes && !self.s.capacities_listed {
+            self.nodes.unmet(entries).into_iter().for_each(|id| out.probe_load(id));
         }
         self.nodes.relist(entries, |e| Node::new(*e, JUDGED_OVER, BUCKETS));
-        self.link.listed(&self.s, self.nodes.caches_can(self.s.zone_dispatchers));
+        self.link.caches_listed(&self.s, self.nodes.caches_can(self.s.zone_dispatchers));
     }
 
     /// Attempts and fills believed to be out at a node.
-    pub fn out_at(&self, id: NodeId) -> u32 {
+    pub fn in_flight_at(&self, id: NodeId) -> u32 {
         self.nodes.get(id).map_or(0, |n| n.out)
     }
 
@@ -195,7 +195,7 @@
     }
 
     /// A node takes no connection of this dispatcher's before then: it is left out, and has not died.
-    pub fn node_turns_away(&mut self, id: NodeId, until: Nanos) {
+    pub fn node_refuses_connections(&mut self, id: NodeId, until: Nanos) {
         self.nodes.get_mut(id).into_iter().for_each(|n| n.aside_until = n.aside_until.max(until));
     }
 
@@ -205,8 +205,8 @@
     }
 
     /// A call to discovery failed: the old list stands, and the subscription is asked for again.
-    pub fn list_failed(&mut self, _now: Nanos, out: &mut impl Actions) {
-        out.arm(ASK_AGAIN, FOLLOW_DUE);
+    pub fn subscription_failed(&mut self, _now: Nanos, out: &mut impl Actions) {
+        out.arm_timer(ASK_AGAIN, FOLLOW_DUE);
     }
 
     /// An object was purged `age` ago.
--- a/crates/routing/src/policy/place.rs
+++ b/crates/routing/src/policy/node_selection.rs
@@ -1,7 +1,7 @@
 //! Where an attempt goes: which cache, and what goes past the caches.
 
 use super::*;
-use crate::listed::{counted, key_of, share_of};
+use crate::listed_nodes::{counted, key_of, share_of};
 
 /// A cache and its place in a copy's order.
 #[derive(Debug, Clone, Copy)]
@@ -27,7 +27,8 @@
         if !open.is_empty() && open.iter().all(cold) {
             return None;
         }
-        let origin = self.nodes.origin().filter(|_| self.s.direct && request.may_have_run.is_none())?;
+        let origin =
+            self.nodes.origin().filter(|_| self.s.direct_to_parents && request.may_have_run.is_none())?;
         let parent = self.source(now, request).filter(|id| *id != origin)?;
         self.may_fetch(now, request, request.keep.fill_rank).then_some((parent, origin))
     }
@@ -37,7 +38,7 @@
     /// over their sending time, which shows the load of all, is a prior for its count, the stronger the more
     /// dispatchers there are.
     fn load(&self, request: &RequestState, all: &[[f64; 2]]) -> impl Fn(&Node, [f64; 2]) -> f64 + '_ {
-        let mean = self.row(&request.d).mean_work_s;
+        let mean = self.row(&request.routing_request).mean_work_s;
         let z = f64::from(self.s.zone_dispatchers.max(1));
         let prior = PRIOR_COUNT * (1.0 - 1.0 / z);
         let (took, work) = all.iter().fold((mean, mean), |sum, n| (sum.0 + n[0], sum.1 + n[1]));
@@ -57,7 +58,7 @@
         let paces = self.paces(now);
         let load = self.load(request, &paces);
         let placed = |(n, pace): (&Node, &[f64; 2])| {
-            let key = key_of(share_of(request.d.copy_hash, n.e.hash), counted(n.e.weight));
+            let key = key_of(share_of(request.routing_request.copy_hash, n.e.hash), counted(n.e.weight));
             PlacedCache { key, node: n.e.node, load: load(n, *pace) }
         };
         let mut caches: Vec<_> = self.nodes.caches().zip(&paces).map(placed).collect();
@@ -73,12 +74,13 @@
         let own = self.nodes.own_cache(node);
         let load = own.map_or(1.0, |n| self.load(request, &self.paces(now))(n, n.pace.sums(now)).max(1.0));
         load > 1.0
-            && FILL_WEIGHT * request.work_s * load + self.origin.usual_s() > IN_TIME * self.target_s(request)
+            && FILL_WEIGHT * request.work_s * load + self.origin.typical_s()
+                > IN_TIME * self.target_s(request)
     }
 
     /// The first in hash order; the next takes over where it is not open, full, cold, or was tried.
     pub(super) fn edge(&mut self, now: Nanos, request: &RequestState) -> Option<NodeId> {
-        let mean = self.row(&request.d).mean_work_s;
+        let mean = self.row(&request.routing_request).mean_work_s;
         let mut caches = self.caches(now, request);
         // Where all fail at times and none is open, those that still answer are better than none.
         let none_open = !caches.iter().any(|c| self.open(now, c.node));
@@ -107,9 +109,9 @@
         if load < most(self.target_s(request)) {
             return true;
         }
-        let is_large = request.work_s > LARGE * self.row(&request.d).mean_work_s;
-        let only_late = load < most(request.d.expires.since(now).secs());
-        is_large && only_late && self.random.share() < LATE_SHARE
+        let is_large = request.work_s > LARGE * self.row(&request.routing_request).mean_work_s;
+        let only_late = load < most(request.routing_request.deadline.since(now).secs());
+        is_large && only_late && self.random.next_f64() < LATE_SHARE
     }
 
     /// An uncacheable request runs at the origin: straight, or through a parent if that fails.
@@ -118,10 +120,10 @@
         if request.may_have_run.is_some() || !self.may_fetch(now, request, 4) {
             return None;
         }
-        if self.s.direct && request.attempts.iter().all(|p| p.node != origin) {
+        if self.s.direct_to_parents && request.attempts.iter().all(|p| p.node != origin) {
             return Some((origin, origin));
         }
-        let parent = self.source(now, request).filter(|id| *id != origin && self.s.direct);
+        let parent = self.source(now, request).filter(|id| *id != origin && self.s.direct_to_parents);
         parent.or_else(|| self.edge(now, request)).map(|node| (node, origin))
     }
 }
--- a/crates/routing/src/policy/ordinary.rs
+++ b/crates/routing/src/policy/request_path.rs
@@ -24,12 +24,12 @@
     }
 
     /// A request that was answered from an own copy: counted in the ghost cache as any other.
-    pub fn served_here(&mut self, now: Nanos, d: &RoutingRequest, out: &mut impl Actions) {
+    pub fn served_from_own_copy(&mut self, now: Nanos, d: &RoutingRequest, out: &mut impl Actions) {
         self.count(now, d, out);
     }
 
     /// What the ghost cache knows of a copy: own requests a second, and hops to the closest copy.
-    pub fn known(&self, d: &RoutingRequest) -> Option<(Option<f64>, f64)> {
+    pub fn copy_demand(&self, d: &RoutingRequest) -> Option<(Option<f64>, f64)> {
         let ghost_entry =
             self.ghost_cache.get(d.object).filter(|ghost_entry| ghost_entry.copy_hash == d.copy_hash)?;
         Some((ghost_entry.gap_s.map(|gap| 1.0 / gap), ghost_entry.hops))
@@ -38,11 +38,11 @@
     /// Sends a request on its way, unless the storm module holds it off: then it is answered at once.
     pub(super) fn admit(&mut self, now: Nanos, d: &RoutingRequest, work_s: f64, out: &mut impl Actions) {
         let Some(mut storm) = self.storm.take() else { return self.attempt(now, d.request_id, out) };
-        let changed = if storm.is_due(now) { storm.look(now, self.supply(now)) } else { None };
+        let changed = if storm.is_evaluation_due(now) { storm.evaluate(now, self.supply(now)) } else { None };
         if let Some((of, from, to)) = changed {
-            out.note(&format!("content type {}: {to:?} after {from:?}", of.0));
+            out.log_line(&format!("content type {}: {to:?} after {from:?}", of.0));
         }
-        let admission = storm.arrives(now, d, work_s);
+        let admission = storm.admit(now, d, work_s);
         self.storm = Some(storm);
         let reservation = admission.reservation();
         self.requests
@@ -50,25 +50,29 @@
             .into_iter()
             .for_each(|request| request.reservation = reservation);
         match admission {
-            Admission::Take(_) => self.attempt(now, d.request_id, out),
-            Admission::Later(_) => self.give_up(now, d.request_id, out),
-            Admission::Never(_) => self.end(now, d.request_id, Stage::Failed, out),
+            Admission::Admit(_) => self.attempt(now, d.request_id, out),
+            Admission::RetryLater(_) => self.give_up(now, d.request_id, out),
+            Admission::Fail(_) => self.end(now, d.request_id, Stage::Failed, out),
         }
     }
 
     /// What the location's caches bear, or where none is open the ways past them, and what the origin does.
-    pub(super) fn supply(&self, now: Nanos) -> Supply {
+    pub(super) fn supply(&self, now: Nanos) -> BackendCapacity {
         let bears =
             |n: &Node, at: Nanos| if n.on_trial || n.aside_until > at { 0.0 } else { self.bearable(n, at) };
         let later = now.after(self.s.max_retry_after);
         let z = f64::from(self.s.zone_dispatchers.max(1));
         let caches = [now, later].map(|at| self.nodes.caches().map(|n| bears(n, at)).sum::<f64>() / z);
-        let parents = self.s.direct && self.nodes.parents().any(|n| !n.on_trial);
-        let past = if parents { self.link.bears() } else { 0.0 };
-        let fetches = self.origin.share(now) / f64::from(self.s.dispatchers.max(1));
+        let parents = self.s.direct_to_parents && self.nodes.parents().any(|n| !n.on_trial);
+        let past = if parents { self.link.bypass_limit() } else { 0.0 };
+        let fetches = self.origin.allowed_share(now) / f64::from(self.s.dispatchers.max(1));
         let origin = self.nodes.origin().and_then(|id| self.nodes.get(id));
         let origin = [now, later].map(|at| origin.map_or(0.0, |n| bears(n, at) * fetches));
-        Supply { caches: caches.map(|sum| sum.max(past)), past: caches[0] <= past, origin }
+        BackendCapacity {
+            caches: caches.map(|sum| sum.max(past)),
+            bypasses_caches: caches[0] <= past,
+            origin,
+        }
     }
 
     /// Chooses node and source and sends; gives up at once where nothing can take it. A cache is looked at
@@ -79,9 +83,9 @@
         let (rides, request) = (request.rides.take(), request.clone());
         self.again = Nanos::ZERO;
         let chosen = match request.missed_at.filter(|id| self.nodes.get(*id).is_some_and(|n| n.listed)) {
-            _ if self.row(&request.d).told.uncacheable => self.runs_at(now, &request),
+            _ if self.row(&request.routing_request).told.uncacheable => self.runs_at(now, &request),
             Some(node) if !self.takes_work(now, node) => None,
-            Some(node) if !self.bears(now, node, self.row(&request.d).mean_work_s) => None,
+            Some(node) if !self.bears(now, node, self.row(&request.routing_request).mean_work_s) => None,
             Some(node) if rides == Some(node) && self.open(now, node) => Some((node, node)),
             Some(node) if self.too_full(now, &request, node) => None,
             Some(node) => self.filler(now, &request).map(|from| (node, from)),
@@ -104,25 +108,25 @@
         let attempt = Attempt {
             node,
             source,
-            try_for: None,
+            time_limit: None,
             rank,
-            max_age: self.max_age(now, &request.d),
+            max_age: self.max_age(now, &request.routing_request),
             send_by: [
-                request.may_have_run.and_then(|(first, _)| request.pinned.repeat().send_by(first)),
+                request.may_have_run.and_then(|(first, _)| request.pinned.retry_safety().send_by(first)),
                 self.may_send_until(now, node),
                 self.may_send_until(now, source),
             ]
             .into_iter()
             .flatten()
             .min(),
-            join: self.s.joins && request.attempts.len() < 2,
+            join: self.s.coalesces_fills && request.attempts.len() < 2,
             held_only: by_cache || (by_parent && !self.may_fetch(now, &request, request.keep.fill_rank)),
             no_parent_copy: rank == 3 && by_parent,
-            renew: rank >= 2 && self.row(&request.d).told.fresh_for.is_some(),
+            renew: rank >= 2 && self.row(&request.routing_request).told.fresh_for.is_some(),
         };
         self.nodes.count_out(&sent, 1);
         if !sent.is_look() {
-            self.link.begun();
+            self.link.fill_started();
         }
         self.move_to(now, id, Stage::Attempting, out);
         if let Some(request) = self.requests.get_mut(id.0) {
@@ -130,7 +134,7 @@
         }
         out.attempt(id, &attempt);
         let look = Nanos::from_secs(request.work_s * OVERDUE_STRETCH).after(OVERDUE_SLACK);
-        out.arm(look, u64::from(id.0) << 32 | u64::from(sent.serial));
+        out.arm_timer(look, u64::from(id.0) << 32 | u64::from(sent.serial));
     }
 
     /// Counts a request in the ghost cache and returns the entry.
@@ -143,7 +147,7 @@
             // A client's repeat is no request more: else a jam would have all that it refuses kept, scans
             // too, and feed itself.
             let counted = GhostEntry { gap_s: Some(0.5 * gap + 0.5 * old), last: now, ..*known };
-            entry = if d.repeat { *known } else { counted };
+            entry = if d.is_retry { *known } else { counted };
         }
         let dropped = self.ghost_cache.put(d.object, entry, TABLE);
         dropped.into_iter().for_each(|old| out.release_object(old));
@@ -156,7 +160,7 @@
         // Of Z dispatchers all but one in Z of what is new to one is taken as the location's second request.
         let z = f64::from(self.s.zone_dispatchers.max(1));
         let Some(gap_s) = ghost_entry.gap_s else {
-            return Keep { fill_rank: u8::from(self.random.share() * z >= 1.0), ratio: 1.0, hit_rank: 0 };
+            return Keep { fill_rank: u8::from(self.random.next_f64() * z >= 1.0), ratio: 1.0, hit_rank: 0 };
         };
         let (storage_cost, rate) = (1.0 / HORIZON_S, z / gap_s);
         let keep_benefit = ghost_entry.hops * rate - storage_cost;
--- a/crates/routing/src/policy/rules.rs
+++ b/crates/routing/src/policy/safety_rules.rs
@@ -11,11 +11,12 @@
             return self.nodes.get(id).is_some();
         }
         let bearable = self.nodes.get(id).map_or(0.0, |n| self.bearable(n, now));
-        let rate = Rate::new(bearable, cold.fall_multiple.max(1.0 / COLD_LOAD), self.s.fall_for, sharers);
+        let rate =
+            Rate::new(bearable, cold.overload_multiple.max(1.0 / COLD_LOAD), self.s.overload_window, sharers);
         let Some(n) = self.nodes.get_mut(id) else { return false };
         let chance = n.bucket.spend(now, &rate, work_s);
-        self.again = n.bucket.until(&rate, work_s);
-        chance > 0.0 && self.random.share() < chance
+        self.again = n.bucket.wait_for(&rate, work_s);
+        chance > 0.0 && self.random.next_f64() < chance
     }
 
     /// How a node starts, and how many dispatchers ask it.
@@ -30,19 +31,19 @@
     pub(super) fn bearable(&self, n: &Node, at: Nanos) -> f64 {
         let cold = self.cold_start(n.e.node).0;
         let Some(age) = n.age(at).filter(|age| *age < cold.warm_after) else { return self.can(n) };
-        let risen = age.since(self.s.fall_for).secs() / cold.warm_after.secs();
+        let risen = age.since(self.s.overload_window).secs() / cold.warm_after.secs();
         let present = cold.share + (1.0 - cold.share) * risen;
-        (cold.fall_multiple * COLD_LOAD).min(1.0) * present * self.can(n)
+        (cold.overload_multiple * COLD_LOAD).min(1.0) * present * self.can(n)
     }
 
     /// Rule 2 for a further pull: what may have run goes again only where repeats are harmless.
     pub(super) fn may_repeat_at(&self, now: Nanos, request: &RequestState, id: NodeId) -> bool {
         let Some((sent, first)) = request.may_have_run else { return true };
         let (Some(a), Some(b)) = (self.nodes.get(first), self.nodes.get(id)) else { return false };
-        match request.pinned.repeat() {
-            Repeat::Retriable => true,
-            Repeat::NonRetriable => false,
-            rule @ Repeat::Deduped { scope, .. } => {
+        match request.pinned.retry_safety() {
+            RetrySafety::Retriable => true,
+            RetrySafety::NonRetriable => false,
+            rule @ RetrySafety::Deduped { scope, .. } => {
                 rule.send_by(sent) > Some(now) && scope.holds_both(&a.e, &b.e)
             }
         }
@@ -61,11 +62,12 @@
     /// Gives up at once: throttled where trying again is harmless, else abandoned.
     pub(super) fn give_up(&mut self, now: Nanos, id: RequestId, out: &mut impl Actions) {
         let Some(request) = self.requests.get(id.0) else { return };
-        let harmless = match request.pinned.repeat() {
-            Repeat::Retriable | Repeat::Deduped { scope: DedupScope::All, .. } => true,
+        let harmless = match request.pinned.retry_safety() {
+            RetrySafety::Retriable | RetrySafety::Deduped { scope: DedupScope::All, .. } => true,
             _ => request.may_have_run.is_none(),
         };
-        let to = if harmless && request.d.expires > now { Stage::Rejected } else { Stage::Failed };
+        let to =
+            if harmless && request.routing_request.deadline > now { Stage::Rejected } else { Stage::Failed };
         self.end(now, id, to, out);
     }
 
@@ -79,17 +81,17 @@
         use Stage::*;
         let Some(request) = self.requests.get_mut(id.0) else { return false };
         let allowed = match request.stage {
-            Taken => matches!(to, Attempting | Rejected | Failed | Left),
-            Attempting => to != Taken,
-            Streaming => matches!(to, Served | Left),
-            Served | Rejected | Failed | Left => false,
+            Accepted => matches!(to, Attempting | Rejected | Failed | ClientGone),
+            Attempting => to != Accepted,
+            Streaming => matches!(to, Served | ClientGone),
+            Served | Rejected | Failed | ClientGone => false,
         };
         if !allowed {
             return false;
         }
         request.stage = to;
         let wait_s = COME_BACK_S.max(COME_BACK_SHARE * std::mem::take(&mut self.again).secs());
-        let advice = Nanos::from_secs(wait_s * (1.0 + self.random.share()));
+        let advice = Nanos::from_secs(wait_s * (1.0 + self.random.next_f64()));
         let advice = self.answered(now, id, to).unwrap_or(advice);
         match to {
             Rejected => out.reject(id, self.s.retry_after.then_some(advice.min(self.s.max_retry_after))),
@@ -101,26 +103,26 @@
 
     /// The storm module hears of a final answer, and says when a throttled request is to come back.
     pub(super) fn answered(&mut self, now: Nanos, id: RequestId, to: Stage) -> Option<Nanos> {
-        let final_one = !matches!(to, Stage::Taken | Stage::Attempting | Stage::Streaming);
+        let final_one = !matches!(to, Stage::Accepted | Stage::Attempting | Stage::Streaming);
         let request = self.requests.get(id.0).filter(|_| final_one)?;
         let target_s = self.target_s(request);
-        self.storm.as_mut()?.answered(now, request, to, target_s)
+        self.storm.as_mut()?.request_answered(now, request, to, target_s)
     }
 
     /// Lets go of an answered request once all its attempts are in.
     pub(super) fn settle(&mut self, now: Nanos, id: RequestId, out: &mut impl Actions) {
         let Some(request) = self.requests.get(id.0) else { return };
-        let open = matches!(request.stage, Stage::Taken | Stage::Attempting | Stage::Streaming);
+        let open = matches!(request.stage, Stage::Accepted | Stage::Attempting | Stage::Streaming);
         if !open && request.attempts.iter().all(|p| !p.out) {
-            self.storm.iter_mut().for_each(|storm| storm.settled(now, request));
-            self.requests.clear(id.0);
+            self.storm.iter_mut().for_each(|storm| storm.request_settled(now, request));
+            self.requests.remove(id.0);
             out.release(id);
         }
     }
 
     /// Nobody waits for this request any more.
     pub fn client_gone(&mut self, now: Nanos, id: RequestId, out: &mut impl Actions) {
-        if self.move_to(now, id, Stage::Left, out) {
+        if self.move_to(now, id, Stage::ClientGone, out) {
             self.cancel(id, None, out);
             self.settle(now, id, out);
         }
--- a/crates/routing/src/policy/unheard.rs
+++ b/crates/routing/src/policy/staleness.rs
@@ -15,40 +15,40 @@
 
 /// What was done since the start because the change log was not heard.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct UnheardCounts {
+pub struct StalenessCounts {
     /// Attempts that asked for copies that no purge can forbid that was not heard.
-    pub newer_copies: u64,
+    pub age_limited_attempts: u64,
     /// Nodes left out of a choice as they had refused.
-    pub refused: u64,
+    pub refused_nodes: u64,
     /// Nodes left out of a choice as their lease had ended.
-    pub lease_ended: u64,
+    pub expired_leases: u64,
 }
 
 impl Dispatcher {
     /// What was done since the start because the change log was not heard.
-    pub fn unheard_counts(&self) -> UnheardCounts {
+    pub fn staleness_counts(&self) -> StalenessCounts {
         self.unheard.get()
     }
 
-    fn count_unheard(&self, count: impl FnOnce(&mut UnheardCounts)) {
+    fn count_unheard(&self, count: impl FnOnce(&mut StalenessCounts)) {
         let mut counts = self.unheard.get();
         count(&mut counts);
         self.unheard.set(counts);
     }
 
     /// Whether nodes may drain that the list does not say so of: they are sent work under leases.
-    pub fn drains_are_doubtful(&self, now: Nanos) -> bool {
-        self.knowledge.is_some_and(|knowledge| knowledge.is_doubtful(now, self.s.drain_grace))
+    pub fn may_miss_drains(&self, now: Nanos) -> bool {
+        self.knowledge.is_some_and(|knowledge| knowledge.may_be_stale(now, self.s.drain_grace))
     }
 
     /// What is known of the change log now.
-    pub fn change_log_known(&mut self, now: Nanos, knowledge: Knowledge, out: &mut impl Actions) {
+    pub fn change_log_changed(&mut self, now: Nanos, knowledge: Knowledge, out: &mut impl Actions) {
         self.knowledge = Some(knowledge);
         self.plan_probes(now, out);
     }
 
     /// A node that was probed at `sent` says whether it takes work.
-    pub fn probe_answered(&mut self, id: NodeId, sent: Nanos, takes_work: bool) {
+    pub fn readiness_probe_answered(&mut self, id: NodeId, sent: Nanos, takes_work: bool) {
         let Some(node) = self.nodes.get_mut(id) else { return };
         match takes_work {
             true => node.lease.took(sent),
@@ -57,17 +57,17 @@
     }
 
     /// Whether copies that may have been purged are to be left alone.
-    pub fn purges_are_doubtful(&self, now: Nanos) -> bool {
-        self.knowledge.is_some_and(|knowledge| knowledge.is_doubtful(now, self.s.purge_notice))
+    pub fn may_miss_purges(&self, now: Nanos) -> bool {
+        self.knowledge.is_some_and(|knowledge| knowledge.may_be_stale(now, self.s.purge_notice))
     }
 
     /// The oldest copy that no purge can forbid that was not heard, whenever that was: one that is younger than the time to
     /// heed it. `None` while all are heard.
     pub(super) fn max_age_unheard(&self, now: Nanos) -> Option<Nanos> {
-        if !self.purges_are_doubtful(now) {
+        if !self.may_miss_purges(now) {
             return None;
         }
-        self.count_unheard(|counts| counts.newer_copies += 1);
+        self.count_unheard(|counts| counts.age_limited_attempts += 1);
         Some(self.s.purge_notice.since(LEAVES_WITHIN))
     }
 
@@ -84,7 +84,7 @@
             _ => [None, None],
         };
         for (id, took) in shown.into_iter().flatten() {
-            self.probe_answered(id, sent.at, took);
+            self.readiness_probe_answered(id, sent.at, took);
         }
     }
 
@@ -93,7 +93,7 @@
         let is_above = self.nodes.is_parent(id) || self.nodes.is_origin(id);
         let sharers = if is_above { self.s.dispatchers } else { self.s.zone_dispatchers };
         let span = self.s.drain_grace.since(LEAVES_WITHIN);
-        LeaseTerms::new(span, self.s.may_probe, sharers, self.nodes.serving_count())
+        LeaseTerms::new(span, self.s.readiness_probes, sharers, self.nodes.serving_count())
     }
 
     /// Until when a node may be sent new work, or named as a source; `None` for as long as the list is known.
@@ -104,7 +104,7 @@
             return Some(Nanos::ZERO);
         }
         let terms = self.lease_terms(id);
-        let list_holds_until = knowledge.doubtful_from(now, self.s.drain_grace);
+        let list_holds_until = knowledge.stale_from(now, self.s.drain_grace);
         terms.is_strict.then(|| node.lease.ends(list_holds_until, terms.span))
     }
 
@@ -113,8 +113,8 @@
         let Some(until) = self.may_send_until(now, id) else { return true };
         if now >= until {
             self.count_unheard(|counts| match until {
-                Nanos::ZERO => counts.refused += 1,
-                _ => counts.lease_ended += 1,
+                Nanos::ZERO => counts.refused_nodes += 1,
+                _ => counts.expired_leases += 1,
             });
         }
         now < until
@@ -140,7 +140,8 @@
 
     /// Probes begin in time for the first lease that is needed.
     fn plan_probes(&mut self, now: Nanos, out: &mut impl Actions) {
-        let Some(knowledge) = self.knowledge.filter(|_| self.s.may_probe && !self.probes_leases) else {
+        let Some(knowledge) = self.knowledge.filter(|_| self.s.readiness_probes && !self.probes_leases)
+        else {
             return;
         };
         if knowledge.is_current(now, self.s.drain_grace) {
@@ -148,9 +149,9 @@
         }
         let every = self.probe_round();
         let ahead = Nanos(ROUNDS_AHEAD * every.0);
-        let from = knowledge.doubtful_from(now, self.s.drain_grace).since(ahead);
+        let from = knowledge.stale_from(now, self.s.drain_grace).since(ahead);
         self.probes_leases = true;
-        out.arm(from.since(now), LEASES_DUE);
+        out.arm_timer(from.since(now), LEASES_DUE);
     }
 
     /// Leases that are about to be needed are renewed, for as long as the change log is not heard.
@@ -162,7 +163,7 @@
         };
         let every = self.probe_round();
         let ahead = Nanos(ROUNDS_AHEAD * every.0);
-        let list_holds_until = knowledge.doubtful_from(now, self.s.drain_grace);
+        let list_holds_until = knowledge.stale_from(now, self.s.drain_grace);
         if list_holds_until > now.after(ahead).after(every) {
             return self.plan_probes(now, out);
         }
@@ -173,11 +174,11 @@
             // Where leases are not kept, no connection is made for a probe alone.
             let is_asked = |node: &Node| terms.is_strict || node.lease.has_shown();
             if self.nodes.get(id).is_some_and(|node| is_asked(node) && (is_due(node) || refused(node))) {
-                out.ask_alive(id);
+                out.probe_readiness(id);
             }
         }
         self.probes_leases = true;
-        out.arm(every, LEASES_DUE);
+        out.arm_timer(every, LEASES_DUE);
     }
 
     /// How often nodes are probed: as often as the slowest of them bears.
--- a/crates/routing/tests/module/cold.rs
+++ b/crates/routing/tests/module/cold.rs
@@ -22,11 +22,11 @@
     let mut sent = 0.0;
     for _ in 0..dispatchers {
         let mut bucket = TokenBucket::default();
-        let mut at = (chance.share() * every_ms as f64) as u64;
+        let mut at = (chance.next_f64() * every_ms as f64) as u64;
         while at < 60_000 {
             let send = bucket.spend(ms(1 + at), &room(2.4, dispatchers), work_s);
-            sent += if chance.share() < send { work_s } else { 0.0 };
-            at += (every_ms as f64 * (0.5 + chance.share())) as u64;
+            sent += if chance.next_f64() < send { work_s } else { 0.0 };
+            at += (every_ms as f64 * (0.5 + chance.next_f64())) as u64;
         }
     }
     sent
@@ -162,19 +162,19 @@
 #[test]
 fn an_overdue_fill_that_comes_after_all_counts_as_what_it_was() {
     let mut origin = OriginLimiter::new();
-    assert_eq!(origin.share(ms(1_000)), 1.0);
-    (0..4).for_each(|_| origin.overdue(ms(1_000)));
-    let overdue = origin.share(ms(1_100));
+    assert_eq!(origin.allowed_share(ms(1_000)), 1.0);
+    (0..4).for_each(|_| origin.fetch_overdue(ms(1_000)));
+    let overdue = origin.allowed_share(ms(1_100));
     assert!(overdue < 0.3, "{overdue}");
     for _ in 0..4 {
-        origin.came(ms(1_200));
-        origin.answered(ms(1_200), 0.05, 0.8);
+        origin.overdue_ended(ms(1_200));
+        origin.fetch_answered(ms(1_200), 0.05, 0.8);
     }
-    assert_eq!(origin.share(ms(1_200)), 1.0);
+    assert_eq!(origin.allowed_share(ms(1_200)), 1.0);
     // What was late is forgotten after two seconds, what came since is not taken for less than nothing.
-    origin.overdue(ms(1_300));
-    origin.came(ms(3_900));
-    assert_eq!(origin.share(ms(4_000)), 1.0);
+    origin.fetch_overdue(ms(1_300));
+    origin.overdue_ended(ms(3_900));
+    assert_eq!(origin.allowed_share(ms(4_000)), 1.0);
 }
 
 /// Keeps the times to come back that are told, and passes over all else.
@@ -188,10 +188,10 @@
         self.0.extend(retry_after);
     }
     fn fail(&mut self, _dl: RequestId) {}
-    fn arm(&mut self, _span: Nanos, _token: u64) {}
-    fn probe(&mut self, _node: NodeId) {}
-    fn follow(&mut self) {}
-    fn note(&mut self, _line: &str) {}
+    fn arm_timer(&mut self, _span: Nanos, _token: u64) {}
+    fn probe_load(&mut self, _node: NodeId) {}
+    fn subscribe_to_list(&mut self) {}
+    fn log_line(&mut self, _line: &str) {}
     fn release(&mut self, _dl: RequestId) {}
     fn release_object(&mut self, _object: ObjectId) {}
 }
@@ -212,8 +212,8 @@
             copy_hash: 1,
             object_hash: 1,
             group: None,
-            expires: ms(70_000),
-            repeat: false,
+            deadline: ms(70_000),
+            is_retry: false,
             size_kb: Some(1_000.0),
             client: 0,
             body_hash: 0,
--- a/crates/routing/tests/module/common.rs
+++ b/crates/routing/tests/module/common.rs
@@ -40,19 +40,19 @@
     fn fail(&mut self, request_id: RequestId) {
         say!(self, "dl {}: abandoned", request_id.0);
     }
-    fn arm(&mut self, span: Nanos, token: u64) {
+    fn arm_timer(&mut self, span: Nanos, token: u64) {
         self.1.push((span, token));
     }
-    fn probe(&mut self, node: NodeId) {
+    fn probe_load(&mut self, node: NodeId) {
         say!(self, "probe {}", node.0);
     }
-    fn ask_alive(&mut self, node: NodeId) {
+    fn probe_readiness(&mut self, node: NodeId) {
         say!(self, "alive {}", node.0);
     }
-    fn follow(&mut self) {
+    fn subscribe_to_list(&mut self) {
         say!(self, "follow");
     }
-    fn note(&mut self, line: &str) {
+    fn log_line(&mut self, line: &str) {
         say!(self, "note: {}", line.split(" for ").next().unwrap_or(line));
     }
     fn release(&mut self, _dl: RequestId) {}
@@ -66,10 +66,10 @@
 
 /// Three content types: retriable (0), retriable and fresh for 8 s (1), non-retriable at the origin (2).
 pub(crate) fn settings() -> Settings {
-    let row = |repeat, fresh: Option<u64>, uncacheable| ContentType {
-        target_time: ms(400),
-        target_stretch: 2.0,
-        repeat,
+    let row = |retry_safety, fresh: Option<u64>, uncacheable| ContentType {
+        latency_target: ms(400),
+        latency_target_stretch: 2.0,
+        retry_safety,
         fresh_for: fresh.map(ms),
         uncacheable,
         benefit: 1.0,
@@ -80,34 +80,34 @@
         dispatchers: 4,
         zone_dispatchers: 2,
         content_types: vec![
-            row(Repeat::Retriable, None, false),
-            row(Repeat::Retriable, Some(8_000), false),
-            row(Repeat::NonRetriable, None, true),
+            row(RetrySafety::Retriable, None, false),
+            row(RetrySafety::Retriable, Some(8_000), false),
+            row(RetrySafety::NonRetriable, None, true),
         ],
         parent_kind: Some(1),
         origin_kind: Some(2),
-        direct: true,
-        joins: true,
-        fills_told: true,
-        sideways: false,
+        direct_to_parents: true,
+        coalesces_fills: true,
+        fill_source_reported: true,
+        fill_from_other_locations: false,
         client_kb_per_s: 10_000.0,
         link_kb_per_s: 0.0,
         purge_done: ms(6_000),
         purge_notice: ms(500),
         drain_grace: ms(1_000),
-        cache_cold: ColdStart { share: 0.2, warm_after: ms(15_000), fall_multiple: 2.5 },
-        parent_cold: ColdStart { share: 0.07, warm_after: ms(21_000), fall_multiple: 2.0 },
-        fall_for: ms(1_500),
+        cache_cold: ColdStart { share: 0.2, warm_after: ms(15_000), overload_multiple: 2.5 },
+        parent_cold: ColdStart { share: 0.07, warm_after: ms(21_000), overload_multiple: 2.0 },
+        overload_window: ms(1_500),
         origin_stop_multiple: 2.5,
-        list_is_asked: false,
+        list_needs_subscription: false,
         cancel: true,
         retry_after: true,
         max_retry_after: ms(2_000),
         max_attempts: 6,
-        sizes_told: true,
-        probes: false,
-        may_probe: false,
-        storms: None,
+        capacities_listed: true,
+        load_probes: false,
+        readiness_probes: false,
+        overload_control: None,
     }
 }
 
@@ -124,7 +124,7 @@
     module.start(ms(1), &mut trace);
     let nodes = [(0, 0), (1, 0), (2, 0), (3, 1), (4, 1), (5, 2)];
     let list = nodes.map(|(id, kind)| entry(id, kind, Readiness::Ready, Nanos::ZERO));
-    module.nodes_listed(ms(1), &list, &mut trace);
+    module.node_list_replaced(ms(1), &list, &mut trace);
     (module, trace)
 }
 
@@ -138,8 +138,8 @@
         copy_hash: hash,
         object_hash: hash,
         group: None,
-        expires: now.after(ms(3_000)),
-        repeat: false,
+        deadline: now.after(ms(3_000)),
+        is_retry: false,
         size_kb: Some(size_kb),
         client: 0,
         body_hash: 0,
@@ -159,7 +159,7 @@
     let d = RoutingRequest {
         content_type: TypeId(kind % 10),
         group: Some(u64::from(object % 4)),
-        repeat: kind >= 10,
+        is_retry: kind >= 10,
         ..sized(now, request_id, object, 1_000.0)
     };
     module.request_arrived(now, &d, trace);
@@ -167,8 +167,15 @@
 
 /// The end of an attempt with this outcome and remark.
 pub(crate) fn end(outcome: Outcome, remark: Remark) -> AttemptEnd {
-    let closed = outcome == Outcome::Served;
-    AttemptEnd { outcome, took: ms(120), closed, waited: Some(ms(20)), remark, report: Report::default() }
+    let completes_request = outcome == Outcome::Served;
+    AttemptEnd {
+        outcome,
+        duration: ms(120),
+        completes_request,
+        first_byte_wait: Some(ms(20)),
+        remark,
+        report: LoadReport::default(),
+    }
 }
 
 /// The look of request `request_id` finds nothing.
--- a/crates/routing/tests/module/largest.rs
+++ b/crates/routing/tests/module/largest.rs
@@ -3,9 +3,9 @@
 //! thirds as often as their content type, on any other at least half as often.
 
 use crate::common::*;
-use copperroute_routing::chance::Chance;
 use copperroute_routing::interface::*;
 use copperroute_routing::policy::Dispatcher;
+use copperroute_routing::structures::random::Random;
 use std::collections::BTreeMap;
 
 /// A day.
@@ -72,12 +72,12 @@
         self.throttled.push(request_id);
     }
     fn fail(&mut self, _dl: RequestId) {}
-    fn arm(&mut self, span: Nanos, token: u64) {
+    fn arm_timer(&mut self, span: Nanos, token: u64) {
         self.timers.push((span, token));
     }
-    fn probe(&mut self, _node: NodeId) {}
-    fn follow(&mut self) {}
-    fn note(&mut self, _line: &str) {}
+    fn probe_load(&mut self, _node: NodeId) {}
+    fn subscribe_to_list(&mut self) {}
+    fn log_line(&mut self, _line: &str) {}
     fn release(&mut self, request_id: RequestId) {
         self.counts.remove(&request_id.0);
     }
@@ -96,10 +96,10 @@
 impl Day {
     /// Sizes of what was asked for, and whether it was answered.
     fn play(&self, seed: u64) -> Vec<Want> {
-        let mut chance = Chance::new(seed);
+        let mut chance = Random::new(seed);
         let mut s = Settings { seed, dispatchers: DISPATCHERS, zone_dispatchers: DISPATCHERS, ..settings() };
-        s.content_types[0].target_time = ms(self.target.0);
-        s.content_types[0].target_stretch = self.target.1;
+        s.content_types[0].latency_target = ms(self.target.0);
+        s.content_types[0].latency_target_stretch = self.target.1;
         let entries = |started: Nanos| {
             let nodes = [(0, 0), (1, 0), (2, 0), (3, 1), (4, 1), (5, 2)];
             let weight = |kind| if kind == 0 { FITS } else { 4.0 * FITS };
@@ -114,7 +114,7 @@
         let mut outs: Vec<_> = fleet.iter().map(|_| Out::default()).collect();
         for (module, out) in fleet.iter_mut().zip(&mut outs) {
             module.start(ms(1), out);
-            module.nodes_listed(ms(1), &entries(Nanos::ZERO), out);
+            module.node_list_replaced(ms(1), &entries(Nanos::ZERO), out);
         }
         let mut wants: Vec<Want> = Vec::new();
         let mut open: BTreeMap<(usize, u32), (usize, Nanos)> = BTreeMap::new();
@@ -134,12 +134,12 @@
             // What is asked for now, and again.
             let mut asks: Vec<usize> = Vec::new();
             let mut left = rate * STEP.secs();
-            while chance.share() < left {
+            while chance.next_f64() < left {
                 left -= 1.0;
-                let normal = (0..12).map(|_| chance.share()).sum::<f64>() - 6.0;
+                let normal = (0..12).map(|_| chance.next_f64()).sum::<f64>() - 6.0;
                 let work_s = MEAN_S * (SIGMA * normal - SIGMA * SIGMA / 2.0).exp();
                 wants.push(Want {
-                    object: (chance.share() * 5_000.0) as u32,
+                    object: (chance.next_f64() * 5_000.0) as u32,
                     work_s,
                     tries: 0,
                     answered: false,
@@ -153,15 +153,15 @@
             }
             for want in asks {
                 count += 1;
-                let at = (chance.share() * f64::from(DISPATCHERS)) as usize;
+                let at = (chance.next_f64() * f64::from(DISPATCHERS)) as usize;
                 let Want { object, work_s, .. } = wants[want];
                 wants[want].tries += 1;
                 let d = RoutingRequest {
-                    expires: now.after(EXPIRY),
-                    repeat: wants[want].tries > 1,
+                    deadline: now.after(EXPIRY),
+                    is_retry: wants[want].tries > 1,
                     ..sized(now, count % 16_384, object, work_s * 10_000.0)
                 };
-                open.insert((at, d.request_id.0), (want, d.expires));
+                open.insert((at, d.request_id.0), (want, d.deadline));
                 fleet[at].request_arrived(now, &d, &mut outs[at]);
             }
             // Transfers go on, each node's at its own pace.
@@ -186,16 +186,17 @@
                     (true, false) => (Outcome::Served, Remark::FilledFromCopy),
                     (false, _) => (Outcome::Missed, Remark::None),
                 };
-                let closed = how.0 == Outcome::Served;
+                let completes_request = how.0 == Outcome::Served;
                 let end = AttemptEnd {
                     outcome: how.0,
-                    took: now.since(one.begun),
-                    closed,
-                    waited: Some(one.begins.since(one.begun)),
+                    duration: now.since(one.begun),
+                    completes_request,
+                    first_byte_wait: Some(one.begins.since(one.begun)),
                     remark: how.1,
-                    report: Report::default(),
+                    report: LoadReport::default(),
                 };
-                if closed && let Some((want, _)) = open.remove(&(one.dispatcher, one.request_id.0)) {
+                if completes_request && let Some((want, _)) = open.remove(&(one.dispatcher, one.request_id.0))
+                {
                     wants[want].answered = true;
                 }
                 fleet[one.dispatcher].attempt_ended(
@@ -215,7 +216,7 @@
                     .collect::<Vec<_>>();
                 for one in ended {
                     let end =
-                        AttemptEnd { took: now.since(one.begun), ..end(Outcome::TimedOut, Remark::None) };
+                        AttemptEnd { duration: now.since(one.begun), ..end(Outcome::TimedOut, Remark::None) };
                     fleet[at].attempt_ended(now, one.request_id, one.number, &end, &mut outs[at]);
                 }
             }
@@ -238,7 +239,7 @@
                     let gone: Vec<_> = gone.collect();
                     for one in gone {
                         let end = AttemptEnd {
-                            took: now.since(one.begun),
+                            duration: now.since(one.begun),
                             ..end(Outcome::Cancelled, Remark::None)
                         };
                         fleet[at].attempt_ended(now, one.request_id, one.number, &end, out);
@@ -248,7 +249,7 @@
                     let Some((want, _)) = open.remove(&(at, request_id.0)) else { continue };
                     if wants[want].tries <= self.tries {
                         count += 1;
-                        again.insert((now.after(ms(100 + (chance.share() * 300.0) as u64)), count), want);
+                        again.insert((now.after(ms(100 + (chance.next_f64() * 300.0) as u64)), count), want);
                     }
                 }
                 for (request_id, number, node, source) in std::mem::take(&mut out.attempts) {
@@ -256,7 +257,7 @@
                     let (work_s, look) = (wants[*want].work_s, node == source);
                     // What is held is found at once, or not.
                     let empty = node < self.cold && now < ms(15_000) && (told || self.slow_untold);
-                    let held = chance.share() < if empty { 0.3 } else { self.hits };
+                    let held = chance.next_f64() < if empty { 0.3 } else { self.hits };
                     let (left_s, wait) = match (look, held) {
                         (true, false) => (-9.0, 5),
                         (true, true) => (work_s, 5),
