--- a/crates/routing/tests/module/storm_day.rs
+++ b/crates/routing/tests/module/overload_scenario.rs
@@ -9,14 +9,14 @@
 const STEP: Nanos = Nanos(10_000_000);
 
 /// The settings of the day.
-pub(crate) fn told() -> StormSettings {
-    StormSettings {
-        remember: ms(60_000),
-        most_remembered: 20_000,
+pub(crate) fn told() -> OverloadSettings {
+    OverloadSettings {
+        remember_for: ms(60_000),
+        max_remembered: 20_000,
         slots: 50,
-        newcomers: 0.2,
-        clients_mark: true,
-        doubt_unknown: false,
+        unreserved_share: 0.2,
+        clients_mark_retries: true,
+        unknown_retry_may_have_run: false,
         max_attempts: 6,
     }
 }
@@ -52,10 +52,10 @@
     fn fail(&mut self, request_id: RequestId) {
         self.never.push(request_id);
     }
-    fn arm(&mut self, _span: Nanos, _token: u64) {}
-    fn probe(&mut self, _node: NodeId) {}
-    fn follow(&mut self) {}
-    fn note(&mut self, line: &str) {
+    fn arm_timer(&mut self, _span: Nanos, _token: u64) {}
+    fn probe_load(&mut self, _node: NodeId) {}
+    fn subscribe_to_list(&mut self) {}
+    fn log_line(&mut self, line: &str) {
         self.notes.push(line.to_string());
     }
     fn release(&mut self, request_id: RequestId) {
@@ -90,8 +90,9 @@
 
 impl Day {
     /// A quiet day with all nodes there.
-    pub(crate) fn new(storms: StormSettings) -> Day {
-        let mut s = Settings { storms: Some(storms), zone_dispatchers: 1, dispatchers: 1, ..settings() };
+    pub(crate) fn new(storms: OverloadSettings) -> Day {
+        let mut s =
+            Settings { overload_control: Some(storms), zone_dispatchers: 1, dispatchers: 1, ..settings() };
         // Images, tables, posts.
         (s.content_types[0].benefit, s.content_types[1].benefit, s.content_types[2].benefit) =
             (2.0, 1.0, 3.0);
@@ -145,8 +146,8 @@
             copy_hash: hash,
             object_hash: hash,
             group: None,
-            expires: self.now.after(ms(3_000)),
-            repeat: tried.tries > 0,
+            deadline: self.now.after(ms(3_000)),
+            is_retry: tried.tries > 0,
             size_kb: Some([3_000.0, 500.0, 200.0][tried.kind as usize]),
             client: tried.client,
             body_hash: 0,
@@ -204,12 +205,18 @@
             self.now = self.now.after(STEP);
             let due: Vec<_> = self.ending.range(..=self.now.0).map(|(at, _)| *at).collect();
             let ends: Vec<_> = due.iter().flat_map(|at| self.ending.remove(at)).flatten().collect();
-            for (request_id, number, outcome, took) in ends {
+            for (request_id, number, outcome, duration) in ends {
                 let remark = if outcome == Outcome::Served { Remark::Hit } else { Remark::None };
-                let closed = outcome == Outcome::Served;
-                let end =
-                    AttemptEnd { outcome, took, closed, waited: None, remark, report: Report::default() };
-                if let Some((tried, _)) = self.held.get(&request_id).filter(|_| closed) {
+                let completes_request = outcome == Outcome::Served;
+                let end = AttemptEnd {
+                    outcome,
+                    duration,
+                    completes_request,
+                    first_byte_wait: None,
+                    remark,
+                    report: LoadReport::default(),
+                };
+                if let Some((tried, _)) = self.held.get(&request_id).filter(|_| completes_request) {
                     self.ok[tried.kind as usize] += 1;
                     self.heeded[usize::from(tried.heeds)] += 1;
                 }
--- a/crates/routing/tests/module/rules.rs
+++ b/crates/routing/tests/module/rules.rs
@@ -47,8 +47,8 @@
 fn deduped_downloads_keep_to_their_group_and_window() {
     let mut s = settings();
     let window = ms(500);
-    s.content_types[0].repeat = Repeat::Deduped { scope: DedupScope::Cell, window };
-    s.content_types[1].repeat = Repeat::Deduped { scope: DedupScope::All, window };
+    s.content_types[0].retry_safety = RetrySafety::Deduped { scope: DedupScope::Cell, window };
+    s.content_types[1].retry_safety = RetrySafety::Deduped { scope: DedupScope::All, window };
     let (mut module, mut trace) = start(s);
     let mut other = entry(0, 0, Readiness::Ready, Nanos::ZERO);
     other.cell = 9;
@@ -83,7 +83,7 @@
     // A whole list: what it leaves out is gone.
     let kinds = [(2, 0), (4, 1), (5, 2)];
     let list = kinds.map(|(id, kind)| entry(id, kind, Readiness::Ready, Nanos::ZERO));
-    module.nodes_listed(ms(1_100), &list, &mut trace);
+    module.node_list_replaced(ms(1_100), &list, &mut trace);
     ask(&mut module, ms(1_200), 9, 0, 0, &mut trace);
     miss(&mut module, ms(1_201), 9, &mut trace);
     expect![[r#"
--- a/crates/routing/tests/module/spared.rs
+++ b/crates/routing/tests/module/spared.rs
@@ -13,7 +13,7 @@
     for request_id in 0..8 {
         ask(&mut module, now, request_id, 2, request_id, &mut trace);
         now = now.after(ms(5));
-        let end = AttemptEnd { closed: false, ..end(outcome, Remark::SourceLost) };
+        let end = AttemptEnd { completes_request: false, ..end(outcome, Remark::SourceLost) };
         module.attempt_ended(now, RequestId(request_id), 0, &end, &mut trace);
     }
     trace.0.clear();
@@ -64,8 +64,9 @@
 }
 
 /// A dispatcher with a cache of another location in its list, whose parents have all just started.
-fn parents_cold(sideways: bool) -> (Dispatcher, Trace) {
-    let (mut module, mut trace) = start(Settings { sideways, fall_for: ms(1), ..settings() });
+fn parents_cold(fill_from_other_locations: bool) -> (Dispatcher, Trace) {
+    let (mut module, mut trace) =
+        start(Settings { fill_from_other_locations, overload_window: ms(1), ..settings() });
     let away = NodeEntry { zone: ZoneId(4), ..entry(6, 0, Readiness::Ready, Nanos::ZERO) };
     let parents = [3, 4].map(|id| entry(id, 1, Readiness::Ready, ms(9_999)));
     module.nodes_changed(ms(10_000), &[&parents[..], &[away]].concat(), &mut trace);
@@ -100,8 +101,12 @@
         let now = ms(20 * u64::from(request_id));
         ask(&mut module, now, request_id, 0, request_id, &mut trace);
         miss(&mut module, now, request_id, &mut trace);
-        let waited = Some(ms(290));
-        let end = AttemptEnd { waited, took: ms(390), ..end(Outcome::Served, Remark::FilledFromOrigin) };
+        let first_byte_wait = Some(ms(290));
+        let end = AttemptEnd {
+            first_byte_wait,
+            duration: ms(390),
+            ..end(Outcome::Served, Remark::FilledFromOrigin)
+        };
         module.attempt_ended(now.after(ms(10)), RequestId(request_id), 1, &end, &mut trace);
     }
     trace.0.clear();
--- a/crates/simulator-adapter/src/stdio_transport.rs
+++ b/crates/simulator-adapter/src/stdio_transport.rs
@@ -22,26 +22,26 @@
 
     /// A slot for a request that has just come.
     pub(crate) fn open(&mut self, id: u64) -> RequestId {
-        RequestId(self.request_ids.open(id))
+        RequestId(self.request_ids.get_or_assign(id))
     }
 
     /// The slot of a request, if it is still held.
     pub(crate) fn held(&self, id: u64) -> Option<RequestId> {
-        self.request_ids.held(&id).map(RequestId)
+        self.request_ids.get(&id).map(RequestId)
     }
 
     pub(crate) fn object(&mut self, name: &str, part: u64) -> ObjectId {
-        ObjectId(self.objects.open((name.to_string(), part)))
+        ObjectId(self.objects.get_or_assign((name.to_string(), part)))
     }
 
     /// The index of a node that was listed.
     pub(crate) fn held_node(&self, address: &str) -> Option<NodeId> {
-        self.nodes.held(&address.to_string()).map(NodeId)
+        self.nodes.get(&address.to_string()).map(NodeId)
     }
 
     /// The index of a listed node, new or known.
     pub(crate) fn list_node(&mut self, address: &str) -> NodeId {
-        NodeId(self.nodes.open(address.to_string()))
+        NodeId(self.nodes.get_or_assign(address.to_string()))
     }
 }
 
@@ -74,7 +74,7 @@
             "pull_via\t{}\t{}\t{}\t{manner}\t{}\t{}\t{}\t{}",
             self.instance,
             self.request_ids.key(request_id.0),
-            Secs(attempt.try_for),
+            Secs(attempt.time_limit),
             self.nodes.key(attempt.source.0),
             self.nodes.key(attempt.node.0),
             attempt.rank,
@@ -100,19 +100,19 @@
         say!(self, "abort\t{}\t{}", self.instance, self.request_ids.key(request_id.0));
     }
 
-    fn arm(&mut self, span: Nanos, token: u64) {
+    fn arm_timer(&mut self, span: Nanos, token: u64) {
         say!(self, "arm\t{}\t{}\t{token}", self.instance, Secs(Some(span)));
     }
 
-    fn probe(&mut self, node: NodeId) {
+    fn probe_load(&mut self, node: NodeId) {
         say!(self, "poll\t{}\t{}", self.instance, self.nodes.key(node.0));
     }
 
-    fn follow(&mut self) {
+    fn subscribe_to_list(&mut self) {
         say!(self, "follow\t{}\t1", self.instance);
     }
 
-    fn note(&mut self, line: &str) {
+    fn log_line(&mut self, line: &str) {
         say!(self, "note_down\t{}\t{line}", self.instance);
     }
 
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -2,8 +2,8 @@
 
 use crate::stdio_transport::StdioTransport;
 use copperroute_routing::interface::{
-    AttemptEnd, Nanos, NodeEntry, Outcome, Readiness, Remark, Report, RoutingRequest, TypeId, UNTOLD, ZoneId,
-    mix, stable_hash,
+    AttemptEnd, LoadReport, Nanos, NodeEntry, Outcome, Readiness, Remark, RoutingRequest, TypeId, UNKNOWN_ID,
+    ZoneId, mix, stable_hash,
 };
 use copperroute_routing::policy::Dispatcher;
 use copperroute_settings::Options;
@@ -125,12 +125,12 @@
 }
 
 /// A load report; values that are not read, or are no numbers, are passed over.
-fn report(pairs: &str) -> Report {
+fn report(pairs: &str) -> LoadReport {
     let value = |name: &str| {
         let pair = pairs.split(',').filter_map(|pair| pair.split_once(':')).find(|pair| pair.0 == name)?;
         pair.1.parse().ok().filter(|value: &f64| value.is_finite() && *value >= 0.0)
     };
-    Report { in_hand: value("busy_reqs"), busy: value("cpu_share") }
+    LoadReport { in_flight: value("busy_reqs"), busy: value("cpu_share") }
 }
 
 fn entry(fields: &mut Fields<'_>, transport: &mut StdioTransport) -> Result<NodeEntry, String> {
@@ -144,7 +144,7 @@
         hash: stable_hash(address.as_bytes()),
         zone: ZoneId(fields.number("campus")?),
         kind: fields.number("family_type")?,
-        cell: fields.maybe("pack")?.unwrap_or(UNTOLD),
+        cell: fields.maybe("pack")?.unwrap_or(UNKNOWN_ID),
         readiness: match fields.number::<u32>("readiness")? {
             0 => Readiness::Gone,
             1 => Readiness::Ready,
@@ -179,8 +179,8 @@
             }
             match how {
                 0 => module.nodes_changed(now, &nodes, transport),
-                1 | 2 => module.nodes_listed(now, &nodes, transport),
-                3 => module.list_failed(now, transport),
+                1 | 2 => module.node_list_replaced(now, &nodes, transport),
+                3 => module.subscription_failed(now, transport),
                 other => return Err(format!("backends_changed: how: expected 0 to 3, found '{other}'")),
             }
         }
@@ -189,7 +189,7 @@
             let id = fields.number("id")?;
             let content_type = TypeId(fields.number("priority")?);
             let name = fields.text("resource")?;
-            let expires = fields.secs("drop_dead_s")?;
+            let deadline = fields.secs("drop_dead_s")?;
             let bits: u32 = fields.maybe("state_bits")?.unwrap_or(0);
             let size: Option<f64> = fields.maybe("kbytes")?;
             let part: u64 = fields.maybe("chunk")?.unwrap_or(0);
@@ -207,8 +207,8 @@
                 copy_hash: mix(object_hash.wrapping_add(part)),
                 object_hash,
                 group,
-                expires,
-                repeat: bits & 2 != 0,
+                deadline,
+                is_retry: bits & 2 != 0,
                 size_kb: size.filter(|kb| *kb > 0.0),
                 client: 0,
                 body_hash: 0,
@@ -225,15 +225,16 @@
             fields.expect(10)?;
             let request_id = transport.held(fields.number("id")?);
             let outcome = outcome(fields.text("state_code")?)?;
-            let took = fields.secs("rtt_s")?;
-            let closed = fields.number::<u32>("no_more")? == 1;
+            let duration = fields.secs("rtt_s")?;
+            let completes_request = fields.number::<u32>("no_more")? == 1;
             let number = fields.number("n")?;
             let _host = fields.text("host")?;
-            let waited = Some(fields.secs("waited_s")?).filter(|span| span.0 > 0);
+            let first_byte_wait = Some(fields.secs("waited_s")?).filter(|span| span.0 > 0);
             let remark = remark(fields.maybe("remark")?.unwrap_or(0));
             let report = report(fields.text("health_info")?);
             if let Some(request_id) = request_id {
-                let end = AttemptEnd { outcome, took, closed, waited, remark, report };
+                let end =
+                    AttemptEnd { outcome, duration, completes_request, first_byte_wait, remark, report };
                 module.attempt_ended(now, request_id, number, &end, transport);
             }
         }
@@ -254,7 +255,7 @@
             let passed = outcome(fields.text("state_code")?)? == Outcome::Served;
             let report = report(fields.text("health_info")?);
             if let Some(node) = transport.held_node(host).filter(|_| passed) {
-                module.probed(now, node, report);
+                module.load_probe_answered(now, node, report);
             }
         }
         "voided" => {
--- a/crates/testbed/src/fleet_simulation/arrangement.rs
+++ b/crates/testbed/src/fleet_simulation/arrangement.rs
@@ -3,8 +3,8 @@
 
 use super::assumptions::{CALLS_SHARE, TOLD_AFTER};
 use super::topology::{self, Place};
-use copperroute_routing::calls::CallSettings;
 use copperroute_routing::interface::mix;
+use copperroute_routing::reconnect_schedule::ReconnectSettings;
 
 /// A way of changes.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -14,7 +14,8 @@
     pub streams: usize,
     /// Calls that each source bears, times what the log bears today.
     pub calls_times: f64,
-    /// A dispatcher that starts with a list calls as late as it may be told (`Calls::started`), or in the next round.
+    /// A dispatcher that starts with a list calls as late as it may be told (`ReconnectSchedule::started`), or in the
+    /// next round.
     pub waits_at_start: bool,
 }
 
@@ -55,20 +56,20 @@
     }
 
     /// What a dispatcher is told of its sources: rounds hold though one replica is lost.
-    pub(super) fn calls(&self, dispatchers: u32) -> CallSettings {
+    pub(super) fn calls(&self, dispatchers: u32) -> ReconnectSettings {
         let streams = dispatchers * self.streams as u32;
         let share = (self.replicas.saturating_sub(1) as u32).max(1);
-        CallSettings {
+        ReconnectSettings {
             dispatchers: streams.div_ceil(share),
             calls_per_s: Some(self.bears(dispatchers)),
-            told_after: TOLD_AFTER,
-            part: [0.0, 1.0],
+            delivered_after: TOLD_AFTER,
+            window_range: [0.0, 1.0],
         }
     }
 
     /// What a replica is told of the log.
-    pub(super) fn replica_calls(&self, dispatchers: u32) -> CallSettings {
-        CallSettings { dispatchers: self.replicas as u32, ..self.calls(dispatchers) }
+    pub(super) fn replica_calls(&self, dispatchers: u32) -> ReconnectSettings {
+        ReconnectSettings { dispatchers: self.replicas as u32, ..self.calls(dispatchers) }
     }
 
     /// The sources of a dispatcher, those that it prefers first: rendezvous hashing, the second in another zone than the
--- a/crates/testbed/src/fleet_simulation/follower.rs
+++ b/crates/testbed/src/fleet_simulation/follower.rs
@@ -1,22 +1,25 @@
-//! One follower of the change log: the program's own cores, `ChangeLog` (with `Calls`) for each stream and `Agreement`
-//! for versions. With two streams the first copy of an event counts; that merge is the simulation's own.
+//! One follower of the change log: the program's own cores, `ChangeLog` (with `ReconnectSchedule`) for each stream and
+//! `Agreement` for versions. With two streams the first copy of an event counts; that merge is the simulation's own.
 
 use super::assumptions::*;
-use copperroute_config_rollout::core::Agreement;
+use copperroute_config_rollout::agreement::Agreement;
 use copperroute_config_rollout::faults::Faults;
-use copperroute_config_rollout::issue::{Ground, Issue};
 use copperroute_config_rollout::rules::RuleSet;
-use copperroute_config_rollout::terms::Terms;
-use copperroute_dispatcher::changes::{ChangeLog, ChangeLogSettings, Told};
+use copperroute_config_rollout::timing::TimingBounds;
+use copperroute_config_rollout::version::{IssuedVersion, ValidationContext};
+use copperroute_dispatcher::changes::{ChangeLog, ChangeLogSettings, ChangeLogUpdate};
 use copperroute_dispatcher::effects::Effect;
 use copperroute_protocol::changes::Change;
-use copperroute_routing::calls::CallSettings;
 use copperroute_routing::interface::Nanos;
+use copperroute_routing::reconnect_schedule::ReconnectSettings;
 use serde_json::{Map, Value, json};
 use std::net::SocketAddr;
 
-const TERMS: Terms =
-    Terms { lease: Nanos(3_000_000_000), clock_error: Nanos(250_000_000), slack: Nanos(500_000_000) };
+const TERMS: TimingBounds = TimingBounds {
+    lease: Nanos(3_000_000_000),
+    clock_error: Nanos(250_000_000),
+    propagation_bound: Nanos(500_000_000),
+};
 
 /// What a follower took of the bytes that came.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -33,9 +36,15 @@
 }
 
 fn agreement() -> Agreement {
-    let base = RuleSet::of(&crate::many_rules::settings(), &[]);
-    let floor = RuleSet::read(&base, &[], "floor", &rules(2)).unwrap_or_else(|_| base.clone());
-    let ground = Ground { base, types: Vec::new(), terms: TERMS, faults: Faults::default() };
+    let platform_rules = RuleSet::from_settings(&crate::many_rules::settings(), &[]);
+    let floor =
+        RuleSet::parse(&platform_rules, &[], "floor", &rules(2)).unwrap_or_else(|_| platform_rules.clone());
+    let ground = ValidationContext {
+        platform_rules,
+        content_types: Vec::new(),
+        timing: TERMS,
+        faults: Faults::default(),
+    };
     Agreement::new(ground, &floor)
 }
 
@@ -48,7 +57,7 @@
 pub(super) struct Start {
     /// The source of each stream.
     pub sources: Vec<usize>,
-    pub calls: CallSettings,
+    pub calls: ReconnectSettings,
     pub seed: u64,
     /// The last event that its configuration knows.
     pub known: u64,
@@ -76,8 +85,8 @@
                 calls: start.calls,
                 seed,
                 unix_zero,
-                slack: TERMS.slack,
-                looks_for_anew: false,
+                slack: TERMS.propagation_bound,
+                detects_log_restart: false,
             })
         };
         Follower {
@@ -108,13 +117,13 @@
         self.agreement.as_ref().is_some_and(|agreement| agreement.out_of_touch().is_some())
     }
 
-    /// It starts; one that has a list `waits` as `Calls` has it, one that has none calls in the next round.
+    /// It starts; one that has a list `waits` as `ReconnectSchedule` has it, one that has none calls in the next round.
     pub(super) fn start(&mut self, stream: usize, waits: bool, now: Nanos, effects: &mut Vec<Effect>) {
         self.streams[stream].start(waits, now, effects);
     }
 
     pub(super) fn due(&mut self, stream: usize, now: Nanos, effects: &mut Vec<Effect>) {
-        self.streams[stream].connect(now, effects);
+        self.streams[stream].connect_due(now, effects);
     }
 
     pub(super) fn connected(
@@ -126,7 +135,7 @@
     ) {
         // With another stream up, the lease goes on by that one's lines.
         if self.streams.len() == 1 {
-            self.agreement.iter_mut().for_each(|agreement| agreement.asked(now));
+            self.agreement.iter_mut().for_each(|agreement| agreement.request_sent(now));
         }
         self.streams[stream].connected(connection, now, effects);
     }
@@ -142,14 +151,14 @@
 
     /// Gives a silent stream up.
     pub(super) fn watch(&mut self, stream: usize, now: Nanos, effects: &mut Vec<Effect>) {
-        self.streams[stream].watch(now, effects);
+        self.streams[stream].check_silence(now, effects);
     }
 
     /// Brings what is agreed up to this time.
     pub(super) fn look(&mut self, now: Nanos) {
         let unix_ms = self.unix_ms(now);
         if let Some(agreement) = &mut self.agreement {
-            agreement.look(now, unix_ms);
+            agreement.update(now, unix_ms);
         }
     }
 
@@ -164,17 +173,19 @@
     ) -> Vec<News> {
         let mut news = Vec::new();
         self.streams[stream].received(connection, now, bytes);
-        while let Some(told) = self.streams[stream].next_told(now, effects) {
+        while let Some(told) = self.streams[stream].next_update(now, effects) {
             match told {
-                Told::Change { change, .. } if change.seq > self.newest => {
+                ChangeLogUpdate::Change { change, .. } if change.seq > self.newest => {
                     self.newest = change.seq;
                     self.take(now, &change);
                     news.push(News::Event(change.seq));
                 }
-                Told::Change { .. } | Told::Restriction { .. } => {}
-                Told::Line { caught_up } => {
+                ChangeLogUpdate::Change { .. } | ChangeLogUpdate::Restriction { .. } => {}
+                ChangeLogUpdate::Heartbeat { caught_up } => {
                     let current = caught_up && self.applied(stream) == self.newest;
-                    self.agreement.iter_mut().for_each(|agreement| agreement.line(now, current));
+                    self.agreement
+                        .iter_mut()
+                        .for_each(|agreement| agreement.heartbeat_received(now, current));
                     news.push(News::Line { current });
                 }
             }
@@ -190,11 +201,11 @@
     fn take(&mut self, now: Nanos, change: &Change) {
         let unix_ms = self.unix_ms(now);
         let Some(agreement) = &mut self.agreement else { return };
-        if let Some(issue) = change.rules.as_ref().and_then(|told| Issue::read(told).ok()) {
-            let _ = agreement.heard(now, unix_ms, &issue);
+        if let Some(issue) = change.rules.as_ref().and_then(|told| IssuedVersion::from_value(told).ok()) {
+            let _ = agreement.version_received(now, unix_ms, &issue);
         }
         if let Some(purge) = &change.invalidate {
-            agreement.told_at(now, unix_ms, purge.time);
+            agreement.event_time_received(now, unix_ms, purge.time);
         }
     }
 }
--- a/crates/testbed/src/fleet_simulation/network.rs
+++ b/crates/testbed/src/fleet_simulation/network.rs
@@ -2,19 +2,19 @@
 
 use super::assumptions::*;
 use super::topology::Place;
-use copperroute_routing::chance::Chance;
 use copperroute_routing::interface::Nanos;
+use copperroute_routing::structures::random::Random;
 
 #[derive(Debug)]
 pub(super) struct Network {
     /// From the first region nothing comes to the second.
     cut: [[bool; REGIONS]; REGIONS],
-    chance: Chance,
+    chance: Random,
 }
 
 impl Network {
     pub(super) fn new(seed: u64) -> Self {
-        Network { cut: [[false; REGIONS]; REGIONS], chance: Chance::new(seed) }
+        Network { cut: [[false; REGIONS]; REGIONS], chance: Random::new(seed) }
     }
 
     /// Cuts, or heals, the way from one region to another.
@@ -35,8 +35,8 @@
             0 => DELAY_REGION,
             _ => DELAY_NEXT_REGION.after(Nanos((apart - 1) * DELAY_EACH_FURTHER.0)),
         };
-        let resent = apart > 0 && self.chance.share() * RESENT_ONE_IN < 1.0;
-        let varied = Nanos::from_secs(base.secs() * (1.0 + JITTER * self.chance.share()));
+        let resent = apart > 0 && self.chance.next_f64() * RESENT_ONE_IN < 1.0;
+        let varied = Nanos::from_secs(base.secs() * (1.0 + JITTER * self.chance.next_f64()));
         if resent { varied.after(RESENT_AFTER) } else { varied }
     }
 }
--- a/crates/testbed/src/many_rules.rs
+++ b/crates/testbed/src/many_rules.rs
@@ -1,13 +1,13 @@
 //! Thousands of dispatchers that agree on versions of rules, simulated: the same cores as in the program, for the
 //! agreement and for when the list service is called; streams that are lost by chance.
 
-use copperroute_config_rollout::core::Agreement;
+use copperroute_config_rollout::agreement::Agreement;
 use copperroute_config_rollout::faults::Faults;
-use copperroute_config_rollout::issue::{Ground, Issue, written_digest};
 use copperroute_config_rollout::rules::{Field, RuleSet};
-use copperroute_config_rollout::terms::Terms;
-use copperroute_routing::calls::{CallSettings, Calls};
+use copperroute_config_rollout::timing::TimingBounds;
+use copperroute_config_rollout::version::{IssuedVersion, ValidationContext, format_digest};
 use copperroute_routing::interface::{ColdStart, Nanos, Settings, ZoneId};
+use copperroute_routing::reconnect_schedule::{ReconnectSchedule, ReconnectSettings};
 use copperroute_routing::structures::random::Random;
 use serde_json::{Map, Value, json};
 use std::collections::VecDeque;
@@ -17,8 +17,11 @@
 /// Versions come so far apart, and act so long after they were issued.
 const EACH_MS: u64 = 10_000;
 const AHEAD_MS: u64 = 4_000;
-const TERMS: Terms =
-    Terms { lease: Nanos(3_000_000_000), clock_error: Nanos(250_000_000), slack: Nanos(500_000_000) };
+const TERMS: TimingBounds = TimingBounds {
+    lease: Nanos(3_000_000_000),
+    clock_error: Nanos(250_000_000),
+    propagation_bound: Nanos(500_000_000),
+};
 const PULLS: Field = Field::Fleet(0);
 const SAID: [u64; 4] = [3, 6, 2, 5];
 /// Nothing is counted before.
@@ -53,7 +56,7 @@
 
 struct One {
     core: Agreement,
-    calls: Calls,
+    calls: ReconnectSchedule,
     /// Its clock is so many milliseconds off.
     off_ms: i64,
     /// When it hears the next line, where it follows; when it calls, where not.
@@ -64,7 +67,7 @@
 
 /// Settings under which versions are agreed on.
 pub(crate) fn settings() -> Settings {
-    let cold = ColdStart { share: 0.3, warm_after: Nanos(12_000_000_000), fall_multiple: 1.5 };
+    let cold = ColdStart { share: 0.3, warm_after: Nanos(12_000_000_000), overload_multiple: 1.5 };
     Settings {
         seed: 1,
         zone: ZoneId(0),
@@ -73,10 +76,10 @@
         content_types: Vec::new(),
         parent_kind: None,
         origin_kind: None,
-        direct: true,
-        joins: false,
-        fills_told: true,
-        sideways: false,
+        direct_to_parents: true,
+        coalesces_fills: false,
+        fill_source_reported: true,
+        fill_from_other_locations: false,
         client_kb_per_s: 0.0,
         link_kb_per_s: 0.0,
         purge_done: Nanos::ZERO,
@@ -84,17 +87,17 @@
         drain_grace: Nanos(1_000_000_000),
         cache_cold: cold,
         parent_cold: cold,
-        fall_for: Nanos(3_000_000_000),
+        overload_window: Nanos(3_000_000_000),
         origin_stop_multiple: 0.0,
-        list_is_asked: false,
+        list_needs_subscription: false,
         cancel: true,
         retry_after: true,
         max_retry_after: Nanos(1_000_000_000),
         max_attempts: 6,
-        sizes_told: true,
-        probes: false,
-        may_probe: false,
-        storms: None,
+        capacities_listed: true,
+        load_probes: false,
+        readiness_probes: false,
+        overload_control: None,
     }
 }
 
@@ -106,28 +109,34 @@
 pub(crate) fn simulate(case: &Case) -> Outcome {
     let bears = f64::from(case.dispatchers) / 5.0;
     let mut chance = Random::new(case.seed);
-    let base = RuleSet::of(&settings(), &[]);
-    let floor = RuleSet::read(&base, &[], "floor", &said(2)).unwrap_or_else(|_| base.clone());
-    let ground = Ground { base, types: Vec::new(), terms: TERMS, faults: Faults::default() };
+    let platform_rules = RuleSet::from_settings(&settings(), &[]);
+    let floor =
+        RuleSet::parse(&platform_rules, &[], "floor", &said(2)).unwrap_or_else(|_| platform_rules.clone());
+    let ground = ValidationContext {
+        platform_rules,
+        content_types: Vec::new(),
+        timing: TERMS,
+        faults: Faults::default(),
+    };
     let mut all: Vec<One> = (0..case.dispatchers)
         .map(|at| {
-            let told = CallSettings {
+            let told = ReconnectSettings {
                 dispatchers: case.dispatchers,
                 calls_per_s: Some(bears),
-                told_after: Nanos(7_000_000_000),
-                part: [0.0, 1.0],
+                delivered_after: Nanos(7_000_000_000),
+                window_range: [0.0, 1.0],
             };
             let seed = case.seed.wrapping_mul(1_000_003) + u64::from(at);
-            let mut calls = Calls::new(told, seed, UNIX_MS * 1_000_000);
-            let first = calls.started(Nanos::from_secs(chance.share()), true);
-            let off_ms = (chance.share() * 250.0) as i64 - 125;
+            let mut calls = ReconnectSchedule::new(told, seed, UNIX_MS * 1_000_000);
+            let first = calls.started(Nanos::from_secs(chance.next_f64()), true);
+            let off_ms = (chance.next_f64() * 250.0) as i64 - 125;
             let core = Agreement::new(ground.clone(), &floor);
             One { core, calls, off_ms, next_ms: first.0 / 1_000_000, follows: false, heard: 0 }
         })
         .collect();
     let away = 30_000..30_000 + case.away_ms;
     let until = 90_000 + case.away_ms;
-    let (mut log, mut after): (Vec<Issue>, String) = (Vec::new(), String::new());
+    let (mut log, mut after): (Vec<IssuedVersion>, String) = (Vec::new(), String::new());
     let mut outcome = Outcome { out_share: 0.0, tight_s: 0.0, forbidden: 0, peak: 0.0, back_s: None };
     let (mut looked, mut out, mut recent) = (0_u64, 0_u64, VecDeque::new());
     for now_ms in (0..until).step_by(STEP_MS as usize) {
@@ -138,7 +147,7 @@
             let number = log.len() as u64 + 1;
             let issued_ms = UNIX_MS + now_ms;
             let rules = said(SAID[log.len() % SAID.len()]);
-            let issue = Issue {
+            let issue = IssuedVersion {
                 version: number,
                 after: after.clone(),
                 issuer: "lab".into(),
@@ -147,10 +156,10 @@
                 rules,
                 floor: None,
             };
-            after = written_digest(number, issue.digest());
+            after = format_digest(number, issue.digest());
             log.push(issue);
         }
-        let attempts_of = |issue: &Issue| issue.rules["max_pulls"].as_u64().unwrap_or(6);
+        let attempts_of = |issue: &IssuedVersion| issue.rules["max_pulls"].as_u64().unwrap_or(6);
         // What a clock may show that is off by no more than is stated.
         let on = |off_ms: i64| {
             let unix = (UNIX_MS + now_ms).saturating_add_signed(off_ms);
@@ -167,33 +176,33 @@
             }
             if one.next_ms <= now_ms {
                 if !one.follows {
-                    one.calls.called(now);
+                    one.calls.connect_started(now);
                     recent.push_back(now_ms);
-                    one.core.asked(now);
+                    one.core.request_sent(now);
                 }
-                let lost = is_away || (one.follows && chance.share() < case.loss);
+                let lost = is_away || (one.follows && chance.next_f64() < case.loss);
                 if lost {
                     one.follows = false;
                     one.next_ms = one.calls.ended(now).0.0 / 1_000_000;
                 } else {
                     one.follows = true;
-                    one.calls.heard(now);
+                    one.calls.line_received(now);
                     for issue in &log[one.heard..] {
-                        let _ = one.core.heard(now, unix_ms, issue);
+                        let _ = one.core.version_received(now, unix_ms, issue);
                     }
                     one.heard = log.len();
-                    one.core.line(now, true);
+                    one.core.heartbeat_received(now, true);
                     one.next_ms = now_ms + 1_000;
                 }
-            } else if one.follows && one.heard < log.len() && chance.share() < 0.5 {
+            } else if one.follows && one.heard < log.len() && chance.next_f64() < 0.5 {
                 // An event is told at once, and takes a step or some.
                 for issue in &log[one.heard..] {
-                    let _ = one.core.heard(now, unix_ms, issue);
+                    let _ = one.core.version_received(now, unix_ms, issue);
                 }
                 one.heard = log.len();
             }
-            one.core.look(now, unix_ms);
-            let acts = one.core.acting().get(PULLS) as u64;
+            one.core.update(now, unix_ms);
+            let acts = one.core.effective_rules().get(PULLS) as u64;
             outcome.forbidden += u64::from(acts > allowed);
             all_tight &= last.is_none_or(|last| acts <= last.1);
             let out_of_touch = one.core.out_of_touch().is_some();
