--- a/crates/cache-store/src/files.rs
+++ b/crates/cache-store/src/files.rs
@@ -1,5 +1,5 @@
-//! The file operations of store and last good list, behind a trait: a test can make any of them fail, or stop at any
-//! byte, and tell what a crash leaves.
+//! File operations of the disk tier and of the dispatcher's saved node list, behind traits. Tests implement them to
+//! make any operation fail or stop after any byte, and to model what a crash leaves on the disk.
 
 use std::fmt::Debug;
 use std::fs::{self, File};
@@ -9,49 +9,49 @@
 
 /// How a file is opened. All are opened for reading and writing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Open {
-    /// It has to be there.
+pub enum OpenMode {
+    /// The file must exist.
     Existing,
-    /// It must not be there.
-    New,
-    /// It is made if it is not there.
-    Any,
+    /// The file must not exist; it is created.
+    CreateNew,
+    /// The file is created if it does not exist.
+    CreateIfMissing,
 }
 
-/// Folders and names.
+/// Operations on folders and file names.
 pub trait Files: Debug + Send + Sync {
-    /// Makes a folder, and those above it, if it is not there.
+    /// Creates a folder and its parents if they do not exist.
     fn make_folder(&self, folder: &Path) -> io::Result<()>;
-    /// The names in a folder.
-    fn names(&self, folder: &Path) -> io::Result<Vec<String>>;
+    /// The names of all files in a folder.
+    fn file_names(&self, folder: &Path) -> io::Result<Vec<String>>;
     /// Opens a file.
-    fn open(&self, path: &Path, how: Open) -> io::Result<Box<dyn Handle>>;
-    /// Gives a file another name, over one that is there.
+    fn open(&self, path: &Path, mode: OpenMode) -> io::Result<Box<dyn FileHandle>>;
+    /// Renames a file and replaces any file of the new name.
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()>;
     /// Removes a file.
     fn remove(&self, path: &Path) -> io::Result<()>;
-    /// Waits until the names in a folder are on the disk.
+    /// Waits until created, renamed and removed names of a folder are on the disk.
     fn sync_folder(&self, folder: &Path) -> io::Result<()>;
 }
 
 /// An open file.
-pub trait Handle: Debug + Send {
-    /// Its length.
+pub trait FileHandle: Debug + Send {
+    /// Length in bytes.
     fn length(&self) -> io::Result<u64>;
-    /// Fills the buffer from a place; fewer bytes there are an error.
+    /// Fills the buffer from an offset; `UnexpectedEof` if the file ends before.
     fn read(&self, buffer: &mut [u8], at: u64) -> io::Result<()>;
-    /// Writes all bytes at a place. After an error any part of them may be there.
+    /// Writes all bytes at an offset. After an error any number of them may have been written.
     fn write(&self, bytes: &[u8], at: u64) -> io::Result<()>;
-    /// Cuts it to a length.
-    fn cut(&self, length: u64) -> io::Result<()>;
-    /// Waits until its bytes are on the disk. After an error what was written since the last success may be lost, even
-    /// if a later call succeeds: the system forgets that pages which it could not write were ever changed.
+    /// Sets the file's length, in bytes.
+    fn truncate(&self, length: u64) -> io::Result<()>;
+    /// Waits until its bytes are on the disk. After an error all bytes written since the last success may be lost,
+    /// even if a later call succeeds: the kernel marks pages as clean that it failed to write.
     fn sync(&self) -> io::Result<()>;
-    /// Takes the lock that one process can hold; `WouldBlock` if another holds it.
+    /// Takes the file's exclusive lock; `WouldBlock` if another process holds it.
     fn lock(&self) -> io::Result<()>;
 }
 
-/// The file system.
+/// The operating system's file system.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct FileSystem;
 
@@ -60,7 +60,7 @@
         fs::create_dir_all(folder)
     }
 
-    fn names(&self, folder: &Path) -> io::Result<Vec<String>> {
+    fn file_names(&self, folder: &Path) -> io::Result<Vec<String>> {
         let mut names = Vec::new();
         for entry in fs::read_dir(folder)? {
             names.extend(entry?.file_name().into_string());
@@ -68,13 +68,13 @@
         Ok(names)
     }
 
-    fn open(&self, path: &Path, how: Open) -> io::Result<Box<dyn Handle>> {
+    fn open(&self, path: &Path, mode: OpenMode) -> io::Result<Box<dyn FileHandle>> {
         let mut options = File::options();
         options.read(true).write(true);
-        match how {
-            Open::Existing => {}
-            Open::New => drop(options.create_new(true)),
-            Open::Any => drop(options.create(true).truncate(false)),
+        match mode {
+            OpenMode::Existing => {}
+            OpenMode::CreateNew => drop(options.create_new(true)),
+            OpenMode::CreateIfMissing => drop(options.create(true).truncate(false)),
         }
         Ok(Box::new(options.open(path)?))
     }
@@ -92,7 +92,7 @@
     }
 }
 
-impl Handle for File {
+impl FileHandle for File {
     fn length(&self) -> io::Result<u64> {
         Ok(self.metadata()?.len())
     }
@@ -105,7 +105,7 @@
         self.write_all_at(bytes, at)
     }
 
-    fn cut(&self, length: u64) -> io::Result<()> {
+    fn truncate(&self, length: u64) -> io::Result<()> {
         self.set_len(length)
     }
 
@@ -123,43 +123,44 @@
     }
 }
 
-/// Removes a file that may not be there.
-pub fn remove_if_there(files: &dyn Files, path: &Path) -> io::Result<()> {
+/// Removes a file if it exists.
+pub fn remove_if_exists(files: &dyn Files, path: &Path) -> io::Result<()> {
     match files.remove(path) {
         Err(fault) if fault.kind() == io::ErrorKind::NotFound => Ok(()),
         removed => removed,
     }
 }
 
-/// Reads a whole file; nothing if it is not there, an error if it is longer than it may be.
-pub fn read_whole(files: &dyn Files, path: &Path, most: usize) -> io::Result<Option<Vec<u8>>> {
-    let file = match files.open(path, Open::Existing) {
+/// Reads a whole file of at most `max_bytes`; `None` if it does not exist.
+pub fn read_whole(files: &dyn Files, path: &Path, max_bytes: usize) -> io::Result<Option<Vec<u8>>> {
+    let file = match files.open(path, OpenMode::Existing) {
         Err(fault) if fault.kind() == io::ErrorKind::NotFound => return Ok(None),
         opened => opened?,
     };
-    let length = usize::try_from(file.length()?).ok().filter(|length| *length <= most);
-    let mut bytes = vec![0; length.ok_or_else(|| io::Error::other(format!("over {most} bytes")))?];
+    let length = usize::try_from(file.length()?).ok().filter(|length| *length <= max_bytes);
+    let too_long = || io::Error::other(format!("file exceeds {max_bytes} bytes"));
+    let mut bytes = vec![0; length.ok_or_else(too_long)?];
     file.read(&mut bytes, 0)?;
     Ok(Some(bytes))
 }
 
-/// Writes a file so that under its name there is always a whole one, the old or the new: aside into a file of its own,
-/// which a failed try leaves for no later one, then renamed. After an error either may be there.
+/// Replaces a file atomically: writes a temporary file and renames it, so that the name always stands for a whole file,
+/// the old one or the new. After an error either may be there. With `syncs`, file and folder are synced.
 pub fn replace(
     files: &dyn Files,
     folder: &Path,
-    [name, aside]: [&str; 2],
+    [name, temporary]: [&str; 2],
     bytes: &[u8],
     syncs: bool,
 ) -> io::Result<()> {
-    let aside = folder.join(aside);
-    // What a failed sync has left in the same file may never reach the disk: each try has a new one.
-    remove_if_there(files, &aside)?;
-    let file = files.open(&aside, Open::New)?;
+    let temporary = folder.join(temporary);
+    // Each attempt uses a new file: bytes of a file whose sync failed may never reach the disk.
+    remove_if_exists(files, &temporary)?;
+    let file = files.open(&temporary, OpenMode::CreateNew)?;
     file.write(bytes, 0)?;
     if syncs {
         file.sync()?;
     }
-    files.rename(&aside, &folder.join(name))?;
+    files.rename(&temporary, &folder.join(name))?;
     if syncs { files.sync_folder(folder) } else { Ok(()) }
 }
--- a/crates/cache-store/src/index.rs
+++ b/crates/cache-store/src/index.rs
@@ -1,35 +1,36 @@
-//! Where copies lie: an open-addressed table of 24 bytes an entry. Fingerprints stand for keys; the record itself
-//! tells whether it is of the key that was meant.
+//! Index of the disk tier: maps the fingerprint of a key to the position of its record in the log. An open-addressed
+//! hash table of 24 bytes per entry. Keys can share a fingerprint, so readers compare the key in the record.
 
-/// Where a copy lies.
+/// Position of a copy's record in the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Place {
-    /// The segment.
+pub struct RecordPosition {
+    /// Number of the segment.
     pub segment: u32,
-    /// Where its record begins there.
+    /// Offset of the record in the segment, in bytes.
     pub offset: u32,
-    /// The length of its body.
+    /// Length of the body, in bytes; less than 2^24.
     pub length: u32,
-    /// The rank that it was kept at.
+    /// The rank that admission gave the copy.
     pub rank: u8,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Entry {
-    /// Zero for an empty place.
-    print: u64,
+    /// Zero for an empty slot.
+    fingerprint: u64,
     segment: u32,
     offset: u32,
-    /// Length in the low 24 bits, rank above.
+    /// Length of the body in the low 24 bits, rank in the high 8.
     length: u32,
-    /// How far from its own place it stands.
-    away: u32,
+    /// Number of slots between its home slot and this one.
+    probe_distance: u32,
 }
 
-const EMPTY: Entry = Entry { print: 0, segment: 0, offset: 0, length: 0, away: 0 };
-const LEAST: usize = 16;
+const EMPTY: Entry = Entry { fingerprint: 0, segment: 0, offset: 0, length: 0, probe_distance: 0 };
+/// Smallest number of slots.
+const MIN_SLOTS: usize = 16;
 
-/// A robin-hood table of fingerprints, at most seven eighths full.
+/// A hash table with Robin Hood probing, at most seven eighths full.
 #[derive(Debug, Clone)]
 pub struct Index {
     entries: Vec<Entry>,
@@ -38,45 +39,46 @@
 
 impl Default for Index {
     fn default() -> Self {
-        Index { entries: vec![EMPTY; LEAST], len: 0 }
+        Index { entries: vec![EMPTY; MIN_SLOTS], len: 0 }
     }
 }
 
 impl Index {
-    /// An empty table with room for so many. What comes in the order of another table would crowd in one that grows.
-    pub fn with_room(copies: usize) -> Self {
-        let places = (copies * 8 / 7 + 1).next_power_of_two().max(LEAST);
-        Index { entries: vec![EMPTY; places], len: 0 }
+    /// An empty table with room for so many copies. Inserting entries in the slot order of another table clusters them
+    /// in a table that grows meanwhile; this one does not grow.
+    pub fn with_capacity(copies: usize) -> Self {
+        let slots = (copies * 8 / 7 + 1).next_power_of_two().max(MIN_SLOTS);
+        Index { entries: vec![EMPTY; slots], len: 0 }
     }
 
-    /// How many copies there are.
+    /// Number of copies.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether there are none.
+    /// Whether it holds no copies.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Bytes that the table takes.
+    /// Memory that the table takes, in bytes.
     pub fn bytes(&self) -> usize {
         self.entries.len() * size_of::<Entry>()
     }
 
-    fn home(&self, print: u64) -> usize {
-        (print as usize) & (self.entries.len() - 1)
+    fn home_slot(&self, fingerprint: u64) -> usize {
+        (fingerprint as usize) & (self.entries.len() - 1)
     }
 
-    fn find(&self, print: u64) -> Option<usize> {
-        let print = print.max(1);
-        let mut at = self.home(print);
-        for away in 0.. {
+    fn find_slot(&self, fingerprint: u64) -> Option<usize> {
+        let fingerprint = fingerprint.max(1);
+        let mut at = self.home_slot(fingerprint);
+        for probe_distance in 0.. {
             let entry = &self.entries[at];
-            if entry.print == print {
+            if entry.fingerprint == fingerprint {
                 return Some(at);
             }
-            if entry.print == 0 || entry.away < away {
+            if entry.fingerprint == 0 || entry.probe_distance < probe_distance {
                 return None;
             }
             at = (at + 1) & (self.entries.len() - 1);
@@ -84,85 +86,97 @@
         None
     }
 
-    /// The copy under a fingerprint.
-    pub fn get(&self, print: u64) -> Option<Place> {
-        self.find(print).map(|at| {
+    /// The position stored for a fingerprint.
+    pub fn get(&self, fingerprint: u64) -> Option<RecordPosition> {
+        self.find_slot(fingerprint).map(|at| {
             let entry = &self.entries[at];
             let (length, rank) = (entry.length & 0x00ff_ffff, (entry.length >> 24) as u8);
-            Place { segment: entry.segment, offset: entry.offset, length, rank }
+            RecordPosition { segment: entry.segment, offset: entry.offset, length, rank }
         })
     }
 
-    /// Puts a copy under a fingerprint; returns the one that was there.
-    pub fn put(&mut self, print: u64, place: Place) -> Option<Place> {
-        let print = print.max(1);
-        let old = self.get(print);
-        let length = place.length & 0x00ff_ffff | u32::from(place.rank) << 24;
-        let entry = Entry { print, segment: place.segment, offset: place.offset, length, away: 0 };
-        if let Some(at) = self.find(print) {
-            self.entries[at] = Entry { away: self.entries[at].away, ..entry };
+    /// Stores a position for a fingerprint and returns the one that it replaces.
+    pub fn put(&mut self, fingerprint: u64, position: RecordPosition) -> Option<RecordPosition> {
+        let fingerprint = fingerprint.max(1);
+        let old = self.get(fingerprint);
+        let length = position.length & 0x00ff_ffff | u32::from(position.rank) << 24;
+        let entry = Entry {
+            fingerprint,
+            segment: position.segment,
+            offset: position.offset,
+            length,
+            probe_distance: 0,
+        };
+        if let Some(at) = self.find_slot(fingerprint) {
+            self.entries[at] = Entry { probe_distance: self.entries[at].probe_distance, ..entry };
             return old;
         }
         if (self.len + 1) * 8 > self.entries.len() * 7 {
-            let bigger = vec![EMPTY; self.entries.len() * 2];
-            let entries = std::mem::replace(&mut self.entries, bigger);
-            entries.into_iter().filter(|entry| entry.print != 0).for_each(|entry| self.insert(entry));
+            let larger = vec![EMPTY; self.entries.len() * 2];
+            let entries = std::mem::replace(&mut self.entries, larger);
+            entries
+                .into_iter()
+                .filter(|entry| entry.fingerprint != 0)
+                .for_each(|entry| self.insert_entry(entry));
         }
-        self.insert(entry);
+        self.insert_entry(entry);
         self.len += 1;
         None
     }
 
-    fn insert(&mut self, mut entry: Entry) {
-        entry.away = 0;
-        let mut at = self.home(entry.print);
+    fn insert_entry(&mut self, mut entry: Entry) {
+        entry.probe_distance = 0;
+        let mut at = self.home_slot(entry.fingerprint);
         loop {
-            let there = &mut self.entries[at];
-            if there.print == 0 {
-                *there = entry;
+            let occupant = &mut self.entries[at];
+            if occupant.fingerprint == 0 {
+                *occupant = entry;
                 return;
             }
-            if there.away < entry.away {
-                std::mem::swap(there, &mut entry);
+            if occupant.probe_distance < entry.probe_distance {
+                std::mem::swap(occupant, &mut entry);
             }
-            entry.away += 1;
+            entry.probe_distance += 1;
             at = (at + 1) & (self.entries.len() - 1);
         }
     }
 
-    /// Takes a copy out.
-    pub fn remove(&mut self, print: u64) -> Option<Place> {
-        let old = self.get(print)?;
-        let mut at = self.find(print)?;
-        // Those behind it move one place back, up to one that stands at its own.
+    /// Removes a fingerprint and returns its position.
+    pub fn remove(&mut self, fingerprint: u64) -> Option<RecordPosition> {
+        let old = self.get(fingerprint)?;
+        let mut at = self.find_slot(fingerprint)?;
+        // Entries after it move one slot back, up to one that is in its home slot.
         loop {
             let next = (at + 1) & (self.entries.len() - 1);
-            let behind = self.entries[next];
-            if behind.print == 0 || behind.away == 0 {
+            let following = self.entries[next];
+            if following.fingerprint == 0 || following.probe_distance == 0 {
                 self.entries[at] = EMPTY;
                 break;
             }
-            self.entries[at] = Entry { away: behind.away - 1, ..behind };
+            self.entries[at] = Entry { probe_distance: following.probe_distance - 1, ..following };
             at = next;
         }
         self.len -= 1;
         Some(old)
     }
 
-    /// All copies, by fingerprint, in the table's order.
-    pub fn iter(&self) -> impl Iterator<Item = (u64, Place)> + '_ {
-        self.entries.iter().filter(|entry| entry.print != 0).map(|entry| {
+    /// All fingerprints with their positions, in slot order.
+    pub fn iter(&self) -> impl Iterator<Item = (u64, RecordPosition)> + '_ {
+        self.entries.iter().filter(|entry| entry.fingerprint != 0).map(|entry| {
             let (length, rank) = (entry.length & 0x00ff_ffff, (entry.length >> 24) as u8);
-            (entry.print, Place { segment: entry.segment, offset: entry.offset, length, rank })
+            (entry.fingerprint, RecordPosition { segment: entry.segment, offset: entry.offset, length, rank })
         })
     }
 
-    /// Keeps the copies that are meant.
-    pub fn retain(&mut self, mut meant: impl FnMut(u64, &Place) -> bool) {
-        let gone: Vec<_> =
-            self.iter().filter(|(print, place)| !meant(*print, place)).map(|(print, _)| print).collect();
-        for print in gone {
-            self.remove(print);
+    /// Keeps only the copies for which `keep` returns true.
+    pub fn retain(&mut self, mut keep: impl FnMut(u64, &RecordPosition) -> bool) {
+        let removed: Vec<_> = self
+            .iter()
+            .filter(|(fingerprint, position)| !keep(*fingerprint, position))
+            .map(|(fingerprint, _)| fingerprint)
+            .collect();
+        for fingerprint in removed {
+            self.remove(fingerprint);
         }
     }
 }
--- a/crates/cache-store/src/lib.rs
+++ b/crates/cache-store/src/lib.rs
@@ -1,6 +1,10 @@
-//! Copies of a dispatcher's own. Decisions stand in `admission.rs` and do no input or output; codecs in `record.rs`
-//! and `snapshot.rs` neither. Files are touched through `files.rs` by `segment.rs` and `disk.rs` alone, on the
-//! thread of `worker.rs`; when it tries a disk anew, `reopening.rs` decides.
+//! The dispatcher's local cache: copies of object parts in memory and, if configured, on disk, where they survive a
+//! restart or a crash.
+//!
+//! `admission` decides which tier keeps a copy, `memory` and `disk` are the two tiers, and `worker` runs the disk tier
+//! on its own thread. `reopening` says when a failed disk is opened again. `record` and `snapshot` encode and decode
+//! the stored forms; like `admission` they do no input or output. Only `segment` and `disk` access files, through the
+//! traits of `files`.
 
 pub mod admission;
 pub mod disk;
--- a/crates/cache-store/src/purges.rs
+++ b/crates/cache-store/src/purges.rs
@@ -1,37 +1,37 @@
-//! Purges that copies on disk must be held against, for as long as such copies may lie about: the last of each object
-//! and group. State only, no input or output.
+//! The last purge of each object and each group, kept for as long as copies made before it may exist. Tells whether a
+//! copy predates a purge. State only, no input or output.
 
 use std::collections::HashMap;
 
-/// What was purged, each with the last Unix millisecond at which it was.
-pub type Dated<T> = Vec<(T, u64)>;
+/// Purged objects or groups, each with the time of its last purge in Unix milliseconds.
+pub type Timestamped<T> = Vec<(T, u64)>;
 
-/// When objects and groups were last purged, by the origin's clock.
+/// When objects and groups were last purged, by the origin's clock, and the position reached in the change log.
 #[derive(Debug, Clone, Default)]
 pub struct Purges {
     objects: HashMap<[u8; 16], u64>,
     groups: HashMap<u8, u64>,
-    /// The number of the last event of the change log that has been heeded.
+    /// Number of the last change log event that has been applied.
     seq: u64,
 }
 
 impl Purges {
-    /// An object was purged.
+    /// Records the purge of an object by a change log event.
     pub fn object(&mut self, object: [u8; 16], at_ms: u64, seq: u64) {
         let last = self.objects.entry(object).or_default();
         *last = (*last).max(at_ms);
         self.seq = self.seq.max(seq);
     }
 
-    /// A group was.
+    /// Records the purge of a group by a change log event.
     pub fn group(&mut self, group: u8, at_ms: u64, seq: u64) {
         let last = self.groups.entry(group).or_default();
         *last = (*last).max(at_ms);
         self.seq = self.seq.max(seq);
     }
 
-    /// Whether a copy was made before its object, or its group, was last purged. One made in the same millisecond
-    /// may be either: it counts as before. One whose group is not known may be in any.
+    /// Whether a copy may predate the last purge of its object or group. A copy made in the same millisecond as the
+    /// purge counts as older; a copy whose group is not known counts as a member of every group.
     pub fn forbid(&self, object: &[u8; 16], group: Option<u8>, made_ms: u64) -> bool {
         let of_group = match group {
             Some(group) => self.groups.get(&group),
@@ -41,34 +41,34 @@
         last.into_iter().flatten().any(|at| made_ms <= *at)
     }
 
-    /// The number of the last event that has been heeded.
+    /// Number of the last change log event that has been applied.
     pub fn seq(&self) -> u64 {
         self.seq
     }
 
-    /// Events up to this one have been heeded, whatever they were.
-    pub fn reach(&mut self, seq: u64) {
+    /// Marks all events up to this one as applied, whatever their kind.
+    pub fn advance_to(&mut self, seq: u64) {
         self.seq = self.seq.max(seq);
     }
 
-    /// Forgets purges of objects of which no copy made before them is left.
+    /// Forgets purges before `oldest_made_ms`: every remaining copy was made at that time or later.
     pub fn forget_before(&mut self, oldest_made_ms: u64) {
         self.objects.retain(|_, at| *at >= oldest_made_ms);
         self.groups.retain(|_, at| *at >= oldest_made_ms);
     }
 
-    /// How many are remembered.
+    /// Number of purged objects and groups that are remembered.
     pub fn len(&self) -> usize {
         self.objects.len() + self.groups.len()
     }
 
-    /// Whether none is.
+    /// Whether no purge is remembered.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// All that are remembered, in an order of their own.
-    pub fn all(&self) -> (Dated<[u8; 16]>, Dated<u8>) {
+    /// All remembered purges, sorted by object and by group.
+    pub fn sorted(&self) -> (Timestamped<[u8; 16]>, Timestamped<u8>) {
         let mut objects: Vec<_> = self.objects.iter().map(|(object, at)| (*object, *at)).collect();
         let mut groups: Vec<_> = self.groups.iter().map(|(group, at)| (*group, *at)).collect();
         objects.sort_unstable();
--- a/crates/cache-store/src/record.rs
+++ b/crates/cache-store/src/record.rs
@@ -1,30 +1,33 @@
-//! A record of the log: one part of an object, or the mark of a purge. Bytes to small typed values once, and back.
+//! Records of the on-disk log: a copy of one part of an object, a purge, or the removal of a copy. Encodes and decodes
+//! the head of a record; the body of a copy follows the head unchanged.
 //!
-//! Layout, little-endian: magic 4, kind 1, content type 1, group 2, part 4, object 16, etag 16, made 8, length of the
-//! body 4, checksum of the body 4, checksum of all before 4; then the body. Checksums are CRC-32C.
+//! Layout of the head, little-endian, in bytes: magic 4, kind 1, content type 1, group 2, part 4, object 16, entity tag
+//! 16, time 8, length of the body 4, checksum of the body 4, checksum of the 60 bytes before 4. A purge holds its event
+//! number in the first 8 bytes of the entity tag. Checksums are CRC-32C.
 
 use copperroute_routing::interface::mix;
 
-/// Bytes of a record without its body.
+/// Length of a record's head, in bytes.
 pub const HEAD: usize = 64;
-/// What a body holds at most.
-pub const MOST_BODY: usize = 240_000;
+/// Longest body of a record, in bytes; a head that states more is corrupt.
+pub const MAX_BODY_BYTES: usize = 240_000;
 const MAGIC: u32 = 0x5243_5031;
+/// Stands for a group that is not known.
 const NO_GROUP: u16 = u16::MAX;
 
-/// A part of an object of a content type: what is kept as one copy.
+/// Identifies a cached copy: one part of an object of a content type.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Key {
-    /// The place of its content type in the settings.
+    /// Index of the content type in the settings.
     pub content_type: u8,
-    /// The object's sixteen digits, as they came.
+    /// The sixteen hexadecimal digits that identify the object, as received.
     pub object: [u8; 16],
-    /// The part.
+    /// Number of the part within the object.
     pub part: u32,
 }
 
 impl Key {
-    /// A fingerprint, spread over 64 bits.
+    /// A 64-bit hash of the key. Two keys can share one.
     pub fn print(&self) -> u64 {
         let half =
             |at: usize| self.object[at..at + 8].iter().fold(0_u64, |sum, byte| sum << 8 | u64::from(*byte));
@@ -32,86 +35,86 @@
     }
 }
 
-/// What is told of a copy besides its bytes.
+/// Metadata of a copy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Facts {
-    /// The tag of the copy.
+    /// The entity tag of the copy.
     pub etag: [u8; 16],
-    /// The Unix millisecond at which the origin gave it out.
+    /// When the origin sent it, in Unix milliseconds.
     pub made_ms: u64,
-    /// The group of the object.
+    /// The group of the object, if known.
     pub group: Option<u8>,
 }
 
-/// What a record says.
+/// The head of a record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Head {
     /// A copy, with the length and checksum of its body.
-    Copy(Key, Facts, Body),
-    /// An object was purged at a Unix millisecond, by the event of the change log with that number.
+    Copy(Key, Facts, BodyDigest),
+    /// An object was purged.
     PurgedObject {
         /// The object.
         object: [u8; 16],
-        /// When it was purged, as a Unix millisecond.
+        /// When it was purged, in Unix milliseconds.
         at_ms: u64,
-        /// The number of the change log's event.
+        /// Number of the purge event in the change log.
         seq: u64,
     },
-    /// A group was.
+    /// All objects of a group were purged.
     PurgedGroup {
         /// The group.
         group: u8,
-        /// When it was purged, as a Unix millisecond.
+        /// When it was purged, in Unix milliseconds.
         at_ms: u64,
-        /// The number of the change log's event.
+        /// Number of the purge event in the change log.
         seq: u64,
     },
-    /// A copy is no longer kept.
+    /// A copy was removed.
     Dropped(Key),
 }
 
-/// The body behind a head.
+/// Length and checksum of a record's body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Body {
-    /// Its length.
+pub struct BodyDigest {
+    /// Length in bytes.
     pub length: u32,
-    /// Its checksum.
-    pub sum: u32,
+    /// CRC-32C of the bytes.
+    pub checksum: u32,
 }
 
-/// Why bytes are no record.
+/// Why bytes are not the head of a record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Unsound {
-    /// They end too early.
-    Short,
+pub enum DecodeError {
+    /// There are fewer bytes than a head has.
+    Truncated,
     /// They are something else, or damaged.
-    Damaged,
+    Corrupt,
 }
 
-fn pack(
+fn encode_head(
     kind: u8,
-    of: (u8, u16, u32),
+    (content_type, group, part): (u8, u16, u32),
     object: &[u8; 16],
     etag: &[u8; 16],
-    time: u64,
-    body: Body,
+    time_ms: u64,
+    body: BodyDigest,
 ) -> [u8; HEAD] {
     let mut bytes = [0; HEAD];
     bytes[0..4].copy_from_slice(&MAGIC.to_le_bytes());
-    (bytes[4], bytes[5]) = (kind, of.0);
-    bytes[6..8].copy_from_slice(&of.1.to_le_bytes());
-    bytes[8..12].copy_from_slice(&of.2.to_le_bytes());
+    (bytes[4], bytes[5]) = (kind, content_type);
+    bytes[6..8].copy_from_slice(&group.to_le_bytes());
+    bytes[8..12].copy_from_slice(&part.to_le_bytes());
     bytes[12..28].copy_from_slice(object);
     bytes[28..44].copy_from_slice(etag);
-    bytes[44..52].copy_from_slice(&time.to_le_bytes());
+    bytes[44..52].copy_from_slice(&time_ms.to_le_bytes());
     bytes[52..56].copy_from_slice(&body.length.to_le_bytes());
-    bytes[56..60].copy_from_slice(&body.sum.to_le_bytes());
-    let sum = crc32c::crc32c(&bytes[..60]);
-    bytes[60..64].copy_from_slice(&sum.to_le_bytes());
+    bytes[56..60].copy_from_slice(&body.checksum.to_le_bytes());
+    let checksum = crc32c::crc32c(&bytes[..60]);
+    bytes[60..64].copy_from_slice(&checksum.to_le_bytes());
     bytes
 }
 
-const NOTHING: Body = Body { length: 0, sum: 0 };
+const NO_BODY: BodyDigest = BodyDigest { length: 0, checksum: 0 };
 
 fn seq_bytes(seq: u64) -> [u8; 16] {
     let mut bytes = [0; 16];
@@ -120,63 +123,71 @@
 }
 
 impl Head {
-    /// The head of a copy with these bytes.
+    /// The head of a copy with this body.
     pub fn copy(key: Key, facts: Facts, body: &[u8]) -> Head {
-        Head::Copy(key, facts, Body { length: body.len() as u32, sum: crc32c::crc32c(body) })
+        Head::Copy(key, facts, BodyDigest { length: body.len() as u32, checksum: crc32c::crc32c(body) })
     }
 
-    /// The bytes of a head.
+    /// Encodes the head.
     pub fn encode(&self) -> [u8; HEAD] {
         match self {
             Head::Copy(key, facts, body) => {
                 let group = facts.group.map_or(NO_GROUP, u16::from);
-                pack(1, (key.content_type, group, key.part), &key.object, &facts.etag, facts.made_ms, *body)
+                encode_head(
+                    1,
+                    (key.content_type, group, key.part),
+                    &key.object,
+                    &facts.etag,
+                    facts.made_ms,
+                    *body,
+                )
             }
             Head::PurgedObject { object, at_ms, seq } => {
-                pack(2, (0, NO_GROUP, 0), object, &seq_bytes(*seq), *at_ms, NOTHING)
+                encode_head(2, (0, NO_GROUP, 0), object, &seq_bytes(*seq), *at_ms, NO_BODY)
             }
             Head::PurgedGroup { group, at_ms, seq } => {
-                pack(3, (0, u16::from(*group), 0), &[0; 16], &seq_bytes(*seq), *at_ms, NOTHING)
+                encode_head(3, (0, u16::from(*group), 0), &[0; 16], &seq_bytes(*seq), *at_ms, NO_BODY)
             }
             Head::Dropped(key) => {
-                pack(4, (key.content_type, NO_GROUP, key.part), &key.object, &[0; 16], 0, NOTHING)
+                encode_head(4, (key.content_type, NO_GROUP, key.part), &key.object, &[0; 16], 0, NO_BODY)
             }
         }
     }
 
-    /// The head at the start of these bytes.
-    pub fn decode(bytes: &[u8]) -> Result<Head, Unsound> {
+    /// Decodes the head at the start of these bytes.
+    pub fn decode(bytes: &[u8]) -> Result<Head, DecodeError> {
         let bytes: &[u8; HEAD] =
-            bytes.get(..HEAD).and_then(|head| head.try_into().ok()).ok_or(Unsound::Short)?;
+            bytes.get(..HEAD).and_then(|head| head.try_into().ok()).ok_or(DecodeError::Truncated)?;
         let u32_at = |at: usize| u32::from_le_bytes([bytes[at], bytes[at + 1], bytes[at + 2], bytes[at + 3]]);
         let u64_at = |at: usize| u64::from(u32_at(at)) | u64::from(u32_at(at + 4)) << 32;
-        let sixteen = |at: usize| {
-            let mut found = [0; 16];
-            found.copy_from_slice(&bytes[at..at + 16]);
-            found
+        let sixteen_at = |at: usize| {
+            let mut sixteen = [0; 16];
+            sixteen.copy_from_slice(&bytes[at..at + 16]);
+            sixteen
         };
         if u32_at(0) != MAGIC || u32_at(60) != crc32c::crc32c(&bytes[..60]) {
-            return Err(Unsound::Damaged);
+            return Err(DecodeError::Corrupt);
         }
         let group = u16::from_le_bytes([bytes[6], bytes[7]]);
-        let key = Key { content_type: bytes[5], object: sixteen(12), part: u32_at(8) };
-        let body = Body { length: u32_at(52), sum: u32_at(56) };
+        let key = Key { content_type: bytes[5], object: sixteen_at(12), part: u32_at(8) };
+        let body = BodyDigest { length: u32_at(52), checksum: u32_at(56) };
         match bytes[4] {
-            1 if body.length as usize <= MOST_BODY => {
-                let facts = Facts { etag: sixteen(28), made_ms: u64_at(44), group: u8::try_from(group).ok() };
+            1 if body.length as usize <= MAX_BODY_BYTES => {
+                let facts =
+                    Facts { etag: sixteen_at(28), made_ms: u64_at(44), group: u8::try_from(group).ok() };
                 Ok(Head::Copy(key, facts, body))
             }
-            2 => Ok(Head::PurgedObject { object: sixteen(12), at_ms: u64_at(44), seq: u64_at(28) }),
+            2 => Ok(Head::PurgedObject { object: sixteen_at(12), at_ms: u64_at(44), seq: u64_at(28) }),
             3 => {
-                let group = u8::try_from(group).map_err(|_| Unsound::Damaged)?;
+                let group = u8::try_from(group).map_err(|_| DecodeError::Corrupt)?;
                 Ok(Head::PurgedGroup { group, at_ms: u64_at(44), seq: u64_at(28) })
             }
             4 => Ok(Head::Dropped(key)),
-            _ => Err(Unsound::Damaged),
+            _ => Err(DecodeError::Corrupt),
         }
     }
 
-    /// Bytes that follow the head.
+    /// Length of the body that follows the head, in bytes.
     pub fn body(&self) -> usize {
         match self {
             Head::Copy(_, _, body) => body.length as usize,
@@ -185,9 +196,9 @@
     }
 }
 
-impl Body {
-    /// Whether these are its bytes.
-    pub fn is(&self, bytes: &[u8]) -> bool {
-        bytes.len() == self.length as usize && crc32c::crc32c(bytes) == self.sum
+impl BodyDigest {
+    /// Whether these bytes have this length and checksum.
+    pub fn matches(&self, bytes: &[u8]) -> bool {
+        bytes.len() == self.length as usize && crc32c::crc32c(bytes) == self.checksum
     }
 }
--- a/crates/cache-store/src/reopening.rs
+++ b/crates/cache-store/src/reopening.rs
@@ -1,51 +1,52 @@
-//! When a disk that failed is tried again. A decision only: the caller has the clock and the disk.
+//! Backoff for a failed disk: when to try it again. A decision only; the caller provides the time and does the attempt.
 
 use copperroute_routing::interface::Nanos;
 
-/// The first wait. Most trouble is a disk that was full or slow for a moment; a try empties the store, so sooner would
-/// spare little.
-pub const FIRST_WAIT: Nanos = Nanos(1_000_000_000);
-/// Waits double up to this: a disk that is away for hours costs a try a minute, and one that is mended is used within one.
-pub const LONGEST_WAIT: Nanos = Nanos(60_000_000_000);
-/// A disk that was well for so long begins with the first wait again. One that fails sooner after its return would
-/// otherwise be emptied every second, with two lines in the log each time.
-pub const WELL_AFTER: Nanos = Nanos(60_000_000_000);
+/// Wait after the first failure. Most failures are a disk that is full or slow for a moment. An attempt empties the
+/// store, so a shorter wait would gain little.
+pub const INITIAL_BACKOFF: Nanos = Nanos(1_000_000_000);
+/// Waits double up to this bound: a disk that fails for hours costs one attempt a minute, and a repaired disk is used
+/// within a minute.
+pub const MAX_BACKOFF: Nanos = Nanos(60_000_000_000);
+/// The backoff returns to its initial value after this time without a failure. If it did so at once, a disk that fails
+/// soon after each recovery would be emptied every second and write two log lines each time.
+pub const BACKOFF_RESET_AFTER: Nanos = Nanos(60_000_000_000);
 
-/// Trouble with a disk, and when it is tried again.
+/// Backoff state of one disk.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Reopening {
-    /// When the trouble began that is not over.
-    began: Option<Nanos>,
-    /// When it is tried again.
-    due: Nanos,
-    /// The wait of the last failure; none before the first.
-    wait: Nanos,
-    /// When the last trouble was over.
-    over: Nanos,
+    /// When the current failure began; `None` while the disk works.
+    failing_since: Option<Nanos>,
+    /// When the next attempt is due.
+    next_attempt: Nanos,
+    /// Wait after the last failure; zero before the first.
+    backoff: Nanos,
+    /// When the disk last recovered.
+    recovered_at: Nanos,
 }
 
 impl Reopening {
-    /// The disk has failed, at work or at a try. Tells whether trouble begins with that.
+    /// Records a failure in use or of an attempt. Returns whether the disk worked before it.
     pub fn failed(&mut self, now: Nanos) -> bool {
-        let begins = self.began.is_none();
-        if begins && now.since(self.over) >= WELL_AFTER {
-            self.wait = Nanos::ZERO;
+        let begins = self.failing_since.is_none();
+        if begins && now.since(self.recovered_at) >= BACKOFF_RESET_AFTER {
+            self.backoff = Nanos::ZERO;
         }
-        self.wait = Nanos((self.wait.0 * 2).clamp(FIRST_WAIT.0, LONGEST_WAIT.0));
-        self.due = now.after(self.wait);
-        self.began.get_or_insert(now);
+        self.backoff = Nanos((self.backoff.0 * 2).clamp(INITIAL_BACKOFF.0, MAX_BACKOFF.0));
+        self.next_attempt = now.after(self.backoff);
+        self.failing_since.get_or_insert(now);
         begins
     }
 
-    /// When the disk is to be tried, while there is trouble.
+    /// When the next attempt is due; `None` while the disk works.
     pub fn due(&self) -> Option<Nanos> {
-        self.began.map(|_| self.due)
+        self.failing_since.map(|_| self.next_attempt)
     }
 
-    /// A try has succeeded. Tells how long the trouble lasted, if there was any.
+    /// Records a success. Returns how long the failure lasted, if there was one.
     pub fn succeeded(&mut self, now: Nanos) -> Option<Nanos> {
-        let began = self.began.take()?;
-        self.over = now;
-        Some(now.since(began))
+        let failing_since = self.failing_since.take()?;
+        self.recovered_at = now;
+        Some(now.since(failing_since))
     }
 }
--- a/crates/cache-store/src/sketch.rs
+++ b/crates/cache-store/src/sketch.rs
@@ -1,11 +1,12 @@
-//! A frequency sketch: how often keys were seen lately, in a fixed number of small counters. A baseline of admission.
+//! A frequency sketch (count-min): estimates how often each key was requested recently, in a fixed number of 4-bit
+//! counters. Serves benchmarks as a baseline for admission.
 
 use copperroute_routing::interface::mix;
 
-/// Rows of counters; an estimate is the least of them.
+/// Rows of counters. The estimate for a key is the smallest of its counters, one in each row.
 const ROWS: usize = 4;
 
-/// Counters of four bits, halved when as many have been counted as there are counters.
+/// Counters of four bits. All are halved after eight requests per counter of a row.
 #[derive(Debug, Clone)]
 pub struct Sketch {
     counters: Vec<u8>,
@@ -14,43 +15,44 @@
 }
 
 impl Sketch {
-    /// For about so many keys.
+    /// Makes a sketch for about so many distinct keys.
     pub fn new(keys: usize) -> Self {
         let width = keys.max(16).next_power_of_two();
         Sketch { counters: vec![0; width * ROWS / 2], mask: width - 1, counted: 0 }
     }
 
-    fn place(&self, row: usize, print: u64) -> (usize, u8) {
-        let at = (mix(print ^ (row as u64) << 61) as usize & self.mask) + row * (self.mask + 1);
+    /// Byte and bit offset of a key's counter in a row.
+    fn counter(&self, row: usize, fingerprint: u64) -> (usize, u8) {
+        let at = (mix(fingerprint ^ (row as u64) << 61) as usize & self.mask) + row * (self.mask + 1);
         (at / 2, (at % 2 * 4) as u8)
     }
 
-    /// How often a key was seen, or a little more; 15 at most.
-    pub fn seen(&self, print: u64) -> u8 {
-        let of = |row| {
-            let (at, shift) = self.place(row, print);
+    /// The number of requests counted for a key, or slightly more; at most 15.
+    pub fn estimate(&self, fingerprint: u64) -> u8 {
+        let count_in = |row| {
+            let (at, shift) = self.counter(row, fingerprint);
             self.counters[at] >> shift & 15
         };
-        (0..ROWS).map(of).min().unwrap_or(0)
+        (0..ROWS).map(count_in).min().unwrap_or(0)
     }
 
-    /// A key is seen.
-    pub fn count(&mut self, print: u64) {
+    /// Counts a request for a key.
+    pub fn record(&mut self, fingerprint: u64) {
         for row in 0..ROWS {
-            let (at, shift) = self.place(row, print);
+            let (at, shift) = self.counter(row, fingerprint);
             if self.counters[at] >> shift & 15 < 15 {
                 self.counters[at] += 1 << shift;
             }
         }
         self.counted += 1;
         if self.counted > 8 * (self.mask + 1) {
-            // Both halves of a byte at once.
+            // Halves both counters of a byte at once.
             self.counters.iter_mut().for_each(|pair| *pair = *pair >> 1 & 0x77);
             self.counted /= 2;
         }
     }
 
-    /// Bytes that it takes.
+    /// Memory that the counters take, in bytes.
     pub fn bytes(&self) -> usize {
         self.counters.len()
     }
--- a/crates/cache-store/src/snapshot.rs
+++ b/crates/cache-store/src/snapshot.rs
@@ -1,36 +1,42 @@
-//! A snapshot of index and purges, so that a start reads less than the whole log. Bytes to values and back.
+//! Snapshots of the index and the purges: a start reads the snapshot and only the log after it. Encodes and decodes
+//! them.
 //!
-//! Layout, little-endian: magic 4, version 4, position (segment 4, offset 4), number of the last event 8, counts of
-//! entries, objects and groups 4 each; entries (fingerprint 8, segment 4, offset 4, length and rank 4); objects (16, time
-//! 8); groups (1, time 8); CRC-32C of all before 4.
+//! Layout, little-endian, in bytes: magic 4, version 4, log position (segment 4, offset 4), number of the last change
+//! log event 8, counts of index entries, purged objects and purged groups 4 each; index entries (fingerprint 8,
+//! segment 4, offset 4, length and rank 4); purged objects (object 16, time 8); purged groups (group 1, time 8);
+//! CRC-32C of all bytes before 4.
 
-use crate::index::{Index, Place};
+use crate::index::{Index, RecordPosition};
 use crate::purges::Purges;
 
 const MAGIC: u32 = 0x5243_5331;
 const VERSION: u32 = 1;
-const FIXED: usize = 4 + 4 + 8 + 8 + 12;
-const ENTRY: usize = 20;
-const OBJECT: usize = 24;
-const GROUP: usize = 9;
+/// Bytes before the first entry.
+const HEADER_BYTES: usize = 4 + 4 + 8 + 8 + 12;
+/// Bytes of an index entry.
+const ENTRY_BYTES: usize = 20;
+/// Bytes of a purged object.
+const OBJECT_PURGE_BYTES: usize = 24;
+/// Bytes of a purged group.
+const GROUP_PURGE_BYTES: usize = 9;
 
-/// What a snapshot holds.
+/// A decoded snapshot.
 #[derive(Debug, Clone, Default)]
 pub struct Snapshot {
-    /// All before this place of the log is in it.
+    /// The snapshot covers the log up to this segment and `offset`.
     pub segment: u32,
-    /// The offset there.
+    /// Offset in that segment, in bytes.
     pub offset: u32,
-    /// Where copies lie.
+    /// Positions of the copies.
     pub index: Index,
-    /// What was purged.
+    /// The last purge of each object and group.
     pub purges: Purges,
 }
 
-/// Takes values off the front of bytes.
-struct Taker<'a>(&'a [u8]);
+/// Reads values from the front of a byte slice.
+struct ByteReader<'a>(&'a [u8]);
 
-impl<'a> Taker<'a> {
+impl<'a> ByteReader<'a> {
     fn take(&mut self, count: usize) -> Option<&'a [u8]> {
         let (taken, rest) = self.0.split_at_checked(count)?;
         self.0 = rest;
@@ -47,11 +53,15 @@
 }
 
 impl Snapshot {
-    /// The bytes of a snapshot.
+    /// Encodes a snapshot that covers the log up to a segment and offset.
     pub fn encode(segment: u32, offset: u32, index: &Index, purges: &Purges) -> Vec<u8> {
-        let (objects, groups) = purges.all();
+        let (objects, groups) = purges.sorted();
         let mut bytes = Vec::with_capacity(
-            FIXED + index.len() * ENTRY + objects.len() * OBJECT + groups.len() * GROUP + 4,
+            HEADER_BYTES
+                + index.len() * ENTRY_BYTES
+                + objects.len() * OBJECT_PURGE_BYTES
+                + groups.len() * GROUP_PURGE_BYTES
+                + 4,
         );
         for value in [MAGIC, VERSION, segment, offset] {
             bytes.extend_from_slice(&value.to_le_bytes());
@@ -60,9 +70,10 @@
         for count in [index.len(), objects.len(), groups.len()] {
             bytes.extend_from_slice(&(count as u32).to_le_bytes());
         }
-        for (print, place) in index.iter() {
-            bytes.extend_from_slice(&print.to_le_bytes());
-            for value in [place.segment, place.offset, place.length | u32::from(place.rank) << 24] {
+        for (fingerprint, position) in index.iter() {
+            bytes.extend_from_slice(&fingerprint.to_le_bytes());
+            for value in [position.segment, position.offset, position.length | u32::from(position.rank) << 24]
+            {
                 bytes.extend_from_slice(&value.to_le_bytes());
             }
         }
@@ -74,45 +85,48 @@
             bytes.push(group);
             bytes.extend_from_slice(&at_ms.to_le_bytes());
         }
-        let sum = crc32c::crc32c(&bytes);
-        bytes.extend_from_slice(&sum.to_le_bytes());
+        let checksum = crc32c::crc32c(&bytes);
+        bytes.extend_from_slice(&checksum.to_le_bytes());
         bytes
     }
 
-    /// The snapshot that these bytes are; nothing if they are damaged. Counts are held against the length before
-    /// anything is set aside for them.
+    /// Decodes a snapshot; `None` if the bytes are damaged. Counts are checked against the length before memory is
+    /// allocated for them.
     pub fn decode(bytes: &[u8]) -> Option<Snapshot> {
-        let (body, sum) = bytes.split_at_checked(bytes.len().checked_sub(4)?)?;
-        if sum.try_into().ok().map(u32::from_le_bytes)? != crc32c::crc32c(body) {
+        let (body, checksum) = bytes.split_at_checked(bytes.len().checked_sub(4)?)?;
+        if checksum.try_into().ok().map(u32::from_le_bytes)? != crc32c::crc32c(body) {
             return None;
         }
-        let mut taker = Taker(body);
-        if (taker.u32()?, taker.u32()?) != (MAGIC, VERSION) {
+        let mut reader = ByteReader(body);
+        if (reader.u32()?, reader.u32()?) != (MAGIC, VERSION) {
             return None;
         }
-        let mut snapshot = Snapshot { segment: taker.u32()?, offset: taker.u32()?, ..Snapshot::default() };
-        let seq = taker.u64()?;
-        let counts = [taker.u32()? as usize, taker.u32()? as usize, taker.u32()? as usize];
-        if counts[0] * ENTRY + counts[1] * OBJECT + counts[2] * GROUP != taker.0.len() {
+        let mut snapshot = Snapshot { segment: reader.u32()?, offset: reader.u32()?, ..Snapshot::default() };
+        let seq = reader.u64()?;
+        let counts = [reader.u32()? as usize, reader.u32()? as usize, reader.u32()? as usize];
+        if counts[0] * ENTRY_BYTES + counts[1] * OBJECT_PURGE_BYTES + counts[2] * GROUP_PURGE_BYTES
+            != reader.0.len()
+        {
             return None;
         }
-        // The length has been held against the counts: no more room than the bytes stand for.
-        snapshot.index = Index::with_room(counts[0]);
+        // The counts fit the length, so this allocates no more than the bytes account for.
+        snapshot.index = Index::with_capacity(counts[0]);
         for _ in 0..counts[0] {
-            let print = taker.u64()?;
-            let (segment, offset, length) = (taker.u32()?, taker.u32()?, taker.u32()?);
-            let place = Place { segment, offset, length: length & 0x00ff_ffff, rank: (length >> 24) as u8 };
-            snapshot.index.put(print, place);
+            let fingerprint = reader.u64()?;
+            let (segment, offset, length) = (reader.u32()?, reader.u32()?, reader.u32()?);
+            let (length, rank) = (length & 0x00ff_ffff, (length >> 24) as u8);
+            let position = RecordPosition { segment, offset, length, rank };
+            snapshot.index.put(fingerprint, position);
         }
         for _ in 0..counts[1] {
-            let object = taker.take(16)?.try_into().ok()?;
-            snapshot.purges.object(object, taker.u64()?, 0);
+            let object = reader.take(16)?.try_into().ok()?;
+            snapshot.purges.object(object, reader.u64()?, 0);
         }
         for _ in 0..counts[2] {
-            let group = *taker.take(1)?.first()?;
-            snapshot.purges.group(group, taker.u64()?, 0);
+            let group = *reader.take(1)?.first()?;
+            snapshot.purges.group(group, reader.u64()?, 0);
         }
-        snapshot.purges.reach(seq);
+        snapshot.purges.advance_to(seq);
         Some(snapshot)
     }
 }
--- a/crates/cache-store/src/tests/admission.rs
+++ b/crates/cache-store/src/tests/admission.rs
@@ -1,16 +1,16 @@
-//! Tests of what `admission.rs` keeps to itself.
+//! Unit tests of admission and freshness.
 
 use super::*;
 use expect_test::expect;
 
 #[test]
-fn what_is_asked_for_often_and_is_small_is_kept_and_nearer() {
-    let mut said = String::new();
+fn frequently_requested_and_small_parts_are_kept_and_rank_higher() {
+    let mut trace = String::new();
     for rate in [None, Some(0.004), Some(0.02), Some(0.2), Some(2.0)] {
         for bytes in [200, 16_384, 240_000] {
             let seen = Seen { rate, hops: 1.0, bytes, keepable: true };
             let tiers = [Tier::Memory, Tier::Disk].map(|tier| tier.keeps(&seen));
-            said += &format!("rate {rate:?}, {bytes} bytes: memory {:?}, disk {:?}\n", tiers[0], tiers[1]);
+            trace += &format!("rate {rate:?}, {bytes} bytes: memory {:?}, disk {:?}\n", tiers[0], tiers[1]);
         }
     }
     expect![[r#"
@@ -30,13 +30,13 @@
         rate Some(2.0), 16384 bytes: memory Some(3), disk Some(3)
         rate Some(2.0), 240000 bytes: memory Some(2), disk Some(3)
     "#]]
-    .assert_eq(&said);
-    let never = Seen { rate: Some(9.0), hops: 2.0, bytes: 200, keepable: false };
-    assert_eq!([Tier::Memory, Tier::Disk].map(|tier| tier.keeps(&never)), [None, None]);
+    .assert_eq(&trace);
+    let not_keepable = Seen { rate: Some(9.0), hops: 2.0, bytes: 200, keepable: false };
+    assert_eq!([Tier::Memory, Tier::Disk].map(|tier| tier.keeps(&not_keepable)), [None, None]);
 }
 
 #[test]
-fn age_counts_from_when_it_was_made_and_a_clock_set_back_tells_none() {
+fn age_counts_from_creation_and_is_unknown_after_the_clock_was_set_back() {
     let (fresh, grace) = (Some(Nanos::from_secs(8.0)), Nanos::from_secs(2.0));
     let ages = [9_999, 10_000, 10_001].map(|age| may_serve(50_000 + age, 50_000, fresh, grace));
     assert_eq!(ages, [true, true, false]);
--- a/crates/cache-store/src/worker.rs
+++ b/crates/cache-store/src/worker.rs
@@ -1,7 +1,11 @@
-//! The disk's thread: what is asked of the disk waits in a bounded queue, and nobody waits for it. A disk that is slow
-//! or fails is given up, as it is when a mark of a purge can't be handed over: what is on it may lack marks, or bytes
-//! that a failed sync has lost. It is tried again by itself, and is empty then. One line tells when trouble begins, one
-//! when it is over.
+//! Runs the disk tier on its own thread. Callers hand jobs over through a bounded queue and never wait for the disk;
+//! the thread reports results through [`Answers`].
+//!
+//! The store is closed if an operation fails or is slow, or if a purge does not fit in the queue: purges may be
+//! missing from it, or bytes that a failed sync lost. The thread reopens it, empty, after a backoff. One log line
+//! tells when the disk fails and one when it works again.
+//!
+//! Each opening of the store has a generation number. Callers start to use a reopened store with [`Worker::resume`].
 
 use crate::disk::{Disk, Location};
 use crate::record::{Facts, Key};
@@ -13,27 +17,27 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// What may wait for the disk.
-const WAITING: usize = 1024;
-/// A disk that takes so long for one thing is of no use.
-const SLOW: Duration = Duration::from_millis(1_500);
-/// At the end the disk has so long for all that waits; a disk that hangs must not hold up the end of the program.
-const ENDS_WITHIN: Duration = Duration::from_secs(2);
-/// How often it is looked whether the thread has ended.
-const ENDED_YET: Duration = Duration::from_millis(2);
-/// No store is open.
+/// Number of jobs that the queue holds.
+const QUEUE_CAPACITY: usize = 1024;
+/// Longest time of one operation. A slower disk is of no use, so the store is then closed.
+const MAX_OPERATION_TIME: Duration = Duration::from_millis(1_500);
+/// Time for the queued jobs at shutdown; a disk that hangs must not hold up the end of the program.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(2);
+/// Interval of the checks whether the thread has ended.
+const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(2);
+/// Generation number that means that no store is open.
 const OFF: u64 = 0;
 
-/// Who hears of what the disk has done. Called on the disk's thread.
+/// Receives what the disk tier has done. Called on the disk's thread.
 pub trait Answers: Send + 'static {
-    /// A copy was read for a ticket, or none is there.
+    /// A read has ended: the copy for this ticket, or `None` on a miss.
     fn read(&self, ticket: u64, copy: Option<(Facts, Vec<u8>)>);
-    /// The purges up to this event of the change log are marked.
+    /// The purges up to this change log event are recorded on disk.
     fn marked(&self, seq: u64);
-    /// The disk is off until `ready` says otherwise.
+    /// The store is closed until `ready` is called.
     fn off(&self);
-    /// The disk is there again, empty, under this number. It is used once [`Worker::resume`] is told of it.
-    fn ready(&self, _opened: u64) {}
+    /// The store is open again, empty, with this generation number. It is used after [`Worker::resume`].
+    fn ready(&self, _generation: u64) {}
 }
 
 enum Work {
@@ -44,31 +48,32 @@
     Stop,
 }
 
-/// What is asked of the store that was opened under a number. A later one must not be given it: purges may have come
-/// between, and are marked nowhere.
+/// Work for the store of one generation. A store of a later generation must not do it: purges received between the two
+/// are recorded nowhere.
 struct Job {
-    opened: u64,
+    generation: u64,
     work: Work,
 }
 
-/// The way to the disk's thread.
+/// Handle to the disk's thread.
 #[derive(Debug)]
 pub struct Worker {
     jobs: SyncSender<Job>,
-    /// The number under which the store is open now.
-    open: Arc<AtomicU64>,
-    /// The one that is used here.
-    used: u64,
+    /// Generation of the open store, or [`OFF`]; shared with the thread.
+    open_generation: Arc<AtomicU64>,
+    /// Generation that this handle uses.
+    generation: u64,
     thread: Option<JoinHandle<()>>,
 }
 
-/// The thread's own state.
+/// State of the thread.
 struct DiskThread<A> {
     location: Location,
     disk: Option<Disk>,
-    opened: u64,
-    open: Arc<AtomicU64>,
-    reopening: Reopening,
+    /// Generation of the last store that was opened.
+    generation: u64,
+    open_generation: Arc<AtomicU64>,
+    backoff: Reopening,
     started: Instant,
     answers: A,
 }
@@ -80,36 +85,36 @@
 
     fn run(mut self, jobs: &Receiver<Job>) {
         loop {
-            let received = match self.reopening.due() {
+            let received = match self.backoff.due() {
                 None => jobs.recv().map_err(|_| RecvTimeoutError::Disconnected),
                 Some(due) => jobs.recv_timeout(Duration::from_nanos(due.since(self.now()).0)),
             };
             match received {
                 Ok(Job { work: Work::Stop, .. }) => return self.stop(),
-                Ok(job) => self.carry_out(job),
+                Ok(job) => self.execute(job),
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
             }
-            if self.reopening.due().is_some_and(|due| self.now() >= due) {
+            if self.backoff.due().is_some_and(|due| self.now() >= due) {
                 self.reopen();
             }
         }
     }
 
-    fn carry_out(&mut self, job: Job) {
-        if self.disk.is_some() && self.open.load(Ordering::Acquire) != self.opened {
-            // A copy that is not known to be purged must not be served, and can't be told apart any more.
-            self.give_up("a purge could not be handed over");
+    fn execute(&mut self, job: Job) {
+        if self.disk.is_some() && self.open_generation.load(Ordering::Acquire) != self.generation {
+            // A purge is missing, so no copy in the store is known not to be purged.
+            self.close("a purge did not fit in the queue of disk operations");
         }
-        let Some(disk) = self.disk.as_mut().filter(|_| job.opened == self.opened) else {
-            // What was asked before it went off is answered all the same.
+        let Some(disk) = self.disk.as_mut().filter(|_| job.generation == self.generation) else {
+            // Reads that were queued before the store was closed still get an answer.
             if let Work::Read(_, ticket) = job.work {
                 self.answers.read(ticket, None);
             }
             return;
         };
-        let begun = Instant::now();
-        let done = match job.work {
+        let started = Instant::now();
+        let result = match job.work {
             Work::Read(key, ticket) => {
                 self.answers.read(ticket, disk.get(&key));
                 Ok(())
@@ -123,141 +128,154 @@
             }
             Work::Stop => Ok(()),
         };
-        let took = begun.elapsed();
-        match done {
-            Err(fault) => self.give_up(&fault.to_string()),
-            Ok(()) if took > SLOW => self.give_up(&too_slow(took)),
+        let duration = started.elapsed();
+        match result {
+            Err(fault) => self.close(&fault.to_string()),
+            Ok(()) if duration > MAX_OPERATION_TIME => self.close(&too_slow(duration)),
             Ok(()) => {}
         }
     }
 
-    /// The store is not used any more.
-    fn give_up(&mut self, why: &str) {
-        self.open.store(OFF, Ordering::Release);
+    /// Closes the store after a failure and schedules the next attempt to open it.
+    fn close(&mut self, why: &str) {
+        self.open_generation.store(OFF, Ordering::Release);
         self.disk = None;
-        if self.reopening.failed(self.now()) {
+        if self.backoff.failed(self.now()) {
             log::warn!("store: {}: off, tried again by itself: {why}", self.location);
             self.answers.off();
         }
     }
 
-    /// Tries the disk again. What is there is not looked at: purges since it was given up are marked nowhere.
+    /// Opens an empty store. What is on the disk is not read: purges since the store was closed are recorded nowhere.
     fn reopen(&mut self) {
-        let begun = Instant::now();
-        let disk = self.location.begin_anew();
-        let took = begun.elapsed();
+        let started = Instant::now();
+        let disk = self.location.open_empty();
+        let duration = started.elapsed();
         match disk {
-            Err(fault) => self.give_up(&fault.to_string()),
-            Ok(_) if took > SLOW => self.give_up(&too_slow(took)),
+            Err(fault) => self.close(&fault.to_string()),
+            Ok(_) if duration > MAX_OPERATION_TIME => self.close(&too_slow(duration)),
             Ok(disk) => {
-                self.opened += 1;
+                self.generation += 1;
                 self.disk = Some(disk);
-                let lasted = self.reopening.succeeded(self.now()).unwrap_or_default();
+                let lasted = self.backoff.succeeded(self.now()).unwrap_or_default();
                 log::info!("store: {}: on again after {:.1} s, empty", self.location, lasted.secs());
-                self.open.store(self.opened, Ordering::Release);
-                self.answers.ready(self.opened);
+                self.open_generation.store(self.generation, Ordering::Release);
+                self.answers.ready(self.generation);
             }
         }
     }
 
+    /// Writes a last snapshot, so that the next start reads less of the log.
     fn stop(mut self) {
         let Some(disk) = &mut self.disk else { return };
         if let Err(fault) = disk.snapshot().and_then(|()| disk.sync()) {
-            log::warn!("store: no snapshot: {fault}");
+            log::warn!("store: {}: no snapshot written at shutdown: {fault}", self.location);
         }
     }
 }
 
-fn too_slow(took: Duration) -> String {
-    format!("it took {} ms", took.as_millis())
+fn too_slow(duration: Duration) -> String {
+    let (duration_ms, max_ms) = (duration.as_millis(), MAX_OPERATION_TIME.as_millis());
+    format!("an operation took {duration_ms} ms, more than {max_ms} ms")
 }
 
 impl Worker {
-    /// Starts the thread with an open disk.
+    /// Starts the thread with an open store.
     pub fn start(disk: Disk, answers: impl Answers) -> Worker {
         Worker::start_at(disk.location(), Ok(disk), answers)
     }
 
-    /// Starts it with what opening the disk at a location came to: where it failed, that is said and tried again.
+    /// Starts the thread with the result of opening the store at a location. An error is logged, and the store is
+    /// opened again after a backoff.
     pub fn start_at(location: Location, disk: Result<Disk, String>, answers: impl Answers) -> Worker {
-        let (jobs, waiting) = sync_channel(WAITING);
-        let opened = if disk.is_ok() { 1 } else { OFF };
-        let open = Arc::new(AtomicU64::new(opened));
-        let its = open.clone();
+        let (jobs, queue) = sync_channel(QUEUE_CAPACITY);
+        let generation = if disk.is_ok() { 1 } else { OFF };
+        let open_generation = Arc::new(AtomicU64::new(generation));
+        let shared = open_generation.clone();
         let thread = std::thread::spawn(move || {
-            let (reopening, started) = (Reopening::default(), Instant::now());
-            let mut thread =
-                DiskThread { location, disk: None, opened, open: its, reopening, started, answers };
+            let (backoff, started) = (Reopening::default(), Instant::now());
+            let mut thread = DiskThread {
+                location,
+                disk: None,
+                generation,
+                open_generation: shared,
+                backoff,
+                started,
+                answers,
+            };
             match disk {
                 Ok(disk) => thread.disk = Some(disk),
-                Err(why) => thread.give_up(&why),
+                Err(why) => thread.close(&why),
             }
-            thread.run(&waiting);
+            thread.run(&queue);
         });
-        Worker { jobs, open, used: opened, thread: Some(thread) }
+        Worker { jobs, open_generation, generation, thread: Some(thread) }
     }
 
-    /// Whether the disk is off.
+    /// Whether the store is closed, or was reopened and [`Worker::resume`] has not been called yet.
     pub fn is_off(&self) -> bool {
-        self.used == OFF || self.open.load(Ordering::Acquire) != self.used
+        self.generation == OFF || self.open_generation.load(Ordering::Acquire) != self.generation
     }
 
-    /// The disk that came back under this number is used from now on: all purges heard from now on are handed over.
-    pub fn resume(&mut self, opened: u64) {
-        self.used = opened;
+    /// Uses the reopened store of this generation. From now on the caller must hand over every purge that it receives.
+    pub fn resume(&mut self, generation: u64) {
+        self.generation = generation;
     }
 
     fn job(&self, work: Work) -> Job {
-        Job { opened: self.used, work }
+        Job { generation: self.generation, work }
     }
 
-    /// Asks for a copy under a ticket; tells whether an answer will come.
+    /// Requests a copy. Returns whether [`Answers::read`] will be called with this ticket.
     pub fn read(&self, key: Key, ticket: u64) -> bool {
         !self.is_off() && self.jobs.try_send(self.job(Work::Read(key, ticket))).is_ok()
     }
 
-    /// Hands a copy over to be kept. With too much waiting it is not: that costs an attempt later.
+    /// Queues a copy to be stored. Returns false if the queue is full or the store closed; the copy is then not
+    /// stored, which costs an attempt later.
     pub fn write(&self, key: Key, facts: Facts, rank: u8, body: Arc<[u8]>) -> bool {
         !self.is_off() && self.jobs.try_send(self.job(Work::Write(key, facts, rank, body))).is_ok()
     }
 
-    /// A mark that can't be handed over turns the disk off; its thread says so.
-    fn mark(&self, work: Work) {
+    /// Queues a purge. If it does not fit in the queue the store is closed; the thread logs it.
+    fn record_purge(&self, work: Work) {
         if !self.is_off() && self.jobs.try_send(self.job(work)).is_err() {
-            let _ = self.open.compare_exchange(self.used, OFF, Ordering::AcqRel, Ordering::Acquire);
+            let (success, failure) = (Ordering::AcqRel, Ordering::Acquire);
+            let _ = self.open_generation.compare_exchange(self.generation, OFF, success, failure);
         }
     }
 
-    /// An object was purged.
+    /// Records the purge of an object by a change log event.
     pub fn purge_object(&self, object: [u8; 16], at_ms: u64, seq: u64) {
-        self.mark(Work::PurgeObject(object, at_ms, seq));
+        self.record_purge(Work::PurgeObject(object, at_ms, seq));
     }
 
-    /// A group was purged.
+    /// Records the purge of a group by a change log event.
     pub fn purge_group(&self, group: u8, at_ms: u64, seq: u64) {
-        self.mark(Work::PurgeGroup(group, at_ms, seq));
+        self.record_purge(Work::PurgeGroup(group, at_ms, seq));
     }
 
-    /// Ends the thread once all that waits is done, and tells whether it ended well. One that hangs is left behind.
+    /// Ends the thread after the queued jobs and returns whether it ended without a panic. A thread that hangs longer
+    /// than the time for shutdown is left running.
     pub fn stop(mut self) -> bool {
-        let begun = Instant::now();
+        let started = Instant::now();
         while let Err(TrySendError::Full(_)) = self.jobs.try_send(self.job(Work::Stop)) {
-            if begun.elapsed() > ENDS_WITHIN {
+            if started.elapsed() > SHUTDOWN_TIMEOUT {
                 return false;
             }
-            std::thread::sleep(ENDED_YET);
+            std::thread::sleep(SHUTDOWN_POLL_INTERVAL);
         }
-        ends(self.thread.take(), begun)
+        join_until_timeout(self.thread.take(), started)
     }
 }
 
-fn ends(thread: Option<JoinHandle<()>>, begun: Instant) -> bool {
+fn join_until_timeout(thread: Option<JoinHandle<()>>, started: Instant) -> bool {
     let Some(thread) = thread else { return false };
     while !thread.is_finished() {
-        if begun.elapsed() > ENDS_WITHIN {
+        if started.elapsed() > SHUTDOWN_TIMEOUT {
             return false;
         }
-        std::thread::sleep(ENDED_YET);
+        std::thread::sleep(SHUTDOWN_POLL_INTERVAL);
     }
     thread.join().is_ok()
 }
