--- a/crates/fault-injection/preload/src/lib.rs
+++ b/crates/fault-injection/preload/src/lib.rs
@@ -1,12 +1,12 @@
-//! Preloaded into a process of a test, takes libc's place for some system calls and makes them fail as the plan in
-//! `COPPERROUTE_FAULTS` says. Without a plan every call goes through.
+//! A library that tests preload into a process. It replaces libc's functions for some system calls and makes them fail
+//! according to the plan in `COPPERROUTE_FAULTS`. Without a plan every call is passed on.
 //!
 //! # Unsafe code
-//! The one crate of the workspace that may hold it: what takes the place of C functions is called by C's rules, has to
-//! find the real functions by `dlsym`, and is handed raw pointers. No program that serves depends on it; each block says
-//! why it holds. Only linked as the library that tests preload.
+//! This is the only crate of the workspace that may contain unsafe code: a replacement for a C function is called by
+//! C's conventions, receives raw pointers and must find the real function with `dlsym`. No program that serves depends
+//! on this crate; only tests load it. Each unsafe block states why it is sound.
 
-// What takes the place of functions of libc is reached by its symbol.
+// The replacements of libc's functions are reached by their symbols.
 #![allow(unreachable_pub)]
 
 mod descriptor;
--- a/crates/fault-injection/preload/src/real.rs
+++ b/crates/fault-injection/preload/src/real.rs
@@ -1,32 +1,32 @@
-//! The real functions: those that the next library by load order has.
+//! Access to the replaced functions of libc: looks them up in the next library in load order.
 
 use std::ffi::CStr;
 use std::sync::atomic::{AtomicPtr, Ordering};
 
-/// A function of this name, looked up once.
-pub(crate) struct Real {
+/// A function of libc, looked up by name at the first use.
+pub(crate) struct RealFunction {
     name: &'static CStr,
-    found: AtomicPtr<libc::c_void>,
+    address: AtomicPtr<libc::c_void>,
 }
 
-impl Real {
-    pub(crate) const fn new(name: &'static CStr) -> Real {
-        Real { name, found: AtomicPtr::new(std::ptr::null_mut()) }
+impl RealFunction {
+    pub(crate) const fn new(name: &'static CStr) -> RealFunction {
+        RealFunction { name, address: AtomicPtr::new(std::ptr::null_mut()) }
     }
 
-    /// Its address; ends the process if there is none.
+    /// Address of the function; aborts the process if it does not exist.
     pub(crate) fn address(&self) -> *mut libc::c_void {
-        let found = self.found.load(Ordering::Relaxed);
-        if !found.is_null() {
-            return found;
+        let known = self.address.load(Ordering::Relaxed);
+        if !known.is_null() {
+            return known;
         }
-        // SAFETY: the name is a C string that lives for ever.
+        // SAFETY: the name is a C string with static lifetime.
         let found = unsafe { libc::dlsym(libc::RTLD_NEXT, self.name.as_ptr()) };
         if found.is_null() {
-            // SAFETY: always allowed; there is nothing to go on with.
+            // SAFETY: it has no preconditions. Without the real function the call can't be passed on.
             unsafe { libc::abort() };
         }
-        self.found.store(found, Ordering::Relaxed);
+        self.address.store(found, Ordering::Relaxed);
         found
     }
 }
@@ -34,28 +34,28 @@
 /// Calls the real function of this name and type.
 macro_rules! real {
     ($name:ident($($argument:expr),*): fn($($type:ty),*) -> $result:ty) => {{
-        static REAL: crate::real::Real = {
+        static REAL: crate::real::RealFunction = {
             const NAME: &str = concat!(stringify!($name), "\0");
             match std::ffi::CStr::from_bytes_with_nul(NAME.as_bytes()) {
-                Ok(name) => crate::real::Real::new(name),
-                Err(_) => panic!("a name without zeros"),
+                Ok(name) => crate::real::RealFunction::new(name),
+                Err(_) => panic!("the function name contains a zero byte"),
             }
         };
         type Function = unsafe extern "C" fn($($type),*) -> $result;
-        // SAFETY: the address is that of libc's function of this name, whose type this is; the arguments are those that
-        // the caller handed in by the function's own rules.
+        // SAFETY: the address is that of libc's function of this name and type; the caller passed the arguments by the
+        // rules of that function.
         unsafe { std::mem::transmute::<*mut libc::c_void, Function>(REAL.address())($($argument),*) }
     }};
 }
 
-/// Takes the place of a function: it fails if the plan says so for this call, or goes through.
-macro_rules! take_place {
+/// Defines replacements of libc's functions: each fails if the plan says so for its call, or calls the real function.
+macro_rules! replace {
     ($($name:ident($($argument:ident: $type:ty),*) -> $result:ty, $call:expr;)*) => {$(
-        /// Takes the place of libc's.
+        /// Replaces libc's function of this name.
         ///
         /// # Safety
-        /// As libc's.
-        // SAFETY: of the name and type of libc's.
+        /// The same as for libc's function.
+        // SAFETY: it has the name and type of libc's function.
         #[unsafe(no_mangle)]
         pub unsafe extern "C" fn $name($($argument: $type),*) -> $result {
             if crate::session::fails($call) {
@@ -66,4 +66,4 @@
     )*};
 }
 
-pub(crate) use {real, take_place};
+pub(crate) use {real, replace};
--- a/crates/fault-injection/src/call.rs
+++ b/crates/fault-injection/src/call.rs
@@ -1,10 +1,10 @@
-//! The calls that can be made to fail.
+//! The system calls that a plan can make fail, and their names in a plan.
 
 use std::fmt;
 use std::str::FromStr;
 
-/// A call, named for what it is used on: reads and writes of sockets stand apart from those of files and of all else,
-/// whatever libc symbol they come through.
+/// A call, distinguished by what it is used on: reads and writes of sockets, of files and of other descriptors are
+/// different calls, whichever libc function is called.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug, PartialOrd, Ord)]
 #[repr(usize)]
 pub enum Call {
@@ -22,11 +22,11 @@
     Setsockopt,
     Getsockname,
     Getpeername,
-    /// `ioctl` of a socket, as switching to non-blocking.
+    /// `ioctl` of a socket, for example to make it non-blocking.
     Ioctl,
-    /// A read of what is neither socket nor file: pipes, signals.
+    /// A read of a descriptor that is neither a socket nor a file, such as a pipe or signalfd.
     OtherRead,
-    /// A write to what is neither socket nor file: pipes, as standard error often is.
+    /// A write to a descriptor that is neither a socket nor a file, such as a pipe; standard error often is one.
     OtherWrite,
     Open,
     FileRead,
@@ -37,7 +37,7 @@
     Rename,
     Unlink,
     Mkdir,
-    /// Calls of the event loop: only in programs that make them through libc.
+    /// This and the following calls are those of event loops. They fail only in programs that make them through libc.
     EpollCreate,
     EpollCtl,
     EpollWait,
@@ -48,7 +48,7 @@
 }
 
 impl Call {
-    /// Every call, in the order of their numbers, with its name in a plan.
+    /// Every call, in the order of their indices, with its name in a plan.
     const NAMES: [(Call, &'static str); 31] = [
         (Call::Accept, "accept"),
         (Call::Socket, "socket"),
@@ -82,15 +82,15 @@
         (Call::Eventfd, "eventfd"),
         (Call::Signalfd, "signalfd"),
     ];
-    /// How many there are.
+    /// Number of calls.
     pub const COUNT: usize = Self::NAMES.len();
 
-    /// Its number, below [`Call::COUNT`].
+    /// Index of the call, less than [`Call::COUNT`].
     pub fn index(self) -> usize {
         self as usize
     }
 
-    /// Its name in a plan.
+    /// Name of the call in a plan.
     pub fn name(self) -> &'static str {
         Self::NAMES[self.index()].1
     }
@@ -100,8 +100,8 @@
         Self::NAMES.into_iter().map(|(call, _)| call)
     }
 
-    /// Whether it is one on files, to which a plan's folders apply.
-    pub fn is_of_files(self) -> bool {
+    /// Whether the call is on files; a plan's folders restrict the rules for these calls.
+    pub fn is_on_files(self) -> bool {
         (Call::Open.index()..=Call::Mkdir.index()).contains(&self.index())
     }
 }
--- a/crates/fault-injection/src/errno.rs
+++ b/crates/fault-injection/src/errno.rs
@@ -1,15 +1,15 @@
-//! Error numbers by their names.
+//! Error numbers, written by name in a plan.
 
 use std::fmt;
 use std::str::FromStr;
 
-/// An error number of the system.
+/// An error number as in `errno`.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub struct Errno(pub i32);
 
 macro_rules! names {
     ($($name:ident)*) => {
-        /// All that a plan can name.
+        /// Every error that a plan can write by name, with its number.
         const NAMES: &[(&str, i32)] = &[$((stringify!($name), libc::$name)),*];
     };
 }
@@ -23,7 +23,7 @@
 }
 
 impl fmt::Display for Errno {
-    /// Its name, or its number where it has none here.
+    /// The name of the error, or its number if it has no name in the table.
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         match NAMES.iter().find(|(_, number)| *number == self.0) {
             Some((name, _)) => out.write_str(name),
--- a/crates/fault-injection/tests/fault_injection/main.rs
+++ b/crates/fault-injection/tests/fault_injection/main.rs
@@ -1,4 +1,4 @@
-//! Plans are read as they are written, and the preloaded library carries them out in a real process.
+//! Parsing and decisions of fault plans, and the preloaded library in a real process.
 
 mod plan;
 mod process;
--- a/crates/fault-injection/tests/fault_injection/plan.rs
+++ b/crates/fault-injection/tests/fault_injection/plan.rs
@@ -1,11 +1,11 @@
-//! Plans as text, and their decisions.
+//! The text form of plans, and their decisions.
 
 use copperroute_fault_injection::{Call, FaultPlan, Span};
 use libc::{ECONNABORTED, EINTR, ENFILE, ENOSPC};
 use std::path::Path;
 
 #[test]
-fn a_plan_is_read_as_it_is_written() {
+fn a_plan_is_parsed_from_the_text_it_writes() {
     let plan = FaultPlan::new(7)
         .fail(Call::Accept, &[ECONNABORTED, ENFILE], 3, Span::between(1000, 5000))
         .fail(Call::Recv, &[EINTR], 1, Span { from_ms: 20, until_ms: None })
@@ -23,28 +23,31 @@
 }
 
 #[test]
-fn every_call_is_read_by_its_name() {
+fn every_call_is_parsed_from_its_name() {
     let calls: Vec<Call> = Call::all().collect();
     assert_eq!(calls.len(), Call::COUNT);
-    for (place, call) in calls.into_iter().enumerate() {
-        assert_eq!(call.index(), place);
+    for (index, call) in calls.into_iter().enumerate() {
+        assert_eq!(call.index(), index);
         assert_eq!(call.name().parse(), Ok(call));
     }
     assert_eq!("accept4".parse(), Ok(Call::Accept));
 }
 
 #[test]
-fn what_is_no_plan_is_refused_by_its_part() {
+fn an_invalid_plan_is_refused_with_the_invalid_part() {
     for part in
         ["seed", "seed=x", "nothing=EIO", "recv=ENOTHING", "recv=EIO:2", "recv=EIO:1/0", "wall=x", "short=3"]
     {
         let refused = format!("seed=1;{part}").parse::<FaultPlan>();
-        assert_eq!(refused.expect_err(part).to_string(), format!("{part}: no rule of faults"));
+        let expected = "seed=N, short=1/N, wall=OFFSET_MS[@FROM_MS], under=FOLDER, plan=FILE, trace=FILE or \
+                        CALL=ERRNO[,ERRNO...][:1/N][@FROM_MS[-UNTIL_MS]]";
+        let message = format!("fault plan: can't parse \"{part}\", expected {expected}");
+        assert_eq!(refused.expect_err(part).to_string(), message);
     }
 }
 
 #[test]
-fn one_in_many_fails_in_its_span_alone_with_the_errors_in_turn() {
+fn one_use_in_many_fails_only_within_its_span_with_the_errors_in_turn() {
     let plan = FaultPlan::new(3).fail(Call::Accept, &[ECONNABORTED, ENFILE], 4, Span::between(100, 200));
     let mut failed = Vec::new();
     for uses in 0..4000 {
@@ -59,7 +62,7 @@
 }
 
 #[test]
-fn a_shortened_transfer_has_at_least_a_byte() {
+fn a_shortened_transfer_has_at_least_one_byte() {
     let plan = FaultPlan::new(5).short(2);
     let lengths: Vec<usize> = (0..1000).map(|uses| plan.shortened(10, uses)).collect();
     assert!(lengths.iter().all(|length| (1..=10).contains(length)));
@@ -69,13 +72,13 @@
 }
 
 #[test]
-fn the_wall_clock_is_off_by_the_latest_step() {
+fn the_latest_step_sets_the_offset_of_the_wall_clock() {
     let plan = FaultPlan::new(0).wall(50, 100).wall(-7, 300);
     assert_eq!([0, 99, 100, 299, 300, 9000].map(|now| plan.wall_offset_ms(now)), [0, 0, 50, 50, -7, -7]);
 }
 
 #[test]
-fn folders_bound_the_rules_on_files() {
+fn folders_restrict_the_rules_for_files() {
     let plan = FaultPlan::new(0).fail(Call::Fsync, &[ENOSPC], 1, Span::ALWAYS);
     assert!(plan.covers(Path::new("/any/where")));
     let plan = plan.under("/data/store");
--- a/crates/fault-injection/tests/fault_injection/process.rs
+++ b/crates/fault-injection/tests/fault_injection/process.rs
@@ -1,4 +1,4 @@
-//! The library in a real process.
+//! The preloaded library in a real process.
 
 use copperroute_fault_injection::{Call, FaultPlan, Span, preload};
 use libc::{ECONNABORTED, ECONNREFUSED, EINTR, EIO, ENFILE, ENOSPC, EXDEV};
@@ -7,10 +7,10 @@
 use std::process::{Command, Stdio};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// What the subject prints, run so with this plan.
+/// Runs the subject program with a plan and arguments; returns the lines that it prints.
 fn run(plan: &FaultPlan, arguments: &[&str]) -> Vec<String> {
     let mut command = Command::new(env!("CARGO_BIN_EXE_copperroute-fault-subject"));
-    let output = preload(&mut command, plan).args(arguments).output().expect("the subject starts");
+    let output = preload(&mut command, plan).args(arguments).output().expect("start the subject");
     assert!(output.status.success(), "{plan}: {}", String::from_utf8_lossy(&output.stderr));
     String::from_utf8(output.stdout).expect("text").lines().map(str::to_owned).collect()
 }
@@ -20,21 +20,21 @@
 }
 
 #[test]
-fn without_faults_all_goes_through() {
+fn without_faults_every_call_succeeds() {
     assert_eq!(run(&FaultPlan::new(1), &["accept"]), ["ok"; 12]);
     assert_eq!(run(&FaultPlan::new(1), &["transfer"]), ["200", "whole"]);
 }
 
 #[test]
 fn accept_fails_with_the_errors_in_turn() {
-    let traces = tempfile::tempdir().expect("a folder");
+    let traces = tempfile::tempdir().expect("temporary folder");
     let trace = traces.path().join("trace");
     let plan = FaultPlan::new(1).fail(Call::Accept, &[ECONNABORTED, ENFILE], 2, Span::ALWAYS).trace(&trace);
     let printed = run(&plan, &["accept"]);
     let errors = [ECONNABORTED, ENFILE].map(|errno| errno.to_string());
     assert!(errors.iter().all(|error| printed.contains(error)), "{printed:?}");
     assert!(printed.contains(&"ok".to_owned()), "{printed:?}");
-    let traced = fs::read_to_string(trace).expect("a trace");
+    let traced = fs::read_to_string(trace).expect("read the trace");
     let names = traced.lines().map(|line| line.split(' ').take(2).collect::<Vec<_>>().join(" "));
     let expected = ["accept ECONNABORTED", "accept ENFILE"].into_iter().cycle();
     assert!(names.zip(expected).all(|(name, expected)| name == expected), "{traced}");
@@ -49,25 +49,25 @@
 }
 
 #[test]
-fn reads_and_writes_of_sockets_are_cut_short_and_interrupted() {
-    let (mut cut, mut interrupted) = (false, false);
+fn reads_and_writes_of_sockets_are_shortened_and_interrupted() {
+    let (mut shortened, mut interrupted) = (false, false);
     for seed in 0..8 {
         let plan = FaultPlan::new(seed).short(2).fail(Call::Recv, &[EINTR], 3, Span::ALWAYS);
         let printed = run(&plan, &["transfer"]);
         assert_eq!(printed.last().map(String::as_str), Some("whole"), "{plan}: {printed:?}");
-        cut |= printed.len() > 3;
+        shortened |= printed.len() > 3;
         interrupted |= printed.contains(&EINTR.to_string());
     }
-    assert!(cut && interrupted, "cut: {cut}, interrupted: {interrupted}");
-    // std repeats a write that is interrupted, as it writes all.
+    assert!(shortened && interrupted, "shortened: {shortened}, interrupted: {interrupted}");
+    // std's `write_all` repeats an interrupted write.
     let plan = FaultPlan::new(2).fail(Call::Send, &[EINTR], 2, Span::ALWAYS);
     assert_eq!(run(&plan, &["transfer"]), ["200", "whole"]);
 }
 
 #[test]
-fn rules_on_files_hold_under_their_folder_alone() {
-    let folder = tempfile::tempdir().expect("a folder");
-    let folder = folder.path().canonicalize().expect("a path");
+fn rules_for_files_apply_only_under_their_folder() {
+    let folder = tempfile::tempdir().expect("temporary folder");
+    let folder = folder.path().canonicalize().expect("resolve the path");
     let plan = FaultPlan::new(1)
         .fail(Call::FileWrite, &[ENOSPC], 1, Span::ALWAYS)
         .fail(Call::Fdatasync, &[EIO], 1, Span::ALWAYS)
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn the_wall_clock_steps_and_the_monotonic_one_does_not() {
+fn the_wall_clock_steps_and_the_monotonic_clock_does_not() {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_millis() as i64;
     let printed = run(&FaultPlan::new(1).wall(3_600_000, 0).wall(-60_000, 200), &["clock"]);
     let times: Vec<i64> = printed.iter().map(|line| number(line)).collect();
@@ -96,21 +96,21 @@
 }
 
 #[test]
-fn a_plan_in_a_file_takes_over_while_the_process_runs() {
-    let folder = tempfile::tempdir().expect("a folder");
+fn a_plan_in_a_file_replaces_the_plan_of_a_running_process() {
+    let folder = tempfile::tempdir().expect("temporary folder");
     let file = folder.path().join("plan");
     let plan = FaultPlan::new(1).file(&file);
     let mut command = Command::new(env!("CARGO_BIN_EXE_copperroute-fault-subject"));
     preload(&mut command, &plan).arg("later").stdin(Stdio::piped()).stdout(Stdio::piped());
-    let mut subject = command.spawn().expect("the subject starts");
+    let mut subject = command.spawn().expect("start the subject");
     let mut lines =
         BufReader::new(subject.stdout.take().expect("piped")).lines().map(|line| line.expect("text"));
     assert_eq!(lines.next().as_deref(), Some("ok"));
     let later = FaultPlan::new(1).fail(Call::Connect, &[ECONNREFUSED], 1, Span::ALWAYS);
-    fs::write(&file, later.to_string()).expect("written");
-    // Longer than the file is looked at.
+    fs::write(&file, later.to_string()).expect("write the plan");
+    // Longer than the interval at which the file is read.
     std::thread::sleep(std::time::Duration::from_millis(100));
-    subject.stdin.take().expect("piped").write_all(b"on\n").expect("written");
+    subject.stdin.take().expect("piped").write_all(b"on\n").expect("write a line");
     assert_eq!(lines.next(), Some(ECONNREFUSED.to_string()));
-    assert!(subject.wait().expect("it ends").success());
+    assert!(subject.wait().expect("wait for the subject").success());
 }
--- a/crates/fault-injection/tests/subject/main.rs
+++ b/crates/fault-injection/tests/subject/main.rs
@@ -1,4 +1,5 @@
-//! Uses the system in a few ways and prints how each call ended, a line each.
+//! The program that the library is preloaded into: makes the system calls that its argument names and prints the
+//! result of each on a line.
 
 use std::env;
 use std::fs::{self, File, OpenOptions};
@@ -8,8 +9,8 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Connections made, bytes sent, files written.
-const TIMES: usize = 12;
+/// Number of connections that `accept` and `connect` make.
+const CONNECTIONS: usize = 12;
 
 fn main() -> io::Result<()> {
     let mut arguments = env::args().skip(1);
@@ -20,12 +21,14 @@
         Some("files") => files(Path::new(&arguments.next().expect("a folder"))),
         Some("clock") => clock(),
         Some("later") => later(),
-        other => panic!("{other:?}: nothing to do"),
+        other => {
+            panic!("unknown argument {other:?}; expected accept, connect, transfer, files, clock or later")
+        }
     }
 }
 
-/// Prints how a call ended: `ok`, or the error's number.
-fn say<T>(result: io::Result<T>) {
+/// Prints the result of a call: `ok`, or the error number.
+fn print_result<T>(result: io::Result<T>) {
     match result {
         Ok(_) => println!("ok"),
         Err(fault) => println!("{}", fault.raw_os_error().unwrap_or(0)),
@@ -35,13 +38,13 @@
 fn accept() -> io::Result<()> {
     let listener = TcpListener::bind(("127.0.0.1", 0))?;
     listener.set_nonblocking(true)?;
-    for _ in 0..TIMES {
+    for _ in 0..CONNECTIONS {
         let _client = TcpStream::connect(listener.local_addr()?)?;
         let accepted = listener.accept();
         let refused = accepted.is_err();
-        say(accepted);
+        print_result(accepted);
         if refused {
-            // Still there: it was never taken.
+            // The connection is still queued, because the failed call did not accept it.
             listener.set_nonblocking(false)?;
             while listener.accept().is_err() {}
             listener.set_nonblocking(true)?;
@@ -52,13 +55,13 @@
 
 fn connect() -> io::Result<()> {
     let listener = TcpListener::bind(("127.0.0.1", 0))?;
-    for _ in 0..TIMES {
-        say(TcpStream::connect(listener.local_addr()?));
+    for _ in 0..CONNECTIONS {
+        print_result(TcpStream::connect(listener.local_addr()?));
     }
     Ok(())
 }
 
-/// Prints how many bytes each read carried, and whether they came in order.
+/// Prints the number of bytes of each read, and whether all bytes were received in order.
 fn transfer() -> io::Result<()> {
     let listener = TcpListener::bind(("127.0.0.1", 0))?;
     let mut client = TcpStream::connect(listener.local_addr()?)?;
@@ -66,22 +69,22 @@
     let sent: Vec<u8> = (0..200).collect();
     client.write_all(&sent)?;
     drop(client);
-    let (mut received, mut room) = (Vec::new(), [0; 200]);
+    let (mut received, mut buffer) = (Vec::new(), [0; 200]);
     loop {
-        match server.read(&mut room) {
+        match server.read(&mut buffer) {
             Ok(0) => break,
             Ok(length) => {
                 println!("{length}");
-                received.extend_from_slice(&room[..length]);
+                received.extend_from_slice(&buffer[..length]);
             }
-            Err(fault) => say::<()>(Err(fault)),
+            Err(fault) => print_result::<()>(Err(fault)),
         }
     }
     println!("{}", if received == sent { "whole" } else { "torn" });
     Ok(())
 }
 
-/// Writes files in this folder and beside it: prints how write, sync, rename and unlink ended in each.
+/// Writes a file in each of two subfolders, `in` and `beside`: prints the results of write, sync, rename and unlink.
 fn files(folder: &Path) -> io::Result<()> {
     for name in ["in/one", "beside/one"] {
         let path = folder.join(name);
@@ -90,35 +93,36 @@
         let renamed = path.with_extension("renamed");
         match opened {
             Ok(mut file) => {
-                say(file.write(b"some bytes"));
-                say(file.sync_data());
-                say(file.sync_all());
+                print_result(file.write(b"some bytes"));
+                print_result(file.sync_data());
+                print_result(file.sync_all());
             }
-            Err(fault) => say::<File>(Err(fault)),
+            Err(fault) => print_result::<File>(Err(fault)),
         }
-        say(fs::rename(&path, &renamed));
-        say(fs::remove_file(&renamed));
+        print_result(fs::rename(&path, &renamed));
+        print_result(fs::remove_file(&renamed));
     }
     Ok(())
 }
 
-/// Prints the wall clock's time in milliseconds, and after a while again with the monotonic clock's span.
+/// Prints the wall clock's time in milliseconds, the same after 400 ms, and the time that passed on the monotonic
+/// clock.
 fn clock() -> io::Result<()> {
     let wall = || SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_millis();
-    let begun = Instant::now();
+    let started = Instant::now();
     println!("{}", wall());
     thread::sleep(Duration::from_millis(400));
     println!("{}", wall());
-    println!("{}", begun.elapsed().as_millis());
+    println!("{}", started.elapsed().as_millis());
     Ok(())
 }
 
-/// Prints how connecting ends before and after a line comes in.
+/// Prints the result of connecting before and after a line is received on standard input.
 fn later() -> io::Result<()> {
     let listener = TcpListener::bind(("127.0.0.1", 0))?;
-    say(TcpStream::connect(listener.local_addr()?));
+    print_result(TcpStream::connect(listener.local_addr()?));
     let mut line = String::new();
     io::stdin().read_line(&mut line)?;
-    say(TcpStream::connect(listener.local_addr()?));
+    print_result(TcpStream::connect(listener.local_addr()?));
     Ok(())
 }
