--- a/crates/cache-store/src/disk/recovery.rs
+++ b/crates/cache-store/src/disk/recovery.rs
@@ -35,6 +35,7 @@
     io::Error::new(io::ErrorKind::InvalidData, "the log is damaged before its end")
 }
 
+/// Whether a valid head begins anywhere after the first byte.
 fn contains_record(bytes: &[u8]) -> bool {
     (1..bytes.len().saturating_sub(HEAD - 1)).any(|at| Head::decode(&bytes[at..]).is_ok())
 }
@@ -43,7 +44,7 @@
 /// whether the bytes are valid.
 fn read_if_present(segment: &Segment, at: u32, length: usize) -> io::Result<Option<Vec<u8>>> {
     match segment.read(at, length) {
-        Err(fault) if fault.kind() == io::ErrorKind::UnexpectedEof => Ok(None),
+        Err(error) if error.kind() == io::ErrorKind::UnexpectedEof => Ok(None),
         read => read.map(Some),
     }
 }
@@ -103,9 +104,9 @@
     pub fn open(&self) -> io::Result<(Disk, Found)> {
         let mut disk = self.lock_folder()?;
         let mut found = Found::default();
-        if let Err(fault) = disk.recover(&mut found) {
-            if fault.kind() != io::ErrorKind::InvalidData {
-                return Err(fault);
+        if let Err(error) = disk.recover(&mut found) {
+            if error.kind() != io::ErrorKind::InvalidData {
+                return Err(error);
             }
             found = Found { cleared: true, ..found };
             disk.clear()?;
--- a/crates/cache-store/src/files.rs
+++ b/crates/cache-store/src/files.rs
@@ -114,11 +114,11 @@
     }
 
     fn lock(&self) -> io::Result<()> {
-        self.try_lock().map_err(|fault| match fault {
+        self.try_lock().map_err(|error| match error {
             fs::TryLockError::WouldBlock => {
                 io::Error::new(io::ErrorKind::WouldBlock, "in use by another process")
             }
-            fs::TryLockError::Error(fault) => fault,
+            fs::TryLockError::Error(error) => error,
         })
     }
 }
@@ -126,7 +126,7 @@
 /// Removes a file if it exists.
 pub fn remove_if_exists(files: &dyn Files, path: &Path) -> io::Result<()> {
     match files.remove(path) {
-        Err(fault) if fault.kind() == io::ErrorKind::NotFound => Ok(()),
+        Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(()),
         removed => removed,
     }
 }
@@ -134,7 +134,7 @@
 /// Reads a whole file of at most `max_bytes`; `None` if it does not exist.
 pub fn read_whole(files: &dyn Files, path: &Path, max_bytes: usize) -> io::Result<Option<Vec<u8>>> {
     let file = match files.open(path, OpenMode::Existing) {
-        Err(fault) if fault.kind() == io::ErrorKind::NotFound => return Ok(None),
+        Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
         opened => opened?,
     };
     let length = usize::try_from(file.length()?).ok().filter(|length| *length <= max_bytes);
--- a/crates/cache-store/src/worker.rs
+++ b/crates/cache-store/src/worker.rs
@@ -130,7 +130,7 @@
         };
         let duration = started.elapsed();
         match result {
-            Err(fault) => self.close(&fault.to_string()),
+            Err(error) => self.close(&error.to_string()),
             Ok(()) if duration > MAX_OPERATION_TIME => self.close(&too_slow(duration)),
             Ok(()) => {}
         }
@@ -152,7 +152,7 @@
         let disk = self.location.open_empty();
         let duration = started.elapsed();
         match disk {
-            Err(fault) => self.close(&fault.to_string()),
+            Err(error) => self.close(&error.to_string()),
             Ok(_) if duration > MAX_OPERATION_TIME => self.close(&too_slow(duration)),
             Ok(disk) => {
                 self.generation += 1;
@@ -168,8 +168,8 @@
     /// Writes a last snapshot, so that the next start reads less of the log.
     fn stop(mut self) {
         let Some(disk) = &mut self.disk else { return };
-        if let Err(fault) = disk.snapshot().and_then(|()| disk.sync()) {
-            log::warn!("store: {}: no snapshot written at shutdown: {fault}", self.location);
+        if let Err(error) = disk.snapshot().and_then(|()| disk.sync()) {
+            log::warn!("store: {}: no snapshot written at shutdown: {error}", self.location);
         }
     }
 }
--- a/crates/cache-store/tests/crash_recovery.rs
+++ b/crates/cache-store/tests/crash_recovery.rs
@@ -163,7 +163,7 @@
 fn check_next_run(files: Memory, run: &Run) -> Result<usize, String> {
     let purged = &run.purged;
     let (mut disk, _) =
-        location(&files).open().map_err(|fault| format!("the store does not open: {fault}"))?;
+        location(&files).open().map_err(|error| format!("the store does not open: {error}"))?;
     let recorded = disk.seq();
     if recorded > purged.len() as u64 {
         return Err(format!("event {recorded} is recorded but was never received"));
--- a/crates/cache-store/tests/store.rs
+++ b/crates/cache-store/tests/store.rs
@@ -43,7 +43,7 @@
 fn open(folder: &Path, limits: Limits) -> (Disk, Found) {
     for _ in 0..400 {
         match Disk::open(folder, limits) {
-            Err(fault) if fault.kind() == std::io::ErrorKind::WouldBlock => {
+            Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => {
                 std::thread::sleep(Duration::from_millis(5))
             }
             opened => return opened.expect("open the store"),
--- a/crates/fault-injection/preload/src/wall_clock.rs
+++ b/crates/fault-injection/preload/src/wall_clock.rs
@@ -6,7 +6,7 @@
 
 const NANOSECONDS_PER_S: i64 = 1_000_000_000;
 
-/// Adds an offset to a time of whole seconds and a fraction, which is counted in units of `units_per_s` to the second.
+/// Adds an offset to a time, given as whole seconds and a fraction in units of 1/`units_per_s` second.
 fn add_offset(seconds: i64, fraction: i64, units_per_s: i64, offset_ms: i64) -> (i64, i64) {
     let fraction = fraction + offset_ms % 1000 * (units_per_s / 1000);
     (seconds + offset_ms / 1000 + fraction.div_euclid(units_per_s), fraction.rem_euclid(units_per_s))
--- a/crates/fault-injection/tests/subject/main.rs
+++ b/crates/fault-injection/tests/subject/main.rs
@@ -31,7 +31,7 @@
 fn print_result<T>(result: io::Result<T>) {
     match result {
         Ok(_) => println!("ok"),
-        Err(fault) => println!("{}", fault.raw_os_error().unwrap_or(0)),
+        Err(error) => println!("{}", error.raw_os_error().unwrap_or(0)),
     }
 }
 
@@ -77,7 +77,7 @@
                 println!("{length}");
                 received.extend_from_slice(&buffer[..length]);
             }
-            Err(fault) => print_result::<()>(Err(fault)),
+            Err(error) => print_result::<()>(Err(error)),
         }
     }
     println!("{}", if received == sent { "whole" } else { "torn" });
@@ -97,7 +97,7 @@
                 print_result(file.sync_data());
                 print_result(file.sync_all());
             }
-            Err(fault) => print_result::<File>(Err(fault)),
+            Err(error) => print_result::<File>(Err(error)),
         }
         print_result(fs::rename(&path, &renamed));
         print_result(fs::remove_file(&renamed));
