--- a/crates/protocol/tests/codecs.rs
+++ b/crates/protocol/tests/codecs.rs
@@ -55,7 +55,7 @@
         b"$4\r\n\r\n*\xff\r\n*2\r\n$5\r\nABORT\r\n$1\r\n7\r\n*3\r\n$6\r\nHEALTH\r\n$1\r\n8\r\n$0\r\n\r\n",
     );
     expect![[r#"
-        Request(7, Request { content_type: "segment", id: 9b1f03aa5c7e2d41, timeout_ms: 1500, repeat: true, object: 7f3a9c21e0b4d655, part: 3, group: Some(17), size_kb: Some(412.5), held: Some(4be0c1927d55a6f3), mark: Some("cbd3d4163e11037e316e8180a6e9f325"), body: [13, 10, 42, 255] })
+        Request(7, Request { content_type: "segment", id: 9b1f03aa5c7e2d41, timeout_ms: 1500, is_retry: true, object: 7f3a9c21e0b4d655, part: 3, group: Some(17), size_kb: Some(412.5), cached_tag: Some(4be0c1927d55a6f3), idempotency_key: Some("cbd3d4163e11037e316e8180a6e9f325"), body: [13, 10, 42, 255] })
         Abort(7)
         Health(8)
     "#]]
@@ -218,15 +218,15 @@
         9b2303aa5c7e2d41 error why=unheard_of,new=1,rep=inflight:nan 0\r\n\r\n9b24 stale - 0\r\n\r\n\
         0000000000000001 yes - 0\r\n\r\n0000000000000002 no - 0\r\n\r\n1 yes - 0\r\n\r\n";
     expect![[r#"
-        Answer(Answer { id: Some(9b1f03aa5c7e2d41), outcome: Served, current: false, copy: Some((4be0c1927d55a6f3, 1764)), remark: FilledFromOrigin, waited: Some(Nanos(12500000)), report: Report { in_hand: Some(7.0), busy: Some(0.61) }, body: [13, 10, 0, 255] })
-        Answer(Answer { id: Some(9b2003aa5c7e2d41), outcome: Served, current: true, copy: None, remark: Hit, waited: None, report: Report { in_hand: None, busy: None }, body: [] })
-        Answer(Answer { id: Some(9b2103aa5c7e2d41), outcome: Missed, current: false, copy: None, remark: None, waited: None, report: Report { in_hand: None, busy: None }, body: [] })
-        Answer(Answer { id: Some(9b2203aa5c7e2d41), outcome: Refused, current: false, copy: None, remark: SourceRefused, waited: None, report: Report { in_hand: None, busy: None }, body: [] })
-        Answer(Answer { id: Some(9b2303aa5c7e2d41), outcome: Failed, current: false, copy: None, remark: None, waited: None, report: Report { in_hand: None, busy: None }, body: [] })
-        Answer(Answer { id: None, outcome: NotSent, current: false, copy: None, remark: None, waited: None, report: Report { in_hand: None, busy: None }, body: [] })
-        Alive { tag: Some(0000000000000001), takes_work: true }
-        Alive { tag: Some(0000000000000002), takes_work: false }
-        Alive { tag: None, takes_work: true }
+        Answer(Answer { id: Some(9b1f03aa5c7e2d41), outcome: Served, not_modified: false, copy: Some((4be0c1927d55a6f3, 1764)), remark: FilledFromOrigin, first_byte_wait: Some(Nanos(12500000)), report: LoadReport { in_flight: Some(7.0), busy: Some(0.61) }, body: [13, 10, 0, 255] })
+        Answer(Answer { id: Some(9b2003aa5c7e2d41), outcome: Served, not_modified: true, copy: None, remark: Hit, first_byte_wait: None, report: LoadReport { in_flight: None, busy: None }, body: [] })
+        Answer(Answer { id: Some(9b2103aa5c7e2d41), outcome: Missed, not_modified: false, copy: None, remark: None, first_byte_wait: None, report: LoadReport { in_flight: None, busy: None }, body: [] })
+        Answer(Answer { id: Some(9b2203aa5c7e2d41), outcome: Refused, not_modified: false, copy: None, remark: SourceRefused, first_byte_wait: None, report: LoadReport { in_flight: None, busy: None }, body: [] })
+        Answer(Answer { id: Some(9b2303aa5c7e2d41), outcome: Failed, not_modified: false, copy: None, remark: None, first_byte_wait: None, report: LoadReport { in_flight: None, busy: None }, body: [] })
+        Answer(Answer { id: None, outcome: NotSent, not_modified: false, copy: None, remark: None, first_byte_wait: None, report: LoadReport { in_flight: None, busy: None }, body: [] })
+        ProbeAnswer { tag: Some(0000000000000001), takes_work: true }
+        ProbeAnswer { tag: Some(0000000000000002), takes_work: false }
+        ProbeAnswer { tag: None, takes_work: true }
     "#]].assert_eq(&decoded!(nodes::Decoder, next_message, bytes));
 }
 
@@ -260,8 +260,8 @@
 {"seq":46,"fleet":{"servers":[{"id":"s-1","state":"gone fishing"}]}}
 "#;
     expect![[r#"
-        Last(41)
-        Change(Change { seq: 42, fleet: Some(Fleet { version: Some(7), full: false, servers: [Listed { id: "s-1", addr: Some(10.1.0.9:5050), zone: "east", kind: "std", cell: Some(2), state: Leaving, weight: Some(4.0), started_ms: Some(0) }] }), invalidate: None, rules: None, agreed: None })
+        Heartbeat(41)
+        Change(Change { seq: 42, fleet: Some(Fleet { version: Some(7), full: false, servers: [ListedNode { id: "s-1", addr: Some(10.1.0.9:5050), zone: "east", kind: "std", cell: Some(2), state: Leaving, weight: Some(4.0), started_ms: Some(0) }] }), invalidate: None, rules: None, agreed: None })
         Change(Change { seq: 43, fleet: None, invalidate: Some(Purge { object: Some("7f3a"), bucket: None, time: 1764576000123 }), rules: None, agreed: None })
         Change(Change { seq: 44, fleet: None, invalidate: Some(Purge { object: None, bucket: Some(17), time: 1764576000480 }), rules: None, agreed: None })
         Change(Change { seq: 45, fleet: None, invalidate: None, rules: None, agreed: None })
--- a/crates/routing/tests/module/duplicate_filter.rs
+++ b/crates/routing/tests/module/duplicate_filter.rs
@@ -17,7 +17,7 @@
         conduct.check(at(4), 1),
         conduct.check(at(6), 1),
     ];
-    expect!["[Take, Again, Take, Again, Take]"].assert_eq(&format!("{verdicts:?}"));
+    expect!["[New, Duplicate, New, Duplicate, New]"].assert_eq(&format!("{verdicts:?}"));
 }
 
 #[test]
@@ -28,7 +28,7 @@
     }
     let (kept, oldest, newest) =
         (conduct.len(), conduct.check(Nanos(2 * SECOND), 0), conduct.check(Nanos(2 * SECOND), 9_999));
-    expect!["(1000, Take, Again)"].assert_eq(&format!("{:?}", (kept, oldest, newest)));
+    expect!["(1000, New, Duplicate)"].assert_eq(&format!("{:?}", (kept, oldest, newest)));
     conduct.check(Nanos(20 * SECOND), 1);
     expect!["1"].assert_eq(&conduct.len().to_string());
 }
