--- a/crates/config-rollout/src/version.rs
+++ b/crates/config-rollout/src/version.rs
@@ -10,7 +10,7 @@
 
 /// A version, as it stands in a file or in an event of the change log. What it does not name is as the platform says.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
+#[serde(expecting = "struct Issue", deny_unknown_fields)]
 pub struct IssuedVersion {
     /// Its number: one more than that of the version before it.
     pub version: u64,
--- a/crates/dispatcher/src/rules_text.rs
+++ b/crates/dispatcher/src/rules_text.rs
@@ -123,7 +123,9 @@
         Refusal::NoticeTooShort { min_notice_ms, .. } => {
             format!("to do: from_ms {} or later", (issue.issued_ms + min_notice_ms).max(last.from_ms + 1))
         }
-        Refusal::ActivationNotLater { previous_from_ms, .. } => format!("to do: from_ms {} or later", previous_from_ms + 1),
+        Refusal::ActivationNotLater { previous_from_ms, .. } => {
+            format!("to do: from_ms {} or later", previous_from_ms + 1)
+        }
         Refusal::Forked { holds, .. } => format!("to do: after '{holds}'"),
         Refusal::BelowFloor(_) | Refusal::FloorLowered(_) => {
             "to do: not in one step; a floor that allows for it in the operators' file and a restart of all, then \
--- a/crates/protocol/src/changes.rs
+++ b/crates/protocol/src/changes.rs
@@ -9,6 +9,7 @@
 
 /// A node as the change log lists it.
 #[derive(Debug, Clone, PartialEq, Deserialize, Serialize)]
+#[serde(expecting = "struct Listed")]
 pub struct ListedNode {
     /// Its id.
     pub id: String,
@@ -98,6 +99,7 @@
 
 /// The events up to the start.
 #[derive(Debug, Clone, Default, PartialEq, Deserialize, Serialize)]
+#[serde(expecting = "struct Known")]
 pub struct KnownEvents {
     /// The number of the last.
     pub seq: u64,
--- a/crates/settings/src/operator.rs
+++ b/crates/settings/src/operator.rs
@@ -13,7 +13,7 @@
 
 /// The file as it stands.
 #[derive(Debug, Clone, Default, PartialEq, Deserialize, JsonSchema)]
-#[serde(rename = "Operator", deny_unknown_fields)]
+#[serde(rename = "Operator", expecting = "struct Operator", deny_unknown_fields)]
 pub struct OperatorFile {
     /// Retry storms are recognised and damped; absent: they are not.
     pub storms: Option<Storms>,
@@ -101,7 +101,7 @@
 
 /// The last good list on disk.
 #[derive(Debug, Clone, PartialEq, Deserialize, JsonSchema)]
-#[serde(rename = "LastList", deny_unknown_fields)]
+#[serde(rename = "LastList", expecting = "struct LastList", deny_unknown_fields)]
 pub struct SnapshotSettings {
     /// The folder that it is kept in; no other process may use it.
     pub folder: PathBuf,
