--- a/crates/dispatcher/src/attempt.rs
+++ b/crates/dispatcher/src/attempt.rs
@@ -1,5 +1,5 @@
-//! The name of one attempt: which request it belongs to, and its number. It stands below effects and node connections, which
-//! both speak of attempts.
+//! The identity of one attempt: its request and its number. A module of its own because both effects and node
+//! connections use it.
 
 use copperroute_routing::interface::RequestId;
 
--- a/crates/dispatcher/src/changes/stream.rs
+++ b/crates/dispatcher/src/changes/stream.rs
@@ -1,8 +1,9 @@
-//! One stream of the change log: the calls that may bring it, of which the first to answer in time is followed. When the next
-//! call begins, `copperroute_routing::reconnect_schedule` decides.
+//! One stream of the change log. It opens connections and follows the first one that answers in time;
+//! `copperroute_routing::reconnect_schedule` decides when the next one is opened.
 //!
-//! A call that brings nothing is not given up when the next one begins: a service that answers late would never be heard. So
-//! several may be open, [`MOST_LINKS`] at the most; once one of them tells lines in time, the others end.
+//! A connection that delivers nothing is not closed as soon as the next one is opened, or a service that
+//! answers late would never be followed. So up to [`MAX_LINKS`] may be open; once one of them delivers lines
+//! in time, the others are closed.
 
 use super::link::Link;
 use crate::effects::{Effect, Peer, TimerKind};
@@ -14,42 +15,45 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// Calls that are open at once.
-pub(crate) const MOST_LINKS: usize = 3;
-/// The oldest open call is kept for so long though it brings nothing, beside newer ones that take turns.
-const OLDEST_KEPT: Nanos = Nanos(30_000_000_000);
-/// A call whose bytes came no longer ago than this makes progress: it is not ended for a newer one.
-const PROGRESS_WITHIN: Nanos = Nanos(10_000_000_000);
+/// The most connections of a stream that may be open at once.
+pub(crate) const MAX_LINKS: usize = 3;
+/// The oldest connection is kept for this long though it delivers nothing, while newer ones replace each
+/// other.
+const OLDEST_LINK_GRACE: Nanos = Nanos(30_000_000_000);
+/// A connection that received bytes less than this ago makes progress and is not closed for a newer one.
+const PROGRESS_WINDOW: Nanos = Nanos(10_000_000_000);
 
-/// A line of a stream, and what is known of the call that brought it.
+/// A line, and what is known of the connection that delivered it.
 #[derive(Debug)]
-pub(super) struct Heard {
+pub(super) struct ReceivedLine {
     pub(super) line: Line,
-    /// How late it was.
+    /// How late the line was.
     pub(super) late_by: Nanos,
-    /// It came on the call by which the stream is judged; lines of others bring events, and vouch for nothing.
+    /// The line came on the leading connection. Lines of other connections deliver events, but their
+    /// heartbeats confirm nothing.
     pub(super) is_leading: bool,
-    /// That call has become so with this line.
-    pub(super) leads_anew: bool,
+    /// The connection has become the leading one with this line.
+    pub(super) became_leader: bool,
 }
 
-/// A stream that may have ended, be called, or be followed.
+/// A stream that is disconnected, connecting or followed.
 #[derive(Debug)]
 pub(super) struct Stream {
     pub(super) address: SocketAddr,
-    /// Open calls, the oldest first.
+    /// Open connections, the oldest first.
     links: Vec<Link>,
-    /// The connection whose heartbeats count: the newest that came up, until another one is in time.
-    leading: Option<u32>,
-    calls: ReconnectSchedule,
-    /// It is one of several: lines name it.
-    pub(super) named: bool,
-    ends: LogRateLimiter,
+    /// The leading connection, whose heartbeats count: the one established last, until another one is in
+    /// time.
+    leader: Option<u32>,
+    schedule: ReconnectSchedule,
+    /// There are several streams, so log lines name this one.
+    pub(super) is_named: bool,
+    end_log: LogRateLimiter,
 }
 
 impl fmt::Display for Stream {
     fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self.named {
+        match self.is_named {
             true => write!(to, "change log {}", self.address),
             false => write!(to, "change log"),
         }
@@ -57,91 +61,110 @@
 }
 
 impl Stream {
-    /// Not called yet.
-    pub(super) fn new(address: SocketAddr, calls: ReconnectSchedule, named: bool) -> Self {
-        Stream { address, links: Vec::new(), leading: None, calls, named, ends: LogRateLimiter::default() }
+    /// A stream that is not connected yet.
+    pub(super) fn new(address: SocketAddr, schedule: ReconnectSchedule, is_named: bool) -> Self {
+        Stream {
+            address,
+            links: Vec::new(),
+            leader: None,
+            schedule,
+            is_named,
+            end_log: LogRateLimiter::default(),
+        }
     }
 
-    /// Whether it has this connection.
-    pub(super) fn has(&self, connection: u32) -> bool {
+    /// Whether this connection is one of the stream's.
+    pub(super) fn has_connection(&self, connection: u32) -> bool {
         self.links.iter().any(|link| link.connection == connection)
     }
 
-    /// Whether no call is open.
+    /// Whether no connection is open.
     pub(super) fn is_closed(&self) -> bool {
         self.links.is_empty()
     }
 
-    /// Whether an open call has told anything.
-    pub(super) fn is_heard(&self) -> bool {
-        self.links.iter().any(Link::has_told)
+    /// Whether an open connection has delivered a line.
+    pub(super) fn has_received(&self) -> bool {
+        self.links.iter().any(Link::has_received_line)
     }
 
-    /// Whether the bytes of an open call end within a line.
-    pub(super) fn is_midway(&self) -> bool {
-        self.links.iter().any(Link::is_midway)
+    /// Whether the bytes of an open connection end within a line.
+    pub(super) fn has_partial_line(&self) -> bool {
+        self.links.iter().any(Link::has_partial_line)
     }
 
-    /// The dispatcher starts, with a list that will do or without: returns when it is called.
+    /// The dispatcher starts; `has_list` is true if it is to let others connect first. Returns when to
+    /// connect.
     pub(super) fn started(&mut self, now: Nanos, has_list: bool) -> Nanos {
-        self.calls.started(now, has_list)
+        self.schedule.started(now, has_list)
     }
 
-    /// Connects under a new number, if it is to be called now; tells whether it does.
+    /// Connects under a new number if that is due; returns whether it does.
     pub(super) fn connect(&mut self, connection: u32, now: Nanos, effects: &mut Vec<Effect>) -> bool {
-        if let Some(at) = self.calls.skip_missed_turn(now) {
+        if let Some(at) = self.schedule.skip_missed_turn(now) {
             effects.push(Effect::Arm(at, TimerKind::ConnectChangeLog));
             return false;
         }
-        if !self.calls.is_due(now) {
+        if !self.schedule.is_due(now) {
             return false;
         }
         self.make_room(now, effects);
-        self.calls.connect_started(now);
+        self.schedule.connect_started(now);
         self.links.push(Link::new(connection, now));
-        log::debug!(target: "copperroute::trace", "{self}: call begins, connection {connection}");
+        log::debug!(target: "copperroute::trace", "{self}: connecting, connection {connection}");
         effects.push(Effect::Connect(Peer::ChangeLog(connection), self.address));
         true
     }
 
-    /// Ends a call, where as many as may be are open. What makes progress stays, and so does the oldest, for long: a
-    /// service may be that slow.
+    /// Closes a connection if as many are open as may be. One that makes progress stays, and so does the
+    /// oldest for a long time, as a service may be that slow.
     fn make_room(&mut self, now: Nanos, effects: &mut Vec<Effect>) {
-        if self.links.len() < MOST_LINKS {
+        if self.links.len() < MAX_LINKS {
             return;
         }
-        let oldest_stays = now.since(self.links[0].called) <= OLDEST_KEPT;
+        let oldest_stays = now.since(self.links[0].connect_started) <= OLDEST_LINK_GRACE;
         let candidates = &self.links[usize::from(oldest_stays)..];
-        let stuck = candidates
+        let stalled = candidates
             .iter()
-            .filter(|link| !link.has_told() || now.since(link.progressed()) > PROGRESS_WITHIN);
-        let victim = stuck.min_by_key(|link| link.progressed()).or(candidates.first());
-        if let Some(connection) = victim.map(|link| link.connection) {
-            self.end(connection, now, "a newer call takes its place", effects);
+            .filter(|link| !link.has_received_line() || now.since(link.last_progress()) > PROGRESS_WINDOW);
+        let replaced = stalled.min_by_key(|link| link.last_progress()).or(candidates.first());
+        if let Some(connection) = replaced.map(|link| link.connection) {
+            self.end(connection, now, "replaced by a newer connection", effects);
         }
     }
 
-    /// A connection has come up: asks for what follows an event.
-    pub(super) fn ask(&mut self, connection: u32, since: u64, now: Nanos, effects: &mut Vec<Effect>) {
+    /// A connection is established: requests the events after number `since`.
+    pub(super) fn send_request(
+        &mut self,
+        connection: u32,
+        since: u64,
+        now: Nanos,
+        effects: &mut Vec<Effect>,
+    ) {
         if let Some(link) = self.links.iter_mut().find(|link| link.connection == connection) {
-            link.asked(now);
-            self.leading = Some(connection);
+            link.request_sent(now);
+            self.leader = Some(connection);
             effects.push(Effect::Write(Peer::ChangeLog(connection), encode_since(since)));
         }
     }
 
-    /// Is at another address from now on; returns when it is called. The old one may tell no more and stay open, so
-    /// that is not waited for.
-    pub(super) fn move_to(&mut self, address: SocketAddr, now: Nanos, effects: &mut Vec<Effect>) -> Nanos {
-        self.close(now, "it has moved", effects);
+    /// The stream moves to another address; returns when to connect. The old connections are closed at once,
+    /// as they might deliver nothing more and yet stay open.
+    pub(super) fn change_address(
+        &mut self,
+        address: SocketAddr,
+        now: Nanos,
+        effects: &mut Vec<Effect>,
+    ) -> Nanos {
+        self.close(now, "the address has changed", effects);
         self.address = address;
-        log::info!("change log: now at {address}");
-        self.moved(now)
+        log::info!("change log: now followed index {address}");
+        self.address_changed(now)
     }
 
-    /// It is to be called at an address that is new to it; returns when.
-    pub(super) fn moved(&mut self, now: Nanos) -> Nanos {
-        self.calls.address_changed(now)
+    /// The address has changed; returns when to connect to it.
+    pub(super) fn address_changed(&mut self, now: Nanos) -> Nanos {
+        self.schedule.address_changed(now)
     }
 
     /// Closes all connections.
@@ -151,107 +174,116 @@
         }
     }
 
-    /// Ends one call.
+    /// Closes one connection.
     fn end(&mut self, connection: u32, now: Nanos, why: &str, effects: &mut Vec<Effect>) {
-        let Some(at) = self.links.iter().position(|link| link.connection == connection) else { return };
-        let link = self.links.remove(at);
-        if self.ends.allows(now) {
+        let Some(index) = self.links.iter().position(|link| link.connection == connection) else { return };
+        let link = self.links.remove(index);
+        if self.end_log.allows(now) {
             link.log_end(now, self.address, why);
         }
-        self.leading = self.leading.filter(|leading| *leading != connection);
+        self.leader = self.leader.filter(|leader| *leader != connection);
         effects.push(Effect::Close(Peer::ChangeLog(connection)));
     }
 
-    /// What the operators tell of calls has changed.
-    pub(super) fn told(&mut self, calls: ReconnectSettings) {
-        self.calls.settings_changed(calls);
+    /// The operators have changed the settings of reconnecting.
+    pub(super) fn settings_changed(&mut self, settings: ReconnectSettings) {
+        self.schedule.settings_changed(settings);
     }
 
-    /// A connection is over, or could not be made.
+    /// A connection has ended or could not be established.
     pub(super) fn closed(&mut self, connection: u32, now: Nanos, why: &str, effects: &mut Vec<Effect>) {
-        let newest = self.links.last().is_some_and(|link| link.connection == connection);
+        let was_newest = self.links.last().is_some_and(|link| link.connection == connection);
         self.end(connection, now, why, effects);
-        // The end of a call that was not waited for any more changes nothing.
-        if newest || self.links.is_empty() {
-            self.call_again(now, why, effects);
+        // The end of an older connection, which newer ones have replaced, changes nothing.
+        if was_newest || self.links.is_empty() {
+            self.schedule_reconnect(now, why, effects);
         }
     }
 
-    /// What it tells can't be used: all its calls end.
+    /// The stream has delivered something unusable: closes all its connections.
     pub(super) fn give_up(&mut self, now: Nanos, why: &str, effects: &mut Vec<Effect>) {
         if !self.is_closed() {
             self.close(now, why, effects);
-            self.call_again(now, why, effects);
+            self.schedule_reconnect(now, why, effects);
         }
     }
 
-    /// The present call brings nothing, and is not waited for: another one begins, in its time. The service may be away for
-    /// long, and is called often: one line tells of it.
-    fn call_again(&mut self, now: Nanos, why: &str, effects: &mut Vec<Effect>) {
-        if matches!(self.calls.state(), ConnectionState::Waiting(_)) {
+    /// The newest connection is no longer waited for: the next one is opened when it is due. A service may be
+    /// unavailable for long and is tried often, so only one line is logged for it.
+    fn schedule_reconnect(&mut self, now: Nanos, why: &str, effects: &mut Vec<Effect>) {
+        if matches!(self.schedule.state(), ConnectionState::Waiting(_)) {
             return;
         }
-        let (at, news) = self.calls.ended(now);
-        if news {
-            log::warn!("{self}: lost, {why}; called again in {:.1} s", at.since(now).secs());
+        let (at, should_log) = self.schedule.ended(now);
+        if should_log {
+            log::warn!("{self}: lost, {why}; reconnecting in {:.1} s", at.since(now).secs());
         }
         effects.push(Effect::Arm(at, TimerKind::ConnectChangeLog));
     }
 
-    /// The connection could not be made for want of this machine's own: it is tried again.
-    pub(super) fn unopened(&mut self, connection: u32, now: Nanos, effects: &mut Vec<Effect>) {
+    /// A connection could not be made because this machine lacked a resource: tries again.
+    pub(super) fn connect_failed_locally(&mut self, connection: u32, now: Nanos, effects: &mut Vec<Effect>) {
         self.links.retain(|link| link.connection != connection);
-        effects.push(Effect::Arm(self.calls.local_failure(now), TimerKind::ConnectChangeLog));
+        effects.push(Effect::Arm(self.schedule.local_failure(now), TimerKind::ConnectChangeLog));
     }
 
-    /// Where it has been silent for too long the next call is made beside those that are open.
-    pub(super) fn watch(&mut self, now: Nanos, effects: &mut Vec<Effect>) {
-        if !self.is_closed() && self.calls.is_silent(now) {
-            self.call_again(now, "silent", effects);
+    /// If the stream has been silent for too long, opens the next connection besides the open ones.
+    pub(super) fn check_silence(&mut self, now: Nanos, effects: &mut Vec<Effect>) {
+        if !self.is_closed() && self.schedule.is_silent(now) {
+            self.schedule_reconnect(now, "silent", effects);
         }
     }
 
-    /// Bytes have come.
+    /// Bytes were received.
     pub(super) fn received(&mut self, connection: u32, now: Nanos, bytes: &[u8]) {
         if let Some(link) = self.links.iter_mut().find(|link| link.connection == connection) {
             link.received(now, bytes);
         }
     }
 
-    /// The next whole line of any call, if there is one; a call that can't be read is told by its connection.
+    /// The next whole line of any connection, if there is one; an undecodable connection is returned as an
+    /// error, by its number.
     pub(super) fn next_line(
         &mut self,
         now: Nanos,
         effects: &mut Vec<Effect>,
-    ) -> Result<Option<Heard>, (u32, DecodeError)> {
-        for at in 0..self.links.len() {
-            let link = &mut self.links[at];
+    ) -> Result<Option<ReceivedLine>, (u32, DecodeError)> {
+        for index in 0..self.links.len() {
+            let link = &mut self.links[index];
             let line = link.next_line(now).map_err(|fault| (link.connection, fault))?;
             if let Some(line) = line {
-                return Ok(Some(self.heard(at, line, now, effects)));
+                return Ok(Some(self.line_received(index, line, now, effects)));
             }
         }
         Ok(None)
     }
 
-    /// A call has told a line. One that is in time is followed, and the others end.
-    fn heard(&mut self, at: usize, line: Line, now: Nanos, effects: &mut Vec<Effect>) -> Heard {
-        let (connection, called) = (self.links[at].connection, self.links[at].called);
-        let late_by = self.links[at].late_by().unwrap_or_default();
-        let was_leading = self.leading == Some(connection);
-        let leader = self.links.iter().find(|link| Some(link.connection) == self.leading);
+    /// A connection has delivered a line. If it is in time, the stream follows it and closes the others.
+    fn line_received(
+        &mut self,
+        index: usize,
+        line: Line,
+        now: Nanos,
+        effects: &mut Vec<Effect>,
+    ) -> ReceivedLine {
+        let (connection, connect_started) = (self.links[index].connection, self.links[index].connect_started);
+        let late_by = self.links[index].late_by().unwrap_or_default();
+        let was_leading = self.leader == Some(connection);
+        let leader = self.links.iter().find(|link| Some(link.connection) == self.leader);
         let leader_is_prompt = leader.is_some_and(Link::is_prompt);
         let mut is_leading = was_leading;
-        if self.links[at].is_prompt() && (was_leading || !leader_is_prompt) {
-            (self.leading, is_leading) = (Some(connection), true);
-            self.calls.answered_after_timeout(called);
-            if let Some(away) = self.calls.line_received(now) {
-                log::info!("{self}: heard again after {:.1} s", away.secs());
+        if self.links[index].is_prompt() && (was_leading || !leader_is_prompt) {
+            (self.leader, is_leading) = (Some(connection), true);
+            self.schedule.answered_after_timeout(connect_started);
+            if let Some(outage) = self.schedule.line_received(now) {
+                log::info!("{self}: received again after {:.1} s", outage.secs());
             }
             let others: Vec<_> =
-                self.links.iter().map(|link| link.connection).filter(|of| *of != connection).collect();
-            others.into_iter().for_each(|other| self.end(other, now, "another one is in time", effects));
+                self.links.iter().map(|link| link.connection).filter(|other| *other != connection).collect();
+            others
+                .into_iter()
+                .for_each(|other| self.end(other, now, "another connection is in time", effects));
         }
-        Heard { line, late_by, is_leading, leads_anew: is_leading && !was_leading }
+        ReceivedLine { line, late_by, is_leading, became_leader: is_leading && !was_leading }
     }
 }
--- a/crates/dispatcher/src/changes/stricter.rs
+++ b/crates/dispatcher/src/changes/stricter.rs
@@ -1,15 +1,16 @@
-//! What acts where two replicas contradict each other under one number.
+//! Decides what to apply when two replicas deliver different contents under one event number.
 
 use copperroute_protocol::changes::{Change, Fleet, NodeState};
 
-/// The part of the second content that restricts; `None` if nothing does. The first content acts already, so that of
-/// both together the stricter acts:
+/// The part of the second content that is restrictive; `None` if nothing is. The first content has been
+/// applied already, so together the stricter of both is in force:
 ///
-/// - a purge is done: two different ones under one number are both done;
-/// - an entry of the list that drains or is gone is taken, one that is active is not; that a node is missing from a
-///   list that calls itself whole counts for nothing, or a source with an empty list would take all nodes away;
-/// - a version of the rules is handed to the agreement, which takes two contents of one version as a fork and acts on
-///   the strictest rules until it is settled; one that does not follow on the last it refuses.
+/// - A purge is applied: of two different ones under one number, both are.
+/// - A node that drains or is gone is applied, an active one is not. A node missing from a snapshot counts
+///   for nothing, or a replica with an empty list would remove all nodes.
+/// - A version of the rules is passed to the agreement, which treats two contents of one version as a fork
+///   and acts on the strictest rules until it is resolved. It refuses a version that does not follow the last
+///   one.
 pub fn stricter_part(second: &Change) -> Option<Change> {
     let drains = |fleet: &Fleet| {
         let servers: Vec<_> =
--- a/crates/dispatcher/src/changes/told.rs
+++ b/crates/dispatcher/src/changes/update.rs
@@ -1,4 +1,5 @@
-//! What the change log is started with, what it tells, and an event in the form that the merge takes.
+//! The settings and updates of the change log client, and the conversion of events to the form that the merge
+//! takes.
 
 use copperroute_protocol::changes::Change;
 use copperroute_routing::change_log::{Arrival, Content};
@@ -6,49 +7,50 @@
 use copperroute_routing::reconnect_schedule::ReconnectSettings;
 use std::net::SocketAddr;
 
-/// What it tells, in order.
+/// An update, in the order in which updates are to be applied.
 #[derive(Debug)]
 pub enum ChangeLogUpdate {
-    /// An event. Where `after_gap`, what lies between it and the one before was not told; what it brings stands for
-    /// that.
+    /// An event. With `after_gap`, events before it were not delivered, and its content replaces them.
     Change {
-        /// What it says.
+        /// The content of the event.
         change: Box<Change>,
-        /// Events before it were not told.
+        /// Events before it were not delivered.
         after_gap: bool,
     },
-    /// The part of another content of an event before that is stricter than what was told.
+    /// The stricter part of a second content of an event that was already delivered.
     Restriction {
-        /// What it says.
+        /// The restrictive content.
         change: Box<Change>,
     },
-    /// A second's line; `caught_up` if all that it knows of has been handed on, and it knows of all that was.
+    /// A heartbeat, sent every second.
     Heartbeat {
-        /// All that was told has been handed on.
+        /// Everything that the change log has was delivered.
         caught_up: bool,
     },
 }
 
-/// What a dispatcher is started with.
+/// Settings of the change log client.
 #[derive(Debug, Clone)]
 pub struct ChangeLogSettings {
-    /// Where it is followed: at one address, or at two replicas.
+    /// The address at which the log is followed, or those of two replicas.
     pub addresses: Vec<SocketAddr>,
-    /// The number of the last event that is known.
+    /// The number of the last event that is known at the start.
     pub applied: u64,
-    /// What is known of those who are called.
+    /// Settings of reconnecting.
     pub calls: ReconnectSettings,
-    /// What settles when they are called.
+    /// Seed for the times at which connections are opened.
     pub seed: u64,
     /// The Unix time, in nanoseconds, at which the dispatcher's clock shows zero.
     pub unix_zero: u64,
-    /// How long a line may take on its way.
+    /// How long a line may take to arrive.
     pub slack: Nanos,
-    /// Whether it is looked for that a single log begins anew, with lower numbers; with two replicas it always is.
+    /// Whether a restart of a single log, with lower numbers, is to be detected; with two replicas it always
+    /// is.
     pub detects_log_restart: bool,
 }
 
-/// An event as the merge takes it. What it says is told from other contents where there are streams to compare.
+/// An event as the merge takes it. Its digest, by which contents under one number are compared, is needed
+/// only if there are several streams (`compared`).
 pub(super) fn arrival(change: Box<Change>, compared: bool) -> Arrival<Box<Change>> {
     let number = change.seq;
     let snapshot = change.fleet.as_ref().is_some_and(|fleet| fleet.full);
--- a/crates/dispatcher/src/clients.rs
+++ b/crates/dispatcher/src/clients.rs
@@ -1,4 +1,5 @@
-//! Client connections: what is open on each, what has not left yet, and who is read from.
+//! Client connections: the requests open on each, the bytes that have not left yet, and when a connection is
+//! to be closed. No I/O: the reducer calls it, and what is to be written or closed is added to the effects.
 
 use crate::effects::{Effect, Peer, TrailingInput};
 use crate::lingering::LingeringConnections;
@@ -7,162 +8,171 @@
 use std::collections::HashMap;
 use std::net::IpAddr;
 
-/// A client with more unsent than this reads slowly, until half of it has left: where memory is short it goes without
-/// first. It is read from all the same, or it could neither abort nor leave.
-const UNSENT: u64 = 512 * 1024;
-
-/// Requests open on one connection at most, by the protocol.
-pub const MOST_OPEN: usize = 32;
-/// From when it connects a client has so long to send its first whole request, and so long for any later one
-/// that has begun. Guards against those who say nothing or half of something; harms who needs longer for 48 KB.
-const SPEAKS: Nanos = Nanos(2_000_000_000);
-/// A client that asked and then rests for so long is closed. Usual ones close by themselves after half of it.
-const RESTS: Nanos = Nanos(8_000_000_000);
-/// A client that has just connected is about to speak.
-const YOUNG: Nanos = Nanos(100_000_000);
+/// A client with more unsent bytes than this counts as slow until half of it has left; when memory is short,
+/// slow clients are refused first. Their connections are still read, or they could neither abort nor leave.
+const SLOW_CLIENT_BYTES: u64 = 512 * 1024;
+
+/// The most requests that may be open on one connection, by the protocol.
+pub const MAX_OPEN_REQUESTS: usize = 32;
+/// Time limit for a client's first whole message after it connects, and for completing any later message that
+/// it has begun. Prevents clients that send nothing, or only part of a message, from holding connections.
+/// Costs clients that need longer than this to send 48 KB.
+const MESSAGE_TIMEOUT: Nanos = Nanos(2_000_000_000);
+/// A client that has sent a message and is then idle for longer than this is closed. Typical clients close by
+/// themselves after half of it.
+const IDLE_TIMEOUT: Nanos = Nanos(8_000_000_000);
+/// A client that connected or was active less than this ago is not closed for want of descriptors. Among idle
+/// clients, one that connected less than this ago and has sent nothing is closed last: its first message is
+/// probably on the way.
+const RECENT: Nanos = Nanos(100_000_000);
 
 /// One connection of a client.
 #[derive(Debug, Default)]
 pub struct Client {
-    /// Stands for where it comes from.
-    from: u64,
-    /// Decodes what it sends.
+    /// A hash of the client's address.
+    source_hash: u64,
+    /// Decoder of the bytes that the client sends.
     pub decoder: Decoder,
     /// Open requests by tag.
     pub open: HashMap<u64, RequestId>,
-    /// Bytes given to the connection, and those that have left.
-    queued: u64,
-    written: u64,
-    /// It reads slowly.
+    /// Bytes queued for the connection, and how many of them have left.
+    queued_bytes: u64,
+    written_bytes: u64,
+    /// The client reads slowly: see [`SLOW_CLIENT_BYTES`].
     slow: bool,
-    /// It has broken the protocol: it is closed once all that it asked before is answered.
+    /// No new requests are accepted; the connection is closed once all earlier ones are answered.
     closing: bool,
-    /// Where its next message begins is not known: nothing that it sends is decoded any more.
+    /// The start of the next message is unknown, so nothing that the client sends is decoded any more.
     unreadable: bool,
-    /// When bytes last left, or began to wait.
-    moved: Nanos,
-    /// When it connected, or last sent a whole message, or was last written to.
-    active: Nanos,
-    /// It has asked for something.
-    asked: bool,
-    /// Since when the rest of a message is missing.
-    midway: Option<Nanos>,
-    /// What came is being decoded: its connection does not end before all of it is answered.
+    /// When bytes last left, or when the first unsent ones were queued.
+    last_progress: Nanos,
+    /// When the client connected, last sent a whole message or was last written to, whichever is latest.
+    last_active: Nanos,
+    /// The client has sent at least one whole message.
+    has_sent_message: bool,
+    /// Since when an incomplete message has been waiting for its rest.
+    partial_since: Option<Nanos>,
+    /// Received bytes are being decoded; the connection is not closed before all requests in them are
+    /// answered.
     decoding: bool,
-    /// It takes too little, and its connection ends once all that came is answered.
-    run_out: bool,
+    /// The client takes its answers too slowly; its connection is closed once all received requests are
+    /// answered.
+    too_slow: bool,
 }
 
 impl Client {
     fn unsent(&self) -> u64 {
-        self.queued.saturating_sub(self.written)
+        self.queued_bytes.saturating_sub(self.written_bytes)
     }
 
     fn is_idle(&self) -> bool {
         self.open.is_empty() && self.unsent() == 0
     }
 
-    /// It asks for nothing new any more. Aborts are heard on.
+    /// Accepts no new requests. Aborts are still handled.
     pub fn close_when_answered(&mut self) {
-        (self.closing, self.midway) = (true, None);
+        (self.closing, self.partial_since) = (true, None);
     }
 
-    /// Nothing that it sends is decoded any more, so that it asks for nothing new and can't abort; it can leave.
-    pub fn cannot_be_read(&mut self) {
+    /// Stops decoding: the client can send neither requests nor aborts any more, but its disconnect is still
+    /// noticed.
+    pub fn mark_unreadable(&mut self) {
         (self.unreadable, self.decoding, self.decoder) = (true, false, Decoder::default());
         self.close_when_answered();
     }
 
-    /// Bytes have come that are to be decoded now.
-    pub fn decodes(&mut self, bytes: &[u8]) {
+    /// Adds received bytes to those that are to be decoded.
+    pub fn feed(&mut self, bytes: &[u8]) {
         self.decoder.feed(bytes);
         self.decoding = true;
     }
 
-    /// Whether it is not waited for any longer.
-    pub fn has_run_out(&self) -> bool {
-        self.run_out
+    /// Whether the connection is to be closed because the client takes its answers too slowly.
+    pub fn is_too_slow(&self) -> bool {
+        self.too_slow
     }
 
-    /// Whether its connection can end: it asks for nothing new, and all that came is answered.
-    pub fn is_spent(&self) -> bool {
+    /// Whether the connection can be closed: no new requests are accepted, and all received ones are
+    /// answered.
+    pub fn can_close(&self) -> bool {
         self.closing && !self.decoding && self.open.is_empty()
     }
 
-    /// Whether it asks for nothing new any more.
+    /// Whether no new requests are accepted.
     pub fn is_closing(&self) -> bool {
         self.closing
     }
 
-    /// Whether nothing that it sends is decoded any more.
+    /// Whether nothing that the client sends is decoded any more.
     pub fn is_unreadable(&self) -> bool {
         self.unreadable
     }
 
-    /// A whole message has come.
-    pub fn spoke(&mut self, now: Nanos) {
-        (self.active, self.asked, self.midway) = (now, true, None);
+    /// A whole message was received.
+    pub fn message_received(&mut self, now: Nanos) {
+        (self.last_active, self.has_sent_message, self.partial_since) = (now, true, None);
     }
 
-    /// All that came has been decoded, as far as it is whole.
-    pub fn pauses(&mut self, now: Nanos) {
+    /// All whole messages among the received bytes have been decoded.
+    pub fn all_decoded(&mut self, now: Nanos) {
         self.decoding = false;
         self.decoder.release_spare_memory();
         let waits_for_rest = self.decoder.has_partial_message() && !self.closing;
-        self.midway = waits_for_rest.then(|| self.midway.unwrap_or(now));
+        self.partial_since = waits_for_rest.then(|| self.partial_since.unwrap_or(now));
     }
 
-    /// It said nothing, or half of something, or rested, for too long.
+    /// Whether the client has sent nothing, or only part of a message, or has been idle, for too long.
     fn is_overdue(&self, now: Nanos) -> bool {
         let late = |since: Nanos, span: Nanos| now.since(since) > span;
-        (!self.asked && late(self.active, SPEAKS))
-            || self.midway.is_some_and(|since| late(since, SPEAKS))
-            || (self.is_idle() && late(self.active, RESTS))
+        (!self.has_sent_message && late(self.last_active, MESSAGE_TIMEOUT))
+            || self.partial_since.is_some_and(|since| late(since, MESSAGE_TIMEOUT))
+            || (self.is_idle() && late(self.last_active, IDLE_TIMEOUT))
     }
 }
 
 /// The connections of all clients.
 #[derive(Debug, Default)]
 pub struct Clients {
-    by_number: HashMap<u32, Client>,
+    by_connection: HashMap<u32, Client>,
     unsent: u64,
-    /// Those whose connections are ending.
+    /// Connections in a lingering close.
     pub lingering: LingeringConnections,
 }
 
 impl Clients {
-    /// How many connections there are, also of those that are ending.
+    /// The number of connections, including those in a lingering close.
     pub fn count(&self) -> usize {
-        self.by_number.len() + self.lingering.count()
+        self.by_connection.len() + self.lingering.count()
     }
 
-    /// Bytes for all of them that have not left.
+    /// The number of unsent bytes of all clients.
     pub fn unsent(&self) -> u64 {
         self.unsent
     }
 
-    /// A client has connected.
+    /// Adds a client that has connected.
     pub fn accept(&mut self, number: u32, from: IpAddr, now: Nanos) {
         let from = stable_hash(from.to_string().as_bytes());
-        self.by_number.insert(number, Client { from, active: now, ..Client::default() });
+        self.by_connection
+            .insert(number, Client { source_hash: from, last_active: now, ..Client::default() });
     }
 
-    /// A client that is still there.
+    /// The client with this connection number, if it is still connected.
     pub fn get_mut(&mut self, number: u32) -> Option<&mut Client> {
-        self.by_number.get_mut(&number)
+        self.by_connection.get_mut(&number)
     }
 
-    /// Stands for where a client comes from; zero once it has gone.
-    pub fn from(&self, number: u32) -> u64 {
-        self.by_number.get(&number).map_or(0, |client| client.from)
+    /// The hash of the client's address; 0 if the client is no longer connected.
+    pub fn source_hash(&self, number: u32) -> u64 {
+        self.by_connection.get(&number).map_or(0, |client| client.source_hash)
     }
 
     /// Whether a client reads slowly.
     pub fn is_slow(&self, number: u32) -> bool {
-        self.by_number.get(&number).is_some_and(|client| client.slow)
+        self.by_connection.get(&number).is_some_and(|client| client.slow)
     }
 
-    /// Writes to a client, if it is still there.
+    /// Queues an answer for a client, if it is still connected.
     pub fn write(
         &mut self,
         number: u32,
@@ -171,133 +181,136 @@
         now: Nanos,
         effects: &mut Vec<Effect>,
     ) {
-        let Some(client) = self.by_number.get_mut(&number) else { return };
-        client.active = now;
+        let Some(client) = self.by_connection.get_mut(&number) else { return };
+        client.last_active = now;
         if client.unsent() == 0 {
-            client.moved = now;
+            client.last_progress = now;
         }
         let bytes = encode(tag, answer);
-        client.queued += bytes.len() as u64;
+        client.queued_bytes += bytes.len() as u64;
         self.unsent += bytes.len() as u64;
         effects.push(Effect::Write(Peer::Client(number), bytes));
-        client.slow |= client.unsent() > UNSENT;
+        client.slow |= client.unsent() > SLOW_CLIENT_BYTES;
     }
 
-    /// A client takes so little that it is not waited for any longer once all that came is answered.
-    pub fn run_out(&mut self, number: u32) {
-        if let Some(client) = self.by_number.get_mut(&number) {
-            client.run_out = true;
+    /// Stops accepting requests from a client that takes its answers too slowly.
+    pub fn mark_too_slow(&mut self, number: u32) {
+        if let Some(client) = self.by_connection.get_mut(&number) {
+            client.too_slow = true;
             client.close_when_answered();
         }
     }
 
-    /// Bytes for a client have left, so many in all.
+    /// Bytes for a client have left, `total` since it connected.
     pub fn written(&mut self, number: u32, total: u64, now: Nanos) {
-        let Some(client) = self.by_number.get_mut(&number) else { return };
-        client.moved = now;
-        self.unsent -= total.saturating_sub(client.written);
-        client.written = total;
-        client.slow &= client.unsent() > UNSENT / 2;
+        let Some(client) = self.by_connection.get_mut(&number) else { return };
+        client.last_progress = now;
+        self.unsent -= total.saturating_sub(client.written_bytes);
+        client.written_bytes = total;
+        client.slow &= client.unsent() > SLOW_CLIENT_BYTES / 2;
     }
 
-    /// Lets go of a client; returns what was open on it, and what becomes of what it still sends: of one that can't be
-    /// read no request is.
-    fn forget(&mut self, number: u32) -> Option<(Vec<RequestId>, TrailingInput)> {
-        let client = self.by_number.remove(&number)?;
+    /// Removes a client; returns its open requests and what to do with the bytes that it still sends: those
+    /// of a client that can't be decoded hold no request to answer, so they are discarded.
+    fn take(&mut self, number: u32) -> Option<(Vec<RequestId>, TrailingInput)> {
+        let client = self.by_connection.remove(&number)?;
         self.unsent -= client.unsent();
         let mut open: Vec<_> = client.open.into_values().collect();
         open.sort_by_key(|request_id| request_id.0);
         Some((open, if client.unreadable { TrailingInput::Discard } else { TrailingInput::LeaveUnread }))
     }
 
-    /// A client's connection ends at once; returns what was open on it.
+    /// Closes a client's connection at once; returns its open requests.
     pub fn remove(&mut self, number: u32, effects: &mut Vec<Effect>) -> Vec<RequestId> {
         self.lingering.remove(number);
         effects.push(Effect::Close(Peer::Client(number)));
-        self.forget(number).map(|(open, _)| open).unwrap_or_default()
+        self.take(number).map(|(open, _)| open).unwrap_or_default()
     }
 
-    /// A client's connection ends by a lingering close; returns what was open on it.
-    pub fn shut(&mut self, number: u32, now: Nanos, effects: &mut Vec<Effect>) -> Vec<RequestId> {
-        let Some((open, behind)) = self.forget(number) else { return Vec::new() };
-        effects.push(Effect::CloseLingering(Peer::Client(number), behind));
-        let instead = self.lingering.begin(now, number);
-        effects.extend(instead.map(|oldest| Effect::Close(Peer::Client(oldest))));
+    /// Closes a client's connection with a lingering close; returns its open requests.
+    pub fn close_lingering(&mut self, number: u32, now: Nanos, effects: &mut Vec<Effect>) -> Vec<RequestId> {
+        let Some((open, trailing_input)) = self.take(number) else { return Vec::new() };
+        effects.push(Effect::CloseLingering(Peer::Client(number), trailing_input));
+        let displaced = self.lingering.begin(now, number);
+        effects.extend(displaced.map(|oldest| Effect::Close(Peer::Client(oldest))));
         open
     }
 
-    /// All clients' connections end, as the program does.
-    pub fn shut_all(&mut self, now: Nanos, effects: &mut Vec<Effect>) {
-        let mut numbers: Vec<_> = self.by_number.keys().copied().collect();
+    /// Closes all connections with a lingering close as the process exits.
+    pub fn close_all_lingering(&mut self, now: Nanos, effects: &mut Vec<Effect>) {
+        let mut numbers: Vec<_> = self.by_connection.keys().copied().collect();
         numbers.sort();
         self.lingering.shorten_for_exit(now);
         for number in numbers {
-            let Some((_, behind)) = self.forget(number) else { continue };
+            let Some((_, trailing_input)) = self.take(number) else { continue };
             self.lingering.begin_at_exit(now, number);
-            effects.push(Effect::CloseLingering(Peer::Client(number), behind));
+            effects.push(Effect::CloseLingering(Peer::Client(number), trailing_input));
         }
     }
 
-    /// Connections that have lingered for long enough are closed.
-    pub fn sweep(&mut self, now: Nanos, effects: &mut Vec<Effect>) {
+    /// Closes the connections whose lingering close has timed out.
+    pub fn close_lingered(&mut self, now: Nanos, effects: &mut Vec<Effect>) {
         effects.extend(self.lingering.take_expired(now).into_iter().map(|n| Effect::Close(Peer::Client(n))));
     }
 
-    /// The clients that said nothing, or half of something, or rested, for too long.
+    /// The clients that have sent nothing, or only part of a message, or have been idle, for too long.
     pub fn overdue(&self, now: Nanos) -> Vec<u32> {
-        let overdue = self.by_number.iter().filter(|(_, client)| client.is_overdue(now));
+        let overdue = self.by_connection.iter().filter(|(_, client)| client.is_overdue(now));
         let mut overdue: Vec<_> = overdue.map(|(number, _)| *number).collect();
         overdue.sort();
         overdue
     }
 
-    /// The clients that have taken nothing of what waits for them for so long.
-    pub fn stuck(&self, now: Nanos, span: Nanos) -> Vec<u32> {
-        let stuck = |client: &Client| client.unsent() > 0 && now.since(client.moved) > span;
-        let mut stuck: Vec<_> = self.by_number.iter().filter(|(_, c)| stuck(c)).map(|(n, _)| *n).collect();
-        stuck.sort();
-        stuck
+    /// The clients that have taken none of their unsent bytes for longer than `span`.
+    pub fn stalled(&self, now: Nanos, span: Nanos) -> Vec<u32> {
+        let is_stalled = |client: &Client| client.unsent() > 0 && now.since(client.last_progress) > span;
+        let mut stalled: Vec<_> =
+            self.by_connection.iter().filter(|(_, c)| is_stalled(c)).map(|(n, _)| *n).collect();
+        stalled.sort();
+        stalled
     }
 
-    /// Ends up to `most` connections on which nothing is open, but not the one that is spared: first those
-    /// that never asked, then those that rested longest, last those that have just come.
-    pub fn close_idle(&mut self, most: usize, spared: Option<u32>, now: Nanos, effects: &mut Vec<Effect>) {
-        let idle = self.by_number.iter().filter(|(number, c)| c.is_idle() && Some(**number) != spared);
-        let place = |c: &Client| if c.asked { 1 } else { 2 * u8::from(now.since(c.active) < YOUNG) };
-        let mut idle: Vec<_> = idle.map(|(number, c)| (place(c), c.active, *number)).collect();
+    /// Closes up to `max` idle connections, but not `except`: first those that never sent a message, then
+    /// those that have been idle longest, and last those that connected recently.
+    pub fn close_idle(&mut self, max: usize, except: Option<u32>, now: Nanos, effects: &mut Vec<Effect>) {
+        let idle = self.by_connection.iter().filter(|(number, c)| c.is_idle() && Some(**number) != except);
+        let rank =
+            |c: &Client| if c.has_sent_message { 1 } else { 2 * u8::from(now.since(c.last_active) < RECENT) };
+        let mut idle: Vec<_> = idle.map(|(number, c)| (rank(c), c.last_active, *number)).collect();
         idle.sort();
-        for (_, _, number) in idle.into_iter().take(most) {
-            self.shut(number, now, effects);
+        for (_, _, number) in idle.into_iter().take(max) {
+            self.close_lingering(number, now, effects);
         }
     }
 
-    /// Of more connections than so many, those that linger are closed first.
-    pub fn cut_lingering(&mut self, most: usize, effects: &mut Vec<Effect>) {
-        while self.count() > most
+    /// While there are more connections than `max`, closes those in a lingering close, oldest first.
+    pub fn limit_lingering(&mut self, max: usize, effects: &mut Vec<Effect>) {
+        while self.count() > max
             && let Some(number) = self.lingering.pop_oldest()
         {
             effects.push(Effect::Close(Peer::Client(number)));
         }
     }
 
-    /// Descriptors are wanted at once: those that have lingered for a while are closed, and those that rest. Who has just come
-    /// or was just written to stays: a request may be on its way, or an answer.
-    pub fn make_room(&mut self, most: usize, now: Nanos, effects: &mut Vec<Effect>) {
-        for number in self.resting(most, now) {
-            self.forget(number);
+    /// Frees descriptors at once: closes up to `max` idle connections and the older ones in a lingering
+    /// close. Clients that have just connected or were just written to stay, as a request or an answer may be
+    /// on its way.
+    pub fn free_descriptors(&mut self, max: usize, now: Nanos, effects: &mut Vec<Effect>) {
+        for number in self.idle(max, now) {
+            self.take(number);
             effects.push(Effect::Close(Peer::Client(number)));
         }
-        while let Some(number) = self.lingering.pop_older_than(now, YOUNG) {
+        while let Some(number) = self.lingering.pop_older_than(now, RECENT) {
             effects.push(Effect::Close(Peer::Client(number)));
         }
     }
 
-    /// Up to `most` connections on which nothing was open for a while, in the order in which they are to be closed.
-    pub fn resting(&self, most: usize, now: Nanos) -> Vec<u32> {
-        let rests = |client: &Client| client.is_idle() && now.since(client.active) >= YOUNG;
-        let resting = self.by_number.iter().filter(|(_, client)| rests(client));
-        let mut resting: Vec<_> = resting.map(|(number, c)| (c.asked, c.active, *number)).collect();
-        resting.sort();
-        resting.into_iter().take(most).map(|(_, _, number)| number).collect()
+    /// Up to `max` connections that have been idle for a while, in the order in which they are to be closed.
+    pub fn idle(&self, max: usize, now: Nanos) -> Vec<u32> {
+        let is_idle = |client: &Client| client.is_idle() && now.since(client.last_active) >= RECENT;
+        let idle = self.by_connection.iter().filter(|(_, client)| is_idle(client));
+        let mut idle: Vec<_> = idle.map(|(number, c)| (c.has_sent_message, c.last_active, *number)).collect();
+        idle.sort();
+        idle.into_iter().take(max).map(|(_, _, number)| number).collect()
     }
 }
--- a/crates/dispatcher/src/deadlines.rs
+++ b/crates/dispatcher/src/deadlines.rs
@@ -1,88 +1,90 @@
-//! All that is to happen at a time: one ordered structure of deadlines, without I/O.
+//! The timers of the event loop: one ordered map of deadlines, without I/O.
 //!
-//! *Owner*: the event loop, which has one, waits until its first deadline, and takes what is due.
+//! *Owner*: the event loop has one, waits until its first deadline, and takes what is due.
 //!
-//! *Bound*: a request arms a bounded number of deadlines (its expiry, one for the disk, and for each of its attempts, of
-//! which there are a fixed number at most, one or two). Deadlines are not cancelled one by one: a request that ends early
-//! would have to know its own. They lapse, or are forgotten together once they have doubled in number, so that there
-//! are at most twice as many as were wanted by somebody then, or [`PRUNE_THRESHOLD`]. Without that, 50,000 requests a
-//! second with a time-out of 60 s would leave some millions behind that nobody waits for.
+//! *Bound*: a request arms a bounded number of deadlines: its timeout, one for the disk, and one or two for
+//! each of its attempts, whose number is limited. Deadlines are not cancelled one by one, as a request that
+//! ends early would have to know its own. They fall due, or are pruned together once their number has
+//! doubled, so there are at most twice as many as were needed after the last pruning, or [`PRUNE_THRESHOLD`].
+//! Without pruning, 50,000 requests per second with a timeout of 60 s would leave millions of unneeded
+//! deadlines.
 //!
-//! *Moment of forgetting*: when a deadline is taken as due, or in the pass over all of them that [`Deadlines::prune`]
-//! makes. A pass looks at each deadline once and comes after at least half as many were armed: a constant cost for each.
+//! *Removal*: when a deadline is taken as due, or when [`Deadlines::prune`] makes its pass over all of them.
+//! A pass visits each deadline once and comes after at least half as many were armed, so the cost per
+//! deadline is constant.
 
 use copperroute_routing::interface::Nanos;
 use std::collections::BTreeMap;
 
-/// With fewer deadlines than this none is looked for that nobody waits for: they take less than half a megabyte.
+/// Below this number of deadlines none are pruned: they take less than half a megabyte.
 pub const PRUNE_THRESHOLD: usize = 4096;
 
-/// Deadlines, each with what it is for, in the order of their times; those of one time in the order of arming.
+/// Deadlines with their payloads, ordered by time; those of equal time in the order in which they were armed.
 #[derive(Debug)]
 pub struct Deadlines<T> {
-    standing: BTreeMap<Place, T>,
-    /// How many were ever armed.
-    armed: u64,
-    /// With so many standing, those that nobody waits for are to be forgotten.
-    crowded_from: usize,
+    by_time: BTreeMap<DeadlineKey, T>,
+    /// The number of deadlines ever armed.
+    armed_count: u64,
+    /// The number of deadlines from which on they are to be pruned.
+    prune_at: usize,
 }
 
-/// Where a deadline stands among the others.
+/// The order of a deadline: by time, then by arming.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct Place {
+struct DeadlineKey {
     at: Nanos,
-    /// How many were armed before it.
+    /// The number of deadlines armed before it.
     armed_before: u64,
 }
 
 impl<T> Default for Deadlines<T> {
     fn default() -> Self {
-        Deadlines { standing: BTreeMap::new(), armed: 0, crowded_from: PRUNE_THRESHOLD }
+        Deadlines { by_time: BTreeMap::new(), armed_count: 0, prune_at: PRUNE_THRESHOLD }
     }
 }
 
 impl<T> Deadlines<T> {
     /// Arms a deadline; one in the past is due at once.
-    pub fn arm(&mut self, at: Nanos, what: T) {
-        let place = Place { at, armed_before: self.armed };
-        self.armed += 1;
-        self.standing.insert(place, what);
+    pub fn arm(&mut self, at: Nanos, payload: T) {
+        let key = DeadlineKey { at, armed_before: self.armed_count };
+        self.armed_count += 1;
+        self.by_time.insert(key, payload);
     }
 
-    /// The first deadline, if any stands.
+    /// The time of the first deadline, if any is armed.
     pub fn first(&self) -> Option<Nanos> {
-        self.standing.first_key_value().map(|(place, _)| place.at)
+        self.by_time.first_key_value().map(|(key, _)| key.at)
     }
 
-    /// Moves all that is due by now to the end of a list, in order.
+    /// Appends the payloads of all deadlines due by `now` to `due`, in order.
     pub fn take_due(&mut self, now: Nanos, due: &mut Vec<T>) {
-        while let Some(first) = self.standing.first_entry() {
+        while let Some(first) = self.by_time.first_entry() {
             if first.key().at > now {
                 break;
             }
             due.push(first.remove());
         }
-        self.crowded_from = self.crowded_from.min(twice(self.standing.len()));
+        self.prune_at = self.prune_at.min(prune_threshold(self.by_time.len()));
     }
 
-    /// Whether so many stand that those which nobody waits for are to be forgotten.
+    /// Whether there are so many deadlines that unneeded ones are to be pruned.
     pub fn needs_pruning(&self) -> bool {
-        self.standing.len() >= self.crowded_from
+        self.by_time.len() >= self.prune_at
     }
 
-    /// Forgets the deadlines that nobody waits for any more.
+    /// Removes the deadlines that are no longer needed.
     pub fn prune(&mut self, is_wanted: impl Fn(&T) -> bool) {
-        self.standing.retain(|_, what| is_wanted(what));
-        self.crowded_from = twice(self.standing.len());
+        self.by_time.retain(|_, payload| is_wanted(payload));
+        self.prune_at = prune_threshold(self.by_time.len());
     }
 
-    /// How many stand.
+    /// The number of armed deadlines.
     pub fn count(&self) -> usize {
-        self.standing.len()
+        self.by_time.len()
     }
 }
 
-/// The number from which deadlines are crowded, if so many stand now.
-fn twice(count: usize) -> usize {
+/// The number of deadlines at which to prune next, if `count` remain now.
+fn prune_threshold(count: usize) -> usize {
     (2 * count).max(PRUNE_THRESHOLD)
 }
--- a/crates/dispatcher/src/effects.rs
+++ b/crates/dispatcher/src/effects.rs
@@ -1,5 +1,5 @@
-//! What passes between the event loop and the reducer: events in, effects out, and the names of connections and
-//! timers that both use.
+//! The interface between the event loop and the reducer: events in, effects out, and the identities of
+//! connections and timers that both use.
 
 use crate::attempt::AttemptId;
 use crate::config::Config;
@@ -8,123 +8,125 @@
 use std::net::{IpAddr, SocketAddr};
 use std::sync::Arc;
 
-/// The other end of a connection.
+/// The remote end of a connection, with the number of the connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Peer {
-    /// A client, by the number of its connection.
+    /// A client.
     Client(u32),
-    /// A node, likewise.
+    /// A node.
     Node(u32),
-    /// The change log, likewise.
+    /// The change log.
     ChangeLog(u32),
 }
 
 /// What a timer is for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TimerKind {
-    /// The module's own, with its token.
+    /// A timer of the routing policy, with its token.
     Routing(u64),
-    /// A request expires.
+    /// A request times out; with its generation.
     Expiry(RequestId, u64),
-    /// An attempt of a request may be sent no more, by the request's serial.
+    /// An attempt must not be sent after this time; with the generation of its request.
     SendBy(AttemptId, u64),
-    /// A connection to a node should have come up.
+    /// Time limit for connecting to a node; with the number of the connection.
     ConnectTimeout(u32),
-    /// A copy should have been read from disk.
+    /// Time limit for reading a copy from disk for a request; with its generation.
     DiskReadTimeout(RequestId, u64),
-    /// The change log is to be connected to.
+    /// A connection to the change log is due.
     ConnectChangeLog,
-    /// Connections and phases are looked after.
+    /// Periodic check of connections and phases.
     Sweep,
-    /// Nothing new can come any more.
+    /// Shutdown: no new requests can arrive any more.
     IntakeEnd,
-    /// What is still open must be answered now.
+    /// Shutdown: every request that is still open must be answered now.
     DrainDeadline,
-    /// Connections have lingered for long enough: the program ends.
+    /// Shutdown: lingering connections are closed and the process exits.
     LingerDeadline,
 }
 
-/// What happens.
+/// What has happened.
 #[derive(Debug, Clone, Copy)]
 pub enum Event<'a> {
-    /// The program has started.
+    /// The process has started.
     Started,
-    /// A client has connected, from this address.
+    /// A client has connected from this address; with the number of its connection.
     Accepted(u32, IpAddr),
-    /// A connection asked for has come up.
+    /// A requested connection is established.
     Connected(Peer),
-    /// Bytes have come.
+    /// Bytes were received.
     Received(Peer, &'a [u8]),
-    /// So many bytes in all have left.
+    /// Bytes have left; with their total since the connection began.
     Written(Peer, u64),
-    /// What was to be written to a node has waited for long: what it says of time is old.
+    /// Output queued for a node has waited so long that the times written in it are out of date.
     OutputStale(Peer),
-    /// What clients have sent and is told from now on may have lain unread for so long.
+    /// From now on, bytes received from clients may have lain unread in the socket for this long.
     InputDelay(Nanos),
-    /// A connection has ended, or could not be made.
+    /// A connection has ended or could not be established.
     Closed(Peer),
-    /// The other side sends no more; it may still read.
+    /// The remote end has closed its sending side; it may still read.
     EndOfStream(Peer),
-    /// A connection could not be made for want of something of this machine's own, which says nothing of the other side.
+    /// A connection could not be made because this machine lacked a resource, which says nothing about the
+    /// remote end.
     ConnectFailedLocally(Peer),
-    /// All that had come when `Effect::FinalRead` was asked for has been told.
+    /// All input that had arrived when `Effect::FinalRead` was requested has been reported.
     FinalReadDone,
-    /// The time has come.
+    /// A timer has fired.
     TimerFired(TimerKind),
-    /// The program is to end.
+    /// The process is asked to terminate.
     Terminate,
     /// The configuration has been read again.
     Reload(&'a Config),
-    /// The disk tier is there, with these copies, and the marks of purges up to this event.
+    /// The disk tier is ready: fingerprints of its copies, and the number of the last event whose purge it
+    /// has marked.
     DiskReady(&'a [u64], u64),
-    /// The disk has read a copy for a ticket, or has none.
+    /// The disk has read a copy for a ticket, or found none.
     CopyRead(u64, Option<(Facts, &'a [u8])>),
     /// The disk is off from now on.
     DiskOff,
-    /// No descriptor is left for a client that waits.
+    /// No descriptor is left to accept a waiting client.
     NoDescriptors,
 }
 
-/// What becomes of bytes behind the end of a connection.
+/// What to do with input that arrives after a lingering close has begun.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TrailingInput {
-    /// They are read and told, to be dropped.
+    /// It is read and reported, so that it can be counted and dropped.
     Discard,
-    /// They stay unread.
+    /// It stays unread.
     LeaveUnread,
 }
 
-/// What the event loop is asked for.
+/// What the event loop is to do.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
-    /// Connect.
+    /// Connect to this address.
     Connect(Peer, SocketAddr),
-    /// Write these bytes behind those before.
+    /// Write these bytes after those queued before.
     Write(Peer, Vec<u8>),
-    /// Read from a connection, or leave it alone for now.
+    /// Start (`true`) or pause (`false`) reading from a connection.
     SetReading(Peer, bool),
-    /// Of what was to be written, drop the bytes from this place on, counted from the first ever given; none has left.
+    /// Drop queued output from this offset on, counted from the first byte ever queued; none of it has left.
     TruncateOutput(Peer, u64),
-    /// Write what is left, then end the sending side (lingering close: a close over unread bytes is a reset, which can
-    /// take with it what was written). Either what still comes is read and told until `Close`, or nothing is read any more,
-    /// as a request that was read is owed an answer.
+    /// Write what is queued, then end the sending side. This lingering close is needed because closing over
+    /// unread input resets the connection, which can discard output already written. Further input is either
+    /// read and reported until `Close`, or not read at all, as every request that is read must be answered.
     CloseLingering(Peer, TrailingInput),
-    /// Close, whatever is unwritten.
+    /// Close at once; queued output is dropped.
     Close(Peer),
-    /// Accept what waits, listen no more, and tell all that has come from clients.
+    /// Accept waiting clients, stop listening, and report all input that has arrived from clients.
     FinalRead,
-    /// Report when this time has come.
+    /// Report `Event::TimerFired` at this time.
     Arm(Nanos, TimerKind),
-    /// Read a copy from disk for a ticket.
+    /// Read a copy from disk; the ticket comes back with the result.
     ReadCopy(Key, u64),
-    /// Keep a copy on disk at a rank.
+    /// Write a copy to disk, under a rank.
     KeepCopy(Key, Facts, u8, Arc<[u8]>),
-    /// An object was purged at a Unix millisecond, by the event with this number.
+    /// Mark on disk that an object was purged: at this Unix millisecond, by the event with this number.
     MarkObjectPurged([u8; 16], u64, u64),
-    /// A group was.
+    /// Mark on disk that a group was purged: at this Unix millisecond, by the event with this number.
     MarkGroupPurged(u8, u64, u64),
-    /// Keep this list over a restart.
+    /// Save this node list for the next start.
     SaveNodeList(Vec<u8>),
-    /// End the program.
+    /// Exit the process.
     Exit,
 }
--- a/crates/dispatcher/src/freshness.rs
+++ b/crates/dispatcher/src/freshness.rs
@@ -1,25 +1,32 @@
-//! Decisions on how old the loop's knowledge may be as bytes leave for a node. A machine that stops the program, or a turn
-//! that takes long, lies between a look at sockets and a write: a client may have gone meanwhile, and a deadline that was
-//! written down has come nearer. No input or output; time comes with each call.
+//! Decides whether what the event loop knows is recent enough when bytes leave for a node, and whether due
+//! timers wait for unread input. If the machine suspends the process, or a turn of the loop takes long, time
+//! passes between polling the sockets and writing: a client may have disconnected meanwhile, and a deadline
+//! already encoded has come closer.
+//!
+//! No I/O; the event loop calls it and passes in the time.
 
 use copperroute_routing::interface::Nanos;
 use std::time::Duration;
 
-/// Nothing begins to leave for a node that was encoded, or whose clients were last looked at, longer ago than this. An
-/// attempt begun 0.1 s after its client has gone is lost; the rest is for the look itself and the way.
+/// Nothing starts to leave for a node if it was encoded, or if client sockets were last polled, longer ago
+/// than this. An attempt begun 0.1 s after its client has disconnected counts as wasted; the other half
+/// allows for the poll itself and the network.
 pub const STALE_AFTER: Nanos = Nanos(50_000_000);
-/// Bytes that lay unread for less than this count as read as they came: far less than a passed-on deadline's slack.
-const READ_AT_ONCE: Nanos = Nanos(20_000_000);
-/// So many looks in a row at most before bytes leave. After a stop one or two do. Of a program that is near its limit each
-/// look takes long itself, as it finds new requests: without a bound all that it has decided would wait on.
+/// Input that lay unread for less than this counts as read on arrival: far less than the slack of a deadline
+/// that is passed on.
+const PROMPT_READ_LIMIT: Nanos = Nanos(20_000_000);
+/// The most consecutive polls before bytes leave all the same. After a suspension one or two are enough. In a
+/// process near its capacity each poll takes long because it finds new requests, and without this bound all
+/// attempts already decided would wait.
 pub const MAX_CONSECUTIVE_POLLS: u32 = 4;
 
-/// What is due waits for so many turns at most while bytes still come.
+/// The most turns of the loop for which due timers wait while there is more input.
 pub const MAX_POSTPONED_TURNS: u32 = 16;
-/// It waits for so long at most, as turns can be long: half of what a final answer may come late by.
+/// The longest time for which due timers wait, as a turn can be long: half of the time by which a final
+/// answer may be late.
 pub const MAX_POSTPONEMENT: Nanos = Nanos(250_000_000);
 
-/// Whether what is due is put off, as bytes that came before it may still lie unread.
+/// Postpones due timers while input that arrived before them may still be unread.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct TimerPostponement {
     turns: u32,
@@ -27,74 +34,76 @@
 }
 
 impl TimerPostponement {
-    /// Whether something was put off in the last turn.
+    /// Whether timers were postponed in the last turn.
     pub fn is_active(&self) -> bool {
         self.turns > 0
     }
 
-    /// Whether what is due is put off in a turn that began at a time, and in which more bytes may lie unread or not.
+    /// Whether due timers are postponed in the turn that began at `now`; `more` is true if there may be more
+    /// unread input.
     pub fn postpone(&mut self, now: Nanos, more: bool) -> bool {
         let since = if self.is_active() { self.since } else { now };
-        let is_on = more && self.turns < MAX_POSTPONED_TURNS && now.since(since) < MAX_POSTPONEMENT;
-        *self = TimerPostponement { turns: if is_on { self.turns + 1 } else { 0 }, since };
-        is_on
+        let postponed = more && self.turns < MAX_POSTPONED_TURNS && now.since(since) < MAX_POSTPONEMENT;
+        *self = TimerPostponement { turns: if postponed { self.turns + 1 } else { 0 }, since };
+        postponed
     }
 }
 
-/// When the loop looked at its sockets, and what follows for bytes that leave and bytes that come.
+/// When the loop last polled its sockets, and what follows for output and input.
 #[derive(Debug, Clone, Copy)]
 pub struct Freshness {
-    /// What is known of clients was so at this time, or later.
-    looked: Nanos,
-    /// When the last look had found what there was.
-    found: Nanos,
-    /// What is read by now came at this time, or later.
+    /// When the last poll began: what is known of clients was true then, or later.
+    poll_began: Nanos,
+    /// When the last poll returned.
+    poll_ended: Nanos,
+    /// Input that is read now arrived at this time or later.
     unread_since: Nanos,
-    /// How often in a row bytes were held back for a look.
-    looks: u32,
+    /// The number of consecutive turns in which output was held back for a poll.
+    consecutive_polls: u32,
 }
 
 impl Freshness {
-    /// At the start there is nobody to look at.
+    /// The state at the start, before any client has connected.
     pub fn new(now: Nanos) -> Self {
-        Freshness { looked: now, found: now, unread_since: now, looks: 0 }
+        Freshness { poll_began: now, poll_ended: now, unread_since: now, consecutive_polls: 0 }
     }
 
-    /// A look at all sockets began at a time, was to wait for so long at most, and has found what there is.
-    pub fn polled(&mut self, began: Nanos, wait: Option<Duration>, found: Nanos) {
-        let waits_until = wait.map(|wait| began.after(Nanos(wait.as_nanos() as u64)));
-        let busy = began.since(self.found);
-        let overslept = waits_until.is_some_and(|until| found.since(until) > READ_AT_ONCE);
-        let was_short = found.since(began) <= STALE_AFTER;
+    /// A poll of all sockets began at `began`, was to wait for at most `wait`, and returned at `ended`.
+    pub fn polled(&mut self, began: Nanos, wait: Option<Duration>, ended: Nanos) {
+        let wait_ends = wait.map(|wait| began.after(Nanos(wait.as_nanos() as u64)));
+        let busy = began.since(self.poll_ended);
+        let was_suspended = wait_ends.is_some_and(|until| ended.since(until) > PROMPT_READ_LIMIT);
+        let poll_was_short = ended.since(began) <= STALE_AFTER;
         self.unread_since = match () {
-            // It came while the loop was at something else.
-            () if busy > READ_AT_ONCE && was_short => self.found,
-            // The machine stopped the program in its wait: since when is not known.
-            () if overslept => began,
-            () => found,
+            // Input arrived while the loop was busy.
+            () if busy > PROMPT_READ_LIMIT && poll_was_short => self.poll_ended,
+            // The process was suspended during the wait; when the input arrived is unknown.
+            () if was_suspended => began,
+            () => ended,
         };
-        // It may have been stopped behind the look: what it found is as old as its beginning, at worst.
-        (self.looked, self.found) = (began, found);
+        // The process may have been suspended after the poll, so at worst its results are as old as its
+        // start.
+        (self.poll_began, self.poll_ended) = (began, ended);
     }
 
-    /// Whether sockets are to be looked at again before anything leaves for a node. To be asked once for each that is
-    /// held back or not; after `MAX_CONSECUTIVE_POLLS` in a row it leaves all the same.
+    /// Whether sockets must be polled again before anything leaves for a node. Call it once for each
+    /// connection; after [`MAX_CONSECUTIVE_POLLS`] it returns false.
     pub fn needs_poll(&self, now: Nanos) -> bool {
-        now.since(self.looked) > STALE_AFTER && self.looks < MAX_CONSECUTIVE_POLLS
+        now.since(self.poll_began) > STALE_AFTER && self.consecutive_polls < MAX_CONSECUTIVE_POLLS
     }
 
-    /// Counts a turn that ends with bytes held back for a look, or without.
+    /// Counts a turn that ended with output held back for a poll, or without.
     pub fn turn_ended(&mut self, held_back: bool) {
-        self.looks = if held_back { self.looks + 1 } else { 0 };
+        self.consecutive_polls = if held_back { self.consecutive_polls + 1 } else { 0 };
     }
 
-    /// For how long what is read now may have lain unread; nothing where that is no matter.
+    /// How long input that is read now may have lain unread; 0 if that is short enough to ignore.
     pub fn input_delay(&self, now: Nanos) -> Nanos {
         let span = now.since(self.unread_since);
-        if span > READ_AT_ONCE { span } else { Nanos::ZERO }
+        if span > PROMPT_READ_LIMIT { span } else { Nanos::ZERO }
     }
 
-    /// Whether bytes that were encoded at a time are to be encoded anew as they leave.
+    /// Whether output encoded at `encoded` must be encoded again before it leaves.
     pub fn is_stale(encoded: Nanos, now: Nanos) -> bool {
         now.since(encoded) > STALE_AFTER
     }
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -1,7 +1,8 @@
-//! The dispatcher on sockets: one reducer makes every state change and calls the decisions; the event loop
-//! carries sockets, timers and signals to it and carries out the effects that it asks for.
+//! The dispatcher process. The event loop ([`event_loop`]) turns sockets, timers and signals into events, the
+//! reducer ([`reducer`]) makes every state change and calls the routing policy, and the event loop carries
+//! out the effects that the reducer returns.
 
-// Not yet: `event_loop::serve` is still one function.
+// `event_loop::serve` is still one long function.
 #![allow(clippy::too_many_lines)]
 
 pub mod agreed;
@@ -10,13 +11,13 @@
 pub mod clients;
 pub mod clock;
 pub mod config;
-pub mod copies;
 pub mod deadlines;
 pub mod effects;
 pub mod event_loop;
 pub mod external_time;
 pub mod freshness;
 pub mod lingering;
+pub mod local_cache;
 pub mod logs;
 pub mod node_list_snapshot;
 pub mod nodes;
--- a/crates/dispatcher/src/phases.rs
+++ b/crates/dispatcher/src/phases.rs
@@ -1,39 +1,39 @@
-//! The program's life, from start to exit.
+//! The life cycle of the process, from start to exit.
 
-/// Where the program stands.
+/// The phase of the process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// Listening, but no list of nodes is known yet.
+    /// Listening, but no node list is known yet.
     Starting,
-    /// Serves.
+    /// Serving requests.
     Serving,
-    /// Told to end: answers all that comes until nothing more can.
+    /// Asked to terminate: requests are still accepted and answered until no more can arrive.
     Draining,
-    /// All is answered: connections are ended in order, and nothing more is taken.
+    /// All requests are answered: connections are closed, and no new requests are accepted.
     Closing,
     /// Nothing is left to do.
     Stopped,
 }
 
-/// The one object that holds the phase.
+/// Holds the phase and allows only forward transitions.
 #[derive(Debug)]
-pub struct Life {
+pub struct Lifecycle {
     phase: Phase,
 }
 
-impl Default for Life {
+impl Default for Lifecycle {
     fn default() -> Self {
-        Life { phase: Phase::Starting }
+        Lifecycle { phase: Phase::Starting }
     }
 }
 
-impl Life {
-    /// Where the program stands.
+impl Lifecycle {
+    /// The current phase.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// Moves on, never back; tells whether that was a move.
+    /// Moves to a later phase; returns whether the transition was allowed and made.
     pub fn move_to(&mut self, to: Phase) -> bool {
         use Phase::*;
         let allowed = match self.phase {
--- a/crates/dispatcher/src/purge_coverage.rs
+++ b/crates/dispatcher/src/purge_coverage.rs
@@ -1,20 +1,23 @@
-//! Whether what a disk tier holds over a restart can be judged by what is known of the change log.
+//! Decides at start whether copies that a disk tier kept over a restart can be trusted, given the known
+//! events of the change log.
 
 use copperroute_protocol::changes::{Change, KnownEvents};
 use std::collections::BTreeSet;
 
-/// Whether every purge later than those that are marked on disk is told by what is known, or will be told by the change
-/// log, which is asked for what comes after that. A disk that took no writes when purges came lacks their marks, so each
-/// event after the last mark has to be there: one that is not may have been a purge.
+/// Whether every purge after event `marked` is among the known events or will be delivered by the change log,
+/// which is asked for everything after the known events. `marked` is the last event whose purge is marked on
+/// disk. A disk that was not writable when purges arrived lacks their marks, so every event after the last
+/// mark must be known: any missing one may have been a purge.
 pub fn covers_purges_after(known: &KnownEvents, marked: u64) -> bool {
     let Some(missing) = known.seq.checked_sub(marked) else { return false };
-    let told = known.results.iter().filter(|change| tells_its_event(change)).map(|change| change.seq);
-    let told: BTreeSet<_> = told.filter(|seq| *seq > marked && *seq <= known.seq).collect();
-    told.len() as u64 == missing
+    let described =
+        known.results.iter().filter(|change| describes_its_event(change)).map(|change| change.seq);
+    let described: BTreeSet<_> = described.filter(|seq| *seq > marked && *seq <= known.seq).collect();
+    described.len() as u64 == missing
 }
 
-/// A whole list stands for events that are no longer told, its own among them, and tells nothing of the purges among
-/// these. Before the first event there is none.
-fn tells_its_event(change: &Change) -> bool {
+/// Whether a change describes its own event. A snapshot stands for all events up to its number, which are no
+/// longer delivered one by one, and does not contain their purges. Before the first event there are none.
+fn describes_its_event(change: &Change) -> bool {
     change.invalidate.is_some() || change.seq == 1 || !change.fleet.as_ref().is_some_and(|fleet| fleet.full)
 }
--- a/crates/dispatcher/src/reducer/mod.rs
+++ b/crates/dispatcher/src/reducer/mod.rs
@@ -1,19 +1,20 @@
-//! The reducer: every state change happens here, in answer to an event. What is to be read, written,
-//! connected or timed comes out as effects, which the event loop carries out.
+//! The reducer holds the dispatcher's state and makes every change to it. The event loop calls
+//! [`Reducer::reduce`] with each event and carries out the effects that it returns: connections, reads,
+//! writes, timers. No I/O; time comes with each call.
 
-use crate::agreed::Agreed;
+use crate::agreed::RulesAgreement;
 use crate::changes::{ChangeLog, ChangeLogSettings, ChangeLogUpdate};
-use crate::clients::MOST_OPEN;
+use crate::clients::MAX_OPEN_REQUESTS;
 use crate::clock::Epoch;
 use crate::config::{AgreementConfig, Config};
-use crate::copies::{self, Copies, Offered, Own};
 use crate::effects::{Effect, Event, Peer, TimerKind};
 use crate::external_time::ExternalTime;
 use crate::lingering::EXIT_LINGER_TIMEOUT;
+use crate::local_cache::{self, LocalAnswer, LocalCache, OfferedCopy};
 use crate::logs::LogRateLimiter;
 use crate::node_list_snapshot::NodeListSnapshot;
 use crate::nodes::{NodePool, NodeStart, ProbeCounts};
-use crate::phases::{Life, Phase};
+use crate::phases::{Lifecycle, Phase};
 use crate::request_table::RequestTable;
 use copperroute_cache_store::record::{Facts, Key};
 use copperroute_config_rollout::rules::RuleSet;
@@ -31,41 +32,45 @@
 use copperroute_settings::name_index;
 use std::collections::HashMap;
 
-mod changes;
+mod change_log_events;
 mod clients;
-mod deadlines;
-mod doubt;
-mod handing_on;
-mod moments;
+mod event_times;
 mod reload;
+mod routing_notifications;
+mod staleness;
+mod timers;
 
-use doubt::DoubtReport;
+use staleness::StalenessReport;
 
-/// After the signal to end nothing new comes any more once this is over.
-const LAST_REQUESTS: Nanos = Nanos(750_000_000);
-/// After the signal to end all must be answered so long after the longest expiry, or after `LONGEST_DRAIN` where
-/// that is shorter: what came last has come 0.6 s after it, and 0.7 s after it nothing is waited for.
-const DRAINED_AFTER: Nanos = Nanos(500_000_000);
-const LONGEST_DRAIN: Nanos = Nanos(3_000_000_000);
-/// However short the longest expiry is, what comes last is still taken.
-const SHORTEST_DRAIN: Nanos = Nanos(620_000_000);
-/// A line may have taken so long on its way.
-const LATEST_LINE: Nanos = Nanos(1_000_000_000);
-/// A heartbeat of one of two streams may have taken so long on its way, where no agreement says so.
-const SLACK: Nanos = Nanos(500_000_000);
-/// Descriptors that are neither clients' nor nodes': log, listener, signals, timers, up to six calls of the change log, one just
-/// accepted.
-const OWN_DESCRIPTORS: usize = 16;
-/// Idle clients that are closed at once when descriptors run short.
-const IDLE_AT_ONCE: usize = 8;
-const SWEEP: Nanos = Nanos(250_000_000);
+/// After the termination signal, no new requests arrive once this has passed.
+const INTAKE_PERIOD: Nanos = Nanos(750_000_000);
+/// After the termination signal, every request must be answered once this much more than the longest timeout
+/// has passed, of which at most [`MAX_DRAIN_TIMEOUT`] counts. The last requests arrive 0.6 s after the signal;
+/// 0.7 s after the longest timeout the process is no longer waited for.
+const DRAIN_MARGIN: Nanos = Nanos(500_000_000);
+/// The most of the longest timeout that counts for [`DRAIN_MARGIN`].
+const MAX_DRAIN_TIMEOUT: Nanos = Nanos(3_000_000_000);
+/// Requests are answered for at least this long after the signal, however short the longest timeout is, so
+/// that the last ones to arrive are still served.
+const MIN_DRAIN_TIMEOUT: Nanos = Nanos(620_000_000);
+/// The longest time that a line of the change log may take to arrive.
+const MAX_LINE_DELAY: Nanos = Nanos(1_000_000_000);
+/// The longest time that a heartbeat of one of two streams may take to arrive, unless an agreement states it.
+const DEFAULT_PROPAGATION_BOUND: Nanos = Nanos(500_000_000);
+/// Descriptors for neither clients nor nodes: log, listener, signals, timers, up to six connections to the
+/// change log, and one that was just accepted.
+const RESERVED_DESCRIPTORS: usize = 16;
+/// The number of idle clients closed at once when descriptors run short.
+const IDLE_CLOSE_BATCH: usize = 8;
+/// How often connections and phases are checked.
+const SWEEP_INTERVAL: Nanos = Nanos(250_000_000);
 
-/// The disk has so long to read a copy; then the request goes on without.
-const DISK_PATIENCE: Nanos = Nanos(50_000_000);
+/// The time limit for reading a copy from disk; after it the request continues without the disk.
+const DISK_READ_TIMEOUT: Nanos = Nanos(50_000_000);
 
-/// A request for which the disk was asked.
+/// A request that waits for a copy to be read from disk.
 #[derive(Debug)]
-struct Reading {
+struct PendingDiskRead {
     generation: u64,
     routing_request: RoutingRequest,
     key: Key,
@@ -73,57 +78,60 @@
 
 /// The dispatcher's whole state.
 pub struct Reducer {
-    life: Life,
-    module: Dispatcher,
+    lifecycle: Lifecycle,
+    routing: Dispatcher,
     request_table: RequestTable,
-    log: ChangeLog,
+    change_log: ChangeLog,
     external_time: ExternalTime,
-    /// Whether what the change log tells has waited on its way.
+    /// Whether what the change log delivers may have been delayed on its way.
     heartbeats: Heartbeats,
-    /// Nothing new can come any more.
-    last_requests: bool,
-    /// All that was owed has been answered, whoever takes it or not.
+    /// Shutdown: no new requests can arrive any more.
+    intake_ended: bool,
+    /// Shutdown: every request was answered, whether or not its client has taken the answer.
     drained: bool,
-    /// All clients' connections are ending.
-    shut: bool,
-    /// Own copies, where any are kept.
-    copies: Option<Copies>,
-    /// Requests for which the disk was asked; the module is not told of them yet.
-    reading: HashMap<u32, Reading>,
-    /// The last event of the change log whose purge the disk has marked.
-    marked: u64,
-    /// What the module was last told of the change log.
-    known: Option<Knowledge>,
-    doubt: DoubtReport,
-    /// What is kept of the change log over a restart, where it is.
-    last_list: Option<NodeListSnapshot>,
-    /// What is held of the agreement on rules, where there is one.
-    agreed: Option<Agreed>,
+    /// Shutdown: all client connections are being closed.
+    clients_closing: bool,
+    /// The local cache, if it is enabled.
+    local_cache: Option<LocalCache>,
+    /// Requests that wait for the disk, by slot; the routing policy does not know of them yet.
+    disk_reads: HashMap<u32, PendingDiskRead>,
+    /// The last event whose purge is marked on disk.
+    last_marked_event: u64,
+    /// What the routing policy was last told about the change log.
+    reported_knowledge: Option<Knowledge>,
+    staleness: StalenessReport,
+    /// The node list and purges to save for a restart, if that is enabled.
+    snapshot: Option<NodeListSnapshot>,
+    /// The agreement on versions of the rules, if there is one.
+    agreement: Option<RulesAgreement>,
     /// The settings under the rules in force.
     settings: Settings,
-    /// The longest that a client waits for each content type, under the rules in force.
-    expiries: Vec<Nanos>,
-    /// Lines that clients cause.
-    complaints: LogRateLimiter,
-    /// What clients have shown of themselves.
-    conduct: DuplicateFilter,
-    /// What the program was started with, and what has been taken of it since.
+    /// The longest timeout of each content type under the rules in force.
+    max_timeouts: Vec<Nanos>,
+    /// Rate limit for warnings caused by clients.
+    client_warnings: LogRateLimiter,
+    /// Recent request ids, to recognize duplicates.
+    duplicate_filter: DuplicateFilter,
+    /// The configuration at the start, with the parts that were reloaded since.
     config: Config,
 }
 
 impl Reducer {
     /// A dispatcher that has not started.
     pub fn new(config: Config, epoch: Epoch) -> Self {
-        let (bytes, s) = (config.copy_memory_bytes, &config.settings);
-        let copies = || Copies::new(bytes, config.link_bytes_per_s, &s.content_types, s.purge_done);
-        let copies = (bytes > 0).then(copies);
+        let (cache_bytes, settings) = (config.copy_memory_bytes, &config.settings);
+        let local_cache = (cache_bytes > 0).then(|| {
+            let link = config.link_bytes_per_s;
+            LocalCache::new(cache_bytes, link, &settings.content_types, settings.purge_done)
+        });
         let mut request_table =
             RequestTable::new(config.connection_limits, config.limits, config.settings.seed.rotate_left(16));
-        request_table.keeps_copies = copies.is_some();
-        let purges = s.purge_done.after(s.purge_notice);
-        let last_list = config.snapshot.as_ref().map(|_| NodeListSnapshot::new(config.fingerprint(), purges));
-        let agreed = config.agreement.as_ref().map(|agreeing| Agreed::new(agreeing, &config));
-        let log = ChangeLog::new(ChangeLogSettings {
+        request_table.collects_copies = local_cache.is_some();
+        let keep_purges = settings.purge_done.after(settings.purge_notice);
+        let snapshot =
+            config.snapshot.as_ref().map(|_| NodeListSnapshot::new(config.fingerprint(), keep_purges));
+        let agreement = config.agreement.as_ref().map(|agreement| RulesAgreement::new(agreement, &config));
+        let change_log = ChangeLog::new(ChangeLogSettings {
             addresses: config.change_log_addresses(),
             applied: config.known.seq,
             calls: config.reconnect,
@@ -132,84 +140,86 @@
             slack: config
                 .agreement
                 .as_ref()
-                .map_or(SLACK, |agreeing| agreeing.context.timing.propagation_bound),
-            detects_log_restart: agreed.is_some(),
+                .map_or(DEFAULT_PROPAGATION_BOUND, |agreement| agreement.context.timing.propagation_bound),
+            detects_log_restart: agreement.is_some(),
         });
         Reducer {
-            agreed,
+            agreement,
             settings: config.settings.clone(),
-            expiries: config.request_limits.iter().map(|offer| offer.max_timeout).collect(),
-            copies,
-            last_list,
-            reading: HashMap::new(),
-            marked: 0,
-            known: None,
-            doubt: DoubtReport::default(),
-            life: Life::default(),
-            module: Dispatcher::new(config.settings.clone()),
+            max_timeouts: config.request_limits.iter().map(|offer| offer.max_timeout).collect(),
+            local_cache,
+            snapshot,
+            disk_reads: HashMap::new(),
+            last_marked_event: 0,
+            reported_knowledge: None,
+            staleness: StalenessReport::default(),
+            lifecycle: Lifecycle::default(),
+            routing: Dispatcher::new(config.settings.clone()),
             request_table,
-            log,
+            change_log,
             external_time: ExternalTime::new(epoch),
             heartbeats: Heartbeats::default(),
-            last_requests: false,
+            intake_ended: false,
             drained: false,
-            shut: false,
-            complaints: LogRateLimiter::default(),
-            conduct: DuplicateFilter::new(longest_expiry(&config), MAX_IDS),
+            clients_closing: false,
+            client_warnings: LogRateLimiter::default(),
+            duplicate_filter: DuplicateFilter::new(longest_expiry(&config), MAX_IDS),
             config,
         }
     }
 
     /// The number of the last event of the change log that was applied.
     pub fn applied(&self) -> u64 {
-        self.log.applied()
+        self.change_log.applied()
     }
 
-    /// How many nodes there is a place for: those listed, and those that left not long ago.
+    /// The number of slots for nodes: those listed, and those that left recently.
     pub fn node_slot_count(&self) -> u32 {
-        self.request_table.nodes_kept()
+        self.request_table.node_slot_count()
     }
 
-    /// How many objects there is a place for.
+    /// The number of slots for objects.
     pub fn object_slot_count(&self) -> u32 {
-        self.request_table.objects_kept()
+        self.request_table.object_slot_count()
     }
 
-    /// The clients that would be closed for want of descriptors, and as many more as may take their places.
+    /// The clients to close when descriptors run short, and as many more that may take their turn.
     pub fn idle_clients(&self, now: Nanos) -> Vec<u32> {
-        self.request_table.clients.resting(2 * IDLE_AT_ONCE, now)
+        self.request_table.clients.idle(2 * IDLE_CLOSE_BATCH, now)
     }
 
-    /// What is out at each node: as the decisions believe, and as it is.
+    /// The number of attempts in flight at each node: as the routing policy counts, and as the request table
+    /// does.
     pub fn in_flight_counts(&self) -> Vec<(u32, u32)> {
         let nodes = (0..self.node_slot_count()).map(NodeId);
-        nodes.map(|node| (self.module.in_flight_at(node), self.request_table.out_at(node))).collect()
+        nodes.map(|node| (self.routing.in_flight_at(node), self.request_table.in_flight_at(node))).collect()
     }
 
-    /// Changes the state as the event asks, and returns what is to be done.
+    /// Applies an event to the state and returns what the event loop is to do.
     pub fn reduce(&mut self, now: Nanos, event: Event<'_>) -> Vec<Effect> {
         self.request_table.now = now;
-        self.obey(now);
+        self.refresh_rules(now);
         match event {
             Event::Started => self.start(now),
             Event::Accepted(number, from) => {
                 log::debug!(target: "copperroute::trace", "client {number} from {from}");
                 self.request_table.clients.accept(number, from, now);
-                if self.request_table.clients.count() > self.usual_clients() {
+                if self.request_table.clients.count() > self.idle_close_threshold() {
                     self.request_table.clients.close_idle(
-                        IDLE_AT_ONCE,
+                        IDLE_CLOSE_BATCH,
                         Some(number),
                         now,
                         &mut self.request_table.effects,
                     );
                 }
-                // Nodes and the change log must stay within reach, whatever clients do.
+                // The change log and the nodes need descriptors, however many clients connect.
                 self.request_table
                     .clients
-                    .cut_lingering(self.most_clients(), &mut self.request_table.effects);
-                if self.request_table.clients.count() > self.most_clients() {
-                    self.complaints.warn(now, format_args!("client: one too many, closed"));
-                    self.client_shut(now, number);
+                    .limit_lingering(self.max_clients(), &mut self.request_table.effects);
+                if self.request_table.clients.count() > self.max_clients() {
+                    self.client_warnings
+                        .warn(now, format_args!("client {number}: too many connections, closed"));
+                    self.close_client(now, number);
                 }
             }
             Event::Connected(Peer::Node(number)) => self.request_table.node_connected(number),
@@ -219,174 +229,138 @@
             Event::Received(Peer::ChangeLog(number), bytes) => self.change_log_received(now, number, bytes),
             Event::Written(Peer::Client(number), total) => self.request_table.client_written(number, total),
             Event::Written(Peer::Node(number), total) => self.request_table.node_written(number, total),
-            Event::OutputStale(Peer::Node(number)) => self.request_table.renew(number),
-            Event::InputDelay(span) => self.request_table.unread = span,
+            Event::OutputStale(Peer::Node(number)) => self.request_table.reencode_unsent(number),
+            Event::InputDelay(span) => self.request_table.input_delay = span,
             Event::Closed(Peer::Client(number)) => self.client_closed(now, number),
-            Event::EndOfStream(Peer::Client(number)) => self.client_ended(now, number),
+            Event::EndOfStream(Peer::Client(number)) => self.client_finished_sending(now, number),
             Event::Closed(Peer::Node(number)) | Event::EndOfStream(Peer::Node(number)) => {
                 self.request_table.node_closed(number)
             }
-            Event::ConnectFailedLocally(Peer::Node(number)) => self.request_table.node_unopened(number),
+            Event::ConnectFailedLocally(Peer::Node(number)) => {
+                self.request_table.node_connect_failed_locally(number)
+            }
             Event::ConnectFailedLocally(Peer::ChangeLog(number)) => {
-                self.log.unopened(number, now, &mut self.request_table.effects);
+                self.change_log.connect_failed_locally(number, now, &mut self.request_table.effects);
             }
             Event::Closed(Peer::ChangeLog(number)) | Event::EndOfStream(Peer::ChangeLog(number)) => {
-                self.log.closed(number, now, &mut self.request_table.effects);
-                self.change_log_told(now);
+                self.change_log.closed(number, now, &mut self.request_table.effects);
+                self.process_change_log(now);
             }
             Event::FinalReadDone => {
-                self.request_table.clients.shut_all(now, &mut self.request_table.effects);
-                self.shut = true;
+                self.request_table.clients.close_all_lingering(now, &mut self.request_table.effects);
+                self.clients_closing = true;
                 self.request_table
                     .effects
                     .push(Effect::Arm(now.after(EXIT_LINGER_TIMEOUT), TimerKind::LingerDeadline));
             }
-            Event::TimerFired(due) => self.due(now, due),
+            Event::TimerFired(timer) => self.timer_fired(now, timer),
             Event::Terminate => {
-                if self.life.move_to(Phase::Draining) {
-                    let drained = self.longest_expiry().min(LONGEST_DRAIN).after(DRAINED_AFTER);
-                    let drained = drained.max(SHORTEST_DRAIN);
-                    let armed = [(LAST_REQUESTS, TimerKind::IntakeEnd), (drained, TimerKind::DrainDeadline)];
+                if self.lifecycle.move_to(Phase::Draining) {
+                    let drain_timeout = self.longest_timeout().min(MAX_DRAIN_TIMEOUT).after(DRAIN_MARGIN);
+                    let drain_timeout = drain_timeout.max(MIN_DRAIN_TIMEOUT);
+                    let timers =
+                        [(INTAKE_PERIOD, TimerKind::IntakeEnd), (drain_timeout, TimerKind::DrainDeadline)];
                     self.request_table
                         .effects
-                        .extend(armed.map(|(span, due)| Effect::Arm(now.after(span), due)));
+                        .extend(timers.map(|(span, timer)| Effect::Arm(now.after(span), timer)));
                 }
             }
             Event::Reload(config) => self.reload(now, config),
-            Event::DiskReady(prints, marked) => {
-                self.marked = marked;
-                self.copies.iter_mut().for_each(|copies| copies.disk_ready(prints));
+            Event::DiskReady(fingerprints, marked) => {
+                self.last_marked_event = marked;
+                self.local_cache.iter_mut().for_each(|cache| cache.disk_ready(fingerprints));
             }
             Event::CopyRead(ticket, copy) => self.copy_read(now, ticket, copy),
             Event::DiskOff => {
-                self.copies.iter_mut().for_each(Copies::disk_off);
-                self.go_on_without_disk(now);
+                self.local_cache.iter_mut().for_each(LocalCache::disk_off);
+                self.continue_all_without_disk(now);
             }
             Event::NoDescriptors => {
-                self.request_table.clients.make_room(IDLE_AT_ONCE, now, &mut self.request_table.effects);
+                self.request_table.clients.free_descriptors(
+                    IDLE_CLOSE_BATCH,
+                    now,
+                    &mut self.request_table.effects,
+                );
             }
             Event::Connected(Peer::Client(_))
             | Event::ConnectFailedLocally(Peer::Client(_))
             | Event::OutputStale(Peer::Client(_) | Peer::ChangeLog(_))
             | Event::Written(Peer::ChangeLog(_), _) => {}
         }
-        self.hand_on_ends(now);
-        self.hand_on_knowledge(now);
-        self.report_doubt(now);
-        let over = self.drained || (self.last_requests && self.request_table.is_clear());
-        if self.life.phase() == Phase::Draining && over {
-            self.life.move_to(Phase::Closing);
+        self.report_attempt_ends(now);
+        self.report_knowledge(now);
+        self.report_staleness(now);
+        let is_finished = self.drained || (self.intake_ended && self.request_table.is_drained());
+        if self.lifecycle.phase() == Phase::Draining && is_finished {
+            self.lifecycle.move_to(Phase::Closing);
             self.request_table.effects.push(Effect::FinalRead);
         }
-        if self.life.phase() == Phase::Closing && self.shut && self.request_table.clients.count() == 0 {
-            self.life.move_to(Phase::Stopped);
+        if self.lifecycle.phase() == Phase::Closing
+            && self.clients_closing
+            && self.request_table.clients.count() == 0
+        {
+            self.lifecycle.move_to(Phase::Stopped);
             self.request_table.effects.push(Effect::Exit);
         }
         std::mem::take(&mut self.request_table.effects)
     }
 
-    /// Before each decision: the rules that are in force by now. Leases run out, and moments come, between events.
-    fn obey(&mut self, now: Nanos) {
-        let Some(agreed) = &mut self.agreed else { return };
-        if let Some((settings, expiries)) = agreed.look(now, self.external_time.earliest_ms(now)) {
-            self.module.settings_changed(&settings);
-            (self.settings, self.expiries) = (settings, expiries);
+    /// Puts the rules into force that apply by now. Leases run out and activation times are reached between
+    /// events, so this comes before each decision.
+    fn refresh_rules(&mut self, now: Nanos) {
+        let Some(agreement) = &mut self.agreement else { return };
+        if let Some((settings, max_timeouts)) =
+            agreement.settings_if_changed(now, self.external_time.earliest_ms(now))
+        {
+            self.routing.settings_changed(&settings);
+            (self.settings, self.max_timeouts) = (settings, max_timeouts);
         }
     }
 
     fn start(&mut self, now: Nanos) {
-        self.module.start(now, &mut self.request_table);
+        self.routing.start(now, &mut self.request_table);
         self.config.known.results.iter().for_each(|change| self.external_time.observe_event(now, change));
         for change in std::mem::take(&mut self.config.known.results) {
             self.apply(now, &change, false);
         }
-        if let (Some(agreed), Some(agreeing)) = (&mut self.agreed, &self.config.agreement) {
-            agreeing
+        if let (Some(agreement), Some(config)) = (&mut self.agreement, &self.config.agreement) {
+            config
                 .issued_versions
                 .iter()
-                .for_each(|issue| self.external_time.observe_time(now, issue.issued_ms));
-            agreed.issued(now, self.external_time.earliest_ms(now), &agreeing.issued_versions);
-        }
-        self.obey(now);
-        let has_list = self.life.phase() == Phase::Serving;
-        self.log.start(has_list, now, &mut self.request_table.effects);
-        self.request_table.effects.push(Effect::Arm(now.after(SWEEP), TimerKind::Sweep));
-    }
-
-    fn due(&mut self, now: Nanos, due: TimerKind) {
-        match due {
-            TimerKind::Routing(token) => self.module.timer(now, token, &mut self.request_table),
-            TimerKind::Expiry(request_id, generation) => self.expire(now, request_id, generation),
-            TimerKind::DiskReadTimeout(request_id, generation) => {
-                if self.is_reading(request_id, generation) {
-                    self.go_on(now, request_id);
-                }
-            }
-            TimerKind::ConnectTimeout(number) => self.request_table.connect_overdue(number),
-            TimerKind::ConnectChangeLog => self.log.connect_due(now, &mut self.request_table.effects),
-            TimerKind::Sweep => {
-                self.request_table.sweep();
-                // No request in hand is older than the longest expiry.
-                for node in self.request_table.forget_nodes(self.longest_expiry().after(SWEEP)) {
-                    self.module.node_forgotten(node);
-                }
-                // Nobody waits that long for an answer: such a client has vanished.
-                for number in self.request_table.clients.stuck(now, self.client_patience()) {
-                    self.complaints.warn(now, format_args!("client: takes nothing, closed"));
-                    self.client_dismissed(now, number);
-                }
-                // What one of them has asked before is answered.
-                for number in self.request_table.clients.overdue(now) {
-                    self.request_table.close_when_answered(number);
-                }
-                self.request_table.clients.sweep(now, &mut self.request_table.effects);
-                self.log.check_silence(now, &mut self.request_table.effects);
-                self.change_log_told(now);
-                self.place_starts(now);
-                let unix_ms = self.external_time.latest_ms(now);
-                let list = self.last_list.as_mut().and_then(|list| list.bytes_if_due(now, unix_ms));
-                self.request_table.effects.extend(list.map(Effect::SaveNodeList));
-                self.request_table.effects.push(Effect::Arm(now.after(SWEEP), TimerKind::Sweep));
-            }
-            TimerKind::SendBy(attempt, generation) => self.request_table.too_late(attempt, generation),
-            TimerKind::IntakeEnd => self.last_requests = true,
-            TimerKind::LingerDeadline => {
-                self.request_table.clients.sweep(now, &mut self.request_table.effects)
-            }
-            TimerKind::DrainDeadline => {
-                for (request_id, generation) in self.request_table.all_owed() {
-                    self.expire(now, request_id, generation);
-                }
-                self.drained = true;
-            }
+                .for_each(|version| self.external_time.observe_time(now, version.issued_ms));
+            agreement.receive_versions(now, self.external_time.earliest_ms(now), &config.issued_versions);
         }
+        self.refresh_rules(now);
+        let has_list = self.lifecycle.phase() == Phase::Serving;
+        self.change_log.start(has_list, now, &mut self.request_table.effects);
+        self.request_table.effects.push(Effect::Arm(now.after(SWEEP_INTERVAL), TimerKind::Sweep));
     }
 
-    /// The longest that any client waits.
-    fn longest_expiry(&self) -> Nanos {
+    /// The longest timeout of any request.
+    fn longest_timeout(&self) -> Nanos {
         longest_expiry(&self.config)
     }
 
-    /// With more clients than this, idle ones are closed.
-    fn usual_clients(&self) -> usize {
+    /// Above this number of clients, idle ones are closed.
+    fn idle_close_threshold(&self) -> usize {
         self.config.limits.sockets as usize / 2
     }
 
-    /// No more clients than this are kept: the rest is for nodes and for the program's own descriptors.
-    fn most_clients(&self) -> usize {
+    /// The most clients that are kept; the remaining descriptors are for nodes and the process itself.
+    fn max_clients(&self) -> usize {
         (self.config.limits.sockets as usize * 3 / 4)
-            .saturating_sub(OWN_DESCRIPTORS)
-            .max(self.usual_clients())
+            .saturating_sub(RESERVED_DESCRIPTORS)
+            .max(self.idle_close_threshold())
     }
 
-    /// A client that takes nothing for so long is gone.
-    fn client_patience(&self) -> Nanos {
+    /// A client that takes none of its output for this long is dismissed.
+    fn client_stall_timeout(&self) -> Nanos {
         let idle = self.config.connection_limits.peer_idle_timeout;
         if idle > Nanos::ZERO { idle } else { Nanos(u64::MAX) }
     }
 }
 
-/// The longest that any client waits.
+/// The longest timeout of any request.
 fn longest_expiry(config: &Config) -> Nanos {
     config.request_limits.iter().map(|offer| offer.max_timeout).max().unwrap_or_default()
 }
--- a/crates/dispatcher/src/reducer/reload.rs
+++ b/crates/dispatcher/src/reducer/reload.rs
@@ -1,56 +1,58 @@
-//! The configuration, read again.
+//! Applies a configuration that was read again.
 
 use super::*;
 
 impl Reducer {
-    /// Takes what can change while requests are open: where the change log is, and what the machine and the
-    /// nodes' connections bear, and rules: at once where there are no versions of them, else those versions that the
-    /// file brings. What else the decisions were built on stays until a restart, which is said. Events that the file
-    /// knows are not applied: the change log tells all from the last that was.
+    /// Applies what may change while requests are open: the addresses of the change log, the limits of this
+    /// machine and of node connections, and the rules. Without an agreement on versions, changed rules apply
+    /// at once; with one, only the versions that the file brings.
+    ///
+    /// All other changes need a restart; each is logged. The file's known events are not applied: the change
+    /// log delivers everything after the last applied event.
     pub(super) fn reload(&mut self, now: Nanos, new: &Config) {
         let old = &mut self.config;
-        let rules = RuleSet::from_settings(&new.settings, &self.expiries);
-        let only_rules = rules.apply(&old.settings, &self.expiries).0 == new.settings;
-        let (versions, differ) = (self.agreed.is_some(), new.settings != old.settings);
-        let ground = |agreeing: &AgreementConfig| (agreeing.context.clone(), agreeing.floor.clone());
-        let kept = [
+        let rules = RuleSet::from_settings(&new.settings, &self.max_timeouts);
+        let only_rules = rules.apply(&old.settings, &self.max_timeouts).0 == new.settings;
+        let (has_versions, settings_differ) = (self.agreement.is_some(), new.settings != old.settings);
+        let context = |config: &AgreementConfig| (config.context.clone(), config.floor.clone());
+        let unchangeable = [
             ("name", new.name != old.name),
             ("listen", new.listen != old.listen),
             ("seed or settings other than rules", !only_rules),
-            ("rules outside of versions", only_rules && versions && differ),
+            ("rules outside of versions", only_rules && has_versions && settings_differ),
             (
-                "how rules are agreed on",
-                old.agreement.as_ref().map(ground) != new.agreement.as_ref().map(ground),
+                "the agreement on rules",
+                old.agreement.as_ref().map(context) != new.agreement.as_ref().map(context),
             ),
-            ("where the last list is kept", new.snapshot != old.snapshot),
+            ("the saved node list", new.snapshot != old.snapshot),
             (
-                "what own copies may take",
+                "the limits of the local cache",
                 (new.copy_memory_bytes, &new.disk_tier) != (old.copy_memory_bytes, &old.disk_tier),
             ),
             ("names in the settings", new.names != old.names || new.request_limits != old.request_limits),
         ];
-        for (what, _) in kept.iter().filter(|(_, differs)| *differs) {
+        for (what, _) in unchangeable.iter().filter(|(_, differs)| *differs) {
             log::warn!("configuration: {what} can't change before a restart");
         }
-        if only_rules && differ && !versions {
-            log::warn!("rules: others than before, without a version: others may act on the old ones");
-            self.module.settings_changed(&new.settings);
+        if only_rules && settings_differ && !has_versions {
+            log::warn!("rules: changed without a version; other dispatchers may still act on the old ones");
+            self.routing.settings_changed(&new.settings);
             (self.settings, old.settings) = (new.settings.clone(), new.settings.clone());
         }
-        if let (Some(agreed), Some(agreeing)) = (&mut self.agreed, &new.agreement) {
-            agreeing
+        if let (Some(agreement), Some(config)) = (&mut self.agreement, &new.agreement) {
+            config
                 .issued_versions
                 .iter()
-                .for_each(|issue| self.external_time.observe_time(now, issue.issued_ms));
-            agreed.issued(now, self.external_time.earliest_ms(now), &agreeing.issued_versions);
+                .for_each(|version| self.external_time.observe_time(now, version.issued_ms));
+            agreement.receive_versions(now, self.external_time.earliest_ms(now), &config.issued_versions);
         }
         (old.limits, old.connection_limits, old.changelog) =
             (new.limits, new.connection_limits, new.changelog);
         old.replicas.clone_from(&new.replicas);
-        self.request_table.limit(new.connection_limits, new.limits);
+        self.request_table.set_limits(new.connection_limits, new.limits);
         old.reconnect = new.reconnect;
-        self.log.told(new.reconnect);
-        self.log.follow(&old.change_log_addresses(), now, &mut self.request_table.effects);
+        self.change_log.settings_changed(new.reconnect);
+        self.change_log.follow(&old.change_log_addresses(), now, &mut self.request_table.effects);
         log::info!("configuration: read again");
     }
 }
--- a/crates/dispatcher/src/request_table/actions.rs
+++ b/crates/dispatcher/src/request_table/actions.rs
@@ -1,38 +1,44 @@
-//! What the decisions order.
+//! Carries out what the routing policy orders.
 
 use super::*;
 
 impl Actions for RequestTable {
     fn attempt(&mut self, request_id: RequestId, attempt: &Attempt) {
         let Some(pending) = self.pending.get_mut(request_id.0) else { return };
-        let place = AttemptId { request_id, number: pending.attempts.len() as u32 };
+        let attempt_id = AttemptId { request_id, number: pending.attempts.len() as u32 };
         let source = (attempt.source != attempt.node).then(|| self.nodes.id(attempt.source).to_string());
         let id = pending.request.id;
         let (node, rank) = (self.nodes.id(attempt.node), attempt.rank);
         let from = source.as_deref().unwrap_or("-");
-        log::debug!(target: TRACE, "{id} pull {} to {node} from {from} rank {rank}", place.number);
-        let connection =
-            self.nodes.assign(attempt.node, place, id, pending.once, self.now, &mut self.effects);
-        let (at, number) = (self.now, connection.unwrap_or_default());
-        if let Some(by) = attempt.send_by {
-            self.effects.push(Effect::Arm(by, TimerKind::SendBy(place, pending.generation)));
+        log::debug!(target: TRACE, "{id} attempt {} to {node} from {from} rank {rank}", attempt_id.number);
+        let connection = self.nodes.assign(
+            attempt.node,
+            attempt_id,
+            id,
+            pending.at_most_once,
+            self.now,
+            &mut self.effects,
+        );
+        let (started_at, connection_number) = (self.now, connection.unwrap_or_default());
+        if let Some(send_by) = attempt.send_by {
+            self.effects.push(Effect::Arm(send_by, TimerKind::SendBy(attempt_id, pending.generation)));
         }
-        pending.attempts.push(InFlightAttempt {
+        pending.attempts.push(AttemptEntry {
             attempt: *attempt,
             source,
-            at,
-            out: true,
-            connection: number,
+            started_at,
+            in_flight: true,
+            connection: connection_number,
         });
         match connection {
-            Some(connection) => self.hand_over(connection),
-            // All its connections carry what they may, which says nothing of the node.
-            None => self.end(place, Outcome::NotSent, None),
+            Some(connection) => self.send_waiting(connection),
+            // All connections to the node are at capacity, which says nothing about the node itself.
+            None => self.end_attempt(attempt_id, Outcome::NotSent, None),
         }
     }
 
     fn cancel(&mut self, request_id: RequestId, number: u32) {
-        self.give_up(AttemptId { request_id, number }, Outcome::Cancelled);
+        self.abort_attempt(AttemptId { request_id, number }, Outcome::Cancelled);
     }
 
     fn reject(&mut self, request_id: RequestId, retry_after: Option<Nanos>) {
@@ -63,7 +69,7 @@
 
     fn release(&mut self, request_id: RequestId) {
         if let Some(pending) = self.pending.get(request_id.0) {
-            self.asked.remove(&pending.request.id);
+            self.open_ids.remove(&pending.request.id);
         }
         self.pending.remove(request_id.0);
         self.request_ids.release(request_id.0);
--- a/crates/dispatcher/src/request_table/mod.rs
+++ b/crates/dispatcher/src/request_table/mod.rs
@@ -1,11 +1,12 @@
-//! The desk: requests in hand, between the clients that wait for them and the nodes that serve them. The
-//! module sends through it, and every call becomes effects for the event loop or ends of attempts for the
-//! module; nothing here decides where a request goes.
+//! The request table: open requests and their attempts, between the clients that wait for answers and the
+//! nodes that serve them. The routing policy acts through it (the `Actions` trait); its calls become effects
+//! for the event loop, or outcomes of attempts that the reducer passes back to the policy. It does not decide
+//! where a request goes.
 
 use crate::clients::Clients;
 use crate::config::Limits;
-use crate::copies::{self, Offered};
 use crate::effects::{Effect, TimerKind};
+use crate::local_cache::{self, OfferedCopy};
 use crate::nodes::{AttemptId, NextMessage, NodePool, NodeStart, Nodes, ProbeCounts};
 use copperroute_cache_store::record::Facts;
 use copperroute_protocol::clients::{Answer, Request};
@@ -21,97 +22,102 @@
 
 mod actions;
 mod attempts;
-mod list;
+mod node_list;
 
 use std::collections::{HashSet, VecDeque};
 
-/// Of the memory, what may wait for clients. With more than half of that, those that are held back for reading
-/// slowly get no further bytes, and are refused what they ask for; with more than all of it, nodes are not read from until half of it has left.
-const UNSENT_PART: u64 = 4;
-/// Of the descriptors, what connections to nodes may take before they are shared.
-const NODES_PART: usize = 4;
-/// An attempt of which less time is left is not begun: nodes are told whole milliseconds, and none is told as 0.
-const LEAST_LEFT: Nanos = Nanos(1_000_000);
-/// Where a request's life is told, line by line, when `RUST_LOG` asks for it.
+/// One part in this many of the memory is for output that waits for clients. Above half of that, slow clients
+/// receive no further content and their new requests are rejected; above all of it, nodes are not read from
+/// until half has left.
+const UNSENT_MEMORY_DIVISOR: u64 = 4;
+/// Connections to nodes may take one part in this many of the descriptors before attempts must share them.
+const NODE_DESCRIPTOR_DIVISOR: usize = 4;
+/// An attempt with less time left than this is not sent: the protocol carries whole milliseconds, and no node
+/// is to be sent 0.
+const MIN_TIME_LEFT: Nanos = Nanos(1_000_000);
+/// Log target for the life of each request, line by line; enabled by `RUST_LOG`.
 const TRACE: &str = "copperroute::trace";
 
-/// An attempt of a request in hand.
+/// An attempt of an open request. It stays in the table after its end, with `in_flight` false.
 #[derive(Debug)]
-struct InFlightAttempt {
+struct AttemptEntry {
     attempt: Attempt,
-    /// The id of the source, where one is named.
+    /// The id of the source node, if the attempt names one.
     source: Option<String>,
-    at: Nanos,
-    out: bool,
-    /// The connection that carries it.
+    started_at: Nanos,
+    in_flight: bool,
+    /// The number of the connection that carries it.
     connection: u32,
 }
 
-impl InFlightAttempt {
-    /// Until when its answer is of use.
-    fn until(&self, pending: &PendingRequest) -> Nanos {
-        self.attempt.time_limit.map_or(pending.expires, |span| self.at.after(span).min(pending.expires))
+impl AttemptEntry {
+    /// After this time the answer is of no use.
+    fn deadline(&self, pending: &PendingRequest) -> Nanos {
+        self.attempt
+            .time_limit
+            .map_or(pending.deadline, |span| self.started_at.after(span).min(pending.deadline))
     }
 }
 
-/// A request in hand.
+/// An open request.
 #[derive(Debug)]
 struct PendingRequest {
     generation: u64,
     client: u32,
     tag: u64,
     request: Request,
-    expires: Nanos,
-    /// As the module was told of it; nothing until then.
-    told: Option<RoutingRequest>,
-    /// It is answered with a copy, which has a tag.
-    of_copies: bool,
-    /// It may not simply run again.
-    once: bool,
-    /// Its answer is still owed.
-    owed: bool,
-    attempts: Vec<InFlightAttempt>,
+    deadline: Nanos,
+    /// The request as it was passed to the routing policy; `None` until then.
+    routing_request: Option<RoutingRequest>,
+    /// The answer is a copy and must carry a tag.
+    expects_copy: bool,
+    /// The request may not safely run twice.
+    at_most_once: bool,
+    /// The client has not received the final answer yet.
+    awaiting_answer: bool,
+    attempts: Vec<AttemptEntry>,
 }
 
 impl PendingRequest {
-    /// The copy that an answer brings, for those who keep them.
-    fn offer(&self, answer: &nodes::Answer) -> Option<(RoutingRequest, Offered)> {
-        let (routing_request, (etag, made_ms)) = (self.told?, answer.copy.filter(|_| !answer.not_modified)?);
-        let key = copies::key(routing_request.content_type.0, self.request.object, self.request.part)?;
+    /// The copy in an answer, for the local cache.
+    fn offer(&self, answer: &nodes::Answer) -> Option<(RoutingRequest, OfferedCopy)> {
+        let (routing_request, (etag, made_ms)) =
+            (self.routing_request?, answer.copy.filter(|_| !answer.not_modified)?);
+        let key = local_cache::key(routing_request.content_type.0, self.request.object, self.request.part)?;
         let group = self.request.group.and_then(|group| u8::try_from(group).ok());
         let facts = Facts { etag: etag.bytes(), made_ms, group };
-        Some((routing_request, Offered { key, facts, body: answer.body.as_slice().into() }))
+        Some((routing_request, OfferedCopy { key, facts, body: answer.body.as_slice().into() }))
     }
 }
 
-/// Everything that the module sends through.
+/// Open requests, client connections, nodes, and the effects that are due.
 pub struct RequestTable {
-    /// The time of the event at hand.
+    /// The time of the current event.
     pub now: Nanos,
-    /// For how long what clients have sent may have lain unread.
-    pub unread: Nanos,
+    /// How long received client input may have lain unread.
+    pub input_delay: Nanos,
     /// Client connections.
     pub clients: Clients,
     nodes: Nodes,
     request_ids: Ids<u64>,
     pending: Slots<PendingRequest>,
     generation: u64,
-    owed: usize,
+    owed_answers: usize,
     objects: Ids<(Hex, u64)>,
-    /// The ids of the requests in hand.
-    asked: HashSet<Hex>,
-    most_unsent: u64,
-    /// Copies that came are offered to be kept.
-    pub keeps_copies: bool,
-    /// Those that came since they were last taken, with the requests that they came for.
-    pub offered: Vec<(RoutingRequest, Offered)>,
-    /// The latest Unix millisecond at which a copy was made that answers told of since it was last taken.
+    /// The ids of the open requests.
+    open_ids: HashSet<Hex>,
+    max_unsent_bytes: u64,
+    /// Received copies are collected in `offered` for the local cache.
+    pub collects_copies: bool,
+    /// Copies received since this was last emptied, with the requests for which they came.
+    pub offered: Vec<(RoutingRequest, OfferedCopy)>,
+    /// The latest Unix millisecond at which a copy was made, among answers since this was last taken.
     pub latest_made_ms: Option<u64>,
-    /// Ends of attempts that the module is to hear of.
-    pub ended: VecDeque<(AttemptId, AttemptEnd)>,
-    /// Probes that were answered: by which node, when it was asked, and whether it takes work.
-    pub alive: Vec<(NodeId, Nanos, bool)>,
-    /// What the event loop is asked for.
+    /// Ended attempts of which the routing policy has not been told yet.
+    pub ended_attempts: VecDeque<(AttemptId, AttemptEnd)>,
+    /// Answers to readiness probes: the node, when the probe was sent, and whether the node accepts work.
+    pub probe_answers: Vec<(NodeId, Nanos, bool)>,
+    /// What the event loop is to do.
     pub effects: Vec<Effect>,
 }
 
@@ -122,38 +128,39 @@
         clients.lingering.set_descriptor_limit(limits.sockets as usize);
         RequestTable {
             now: Nanos::ZERO,
-            unread: Nanos::ZERO,
+            input_delay: Nanos::ZERO,
             clients,
-            nodes: Nodes::new(connections, limits.sockets as usize / NODES_PART, seed),
+            nodes: Nodes::new(connections, limits.sockets as usize / NODE_DESCRIPTOR_DIVISOR, seed),
             request_ids: Ids::default(),
             pending: Slots::default(),
             generation: 0,
-            owed: 0,
+            owed_answers: 0,
             objects: Ids::default(),
-            asked: HashSet::new(),
-            most_unsent: limits.memory_mb * 1024 * 1024 / UNSENT_PART,
-            keeps_copies: false,
+            open_ids: HashSet::new(),
+            max_unsent_bytes: limits.memory_mb * 1024 * 1024 / UNSENT_MEMORY_DIVISOR,
+            collects_copies: false,
             offered: Vec::new(),
             latest_made_ms: None,
-            ended: VecDeque::new(),
-            alive: Vec::new(),
+            ended_attempts: VecDeque::new(),
+            probe_answers: Vec::new(),
             effects: Vec::new(),
         }
     }
 
-    /// Takes new limits.
-    pub fn limit(&mut self, connections: ConnectionLimits, limits: Limits) {
-        self.most_unsent = limits.memory_mb * 1024 * 1024 / UNSENT_PART;
+    /// Applies new limits.
+    pub fn set_limits(&mut self, connections: ConnectionLimits, limits: Limits) {
+        self.max_unsent_bytes = limits.memory_mb * 1024 * 1024 / UNSENT_MEMORY_DIVISOR;
         self.clients.lingering.set_descriptor_limit(limits.sockets as usize);
-        self.nodes.set_limits(connections, limits.sockets as usize / NODES_PART);
+        self.nodes.set_limits(connections, limits.sockets as usize / NODE_DESCRIPTOR_DIVISOR);
     }
 
-    /// Nodes that have turned connections away since this was asked, and until when none is opened there.
-    pub fn turned_away(&mut self) -> Vec<(NodeId, Nanos)> {
+    /// Nodes that have refused connections since the last call, and until when no connection to them is
+    /// opened.
+    pub fn take_refusing_nodes(&mut self) -> Vec<(NodeId, Nanos)> {
         self.nodes.take_refusing_nodes()
     }
 
-    /// Looks after connections; to be called now and then.
+    /// Closes stalled and idle node connections; to be called periodically.
     pub fn sweep(&mut self) {
         self.nodes.stalled(self.now).into_iter().for_each(|connection| self.node_closed(connection));
         self.nodes.close_idle(self.now, &mut self.effects);
@@ -161,26 +168,26 @@
 
     // Requests.
 
-    /// Takes a request and arms its expiry.
+    /// Adds a request and arms its timeout.
     pub fn open(
         &mut self,
         client: u32,
         tag: u64,
         request: Request,
-        of_copies: bool,
-        once: bool,
+        expects_copy: bool,
+        at_most_once: bool,
     ) -> (RequestId, ObjectId, Nanos) {
         self.generation += 1;
         let request_id = RequestId(self.request_ids.get_or_assign(self.generation));
         let object = ObjectId(self.objects.get_or_assign((request.object, request.part)));
-        // Its client waits since it asked.
-        let waits = Nanos(request.timeout_ms.saturating_mul(1_000_000)).since(self.unread);
-        let expires = self.now.after(waits);
-        self.effects.push(Effect::Arm(expires, TimerKind::Expiry(request_id, self.generation)));
-        self.asked.insert(request.id);
+        // The client has been waiting since it sent the request, which may have lain unread.
+        let waits = Nanos(request.timeout_ms.saturating_mul(1_000_000)).since(self.input_delay);
+        let deadline = self.now.after(waits);
+        self.effects.push(Effect::Arm(deadline, TimerKind::Expiry(request_id, self.generation)));
+        self.open_ids.insert(request.id);
         let (id, of, part) = (request.id, &request.content_type, request.part);
         let (named, ms) = (request.object, request.timeout_ms);
-        log::debug!(target: TRACE, "{id} taken from client {client}: {of} {named} part {part} in {ms} ms");
+        log::debug!(target: TRACE, "{id} accepted from client {client}: {of} {named} part {part} in {ms} ms");
         if let Some(client) = self.clients.get_mut(client) {
             client.open.insert(tag, request_id);
         }
@@ -192,189 +199,198 @@
                 client,
                 tag,
                 request,
-                expires,
-                told: None,
-                of_copies,
-                once,
-                owed,
+                deadline,
+                routing_request: None,
+                expects_copy,
+                at_most_once,
+                awaiting_answer: owed,
                 attempts,
             },
         );
-        self.owed += 1;
-        (request_id, object, expires)
+        self.owed_answers += 1;
+        (request_id, object, deadline)
     }
 
-    /// The serial of a request in hand.
+    /// The generation of an open request; 0 if there is none in this slot.
     pub fn generation_of(&self, request_id: RequestId) -> u64 {
         self.pending.get(request_id.0).map_or(0, |pending| pending.generation)
     }
 
-    /// Object, part and the client's own copy that a request in hand names.
-    pub fn asked_for(&self, request_id: RequestId) -> Option<(Hex, u64, Option<Hex>)> {
+    /// The object, the part and the tag of the client's cached copy that an open request names.
+    pub fn requested_copy(&self, request_id: RequestId) -> Option<(Hex, u64, Option<Hex>)> {
         self.pending
             .get(request_id.0)
             .map(|pending| (pending.request.object, pending.request.part, pending.request.cached_tag))
     }
 
-    /// The module is told of a request in these words.
-    pub fn tell(&mut self, routing_request: &RoutingRequest) {
+    /// Stores the form in which the request is passed to the routing policy.
+    pub fn set_routing_request(&mut self, routing_request: &RoutingRequest) {
         if let Some(pending) = self.pending.get_mut(routing_request.request_id.0) {
-            pending.told = Some(*routing_request);
+            pending.routing_request = Some(*routing_request);
         }
     }
 
-    /// Whether a request with this id is in hand.
-    pub fn has(&self, id: Hex) -> bool {
-        self.asked.contains(&id)
+    /// Whether a request with this id is open.
+    pub fn is_open(&self, id: Hex) -> bool {
+        self.open_ids.contains(&id)
     }
 
-    /// Writes to a client, if it is still there.
+    /// Queues an answer for a client, if it is still connected.
     pub fn write(&mut self, client: u32, tag: u64, answer: Answer<'_>) {
         self.clients.write(client, tag, answer, self.now, &mut self.effects);
-        self.balance();
+        self.update_node_reads();
     }
 
-    /// Bytes for a client have left.
+    /// Bytes for a client have left, `total` since it connected.
     pub fn client_written(&mut self, client: u32, total: u64) {
         self.clients.written(client, total, self.now);
-        self.balance();
+        self.update_node_reads();
     }
 
-    /// A client's connection ends at once; returns what was open on it.
+    /// Closes a client's connection at once; returns its open requests.
     pub fn remove_client(&mut self, client: u32) -> Vec<RequestId> {
         let open = self.clients.remove(client, &mut self.effects);
-        self.balance();
+        self.update_node_reads();
         open
     }
 
-    /// A client's connection ends by a lingering close; returns what was open on it.
-    pub fn shut_client(&mut self, client: u32) -> Vec<RequestId> {
-        let open = self.clients.shut(client, self.now, &mut self.effects);
-        self.balance();
+    /// Closes a client's connection with a lingering close; returns its open requests.
+    pub fn close_client_lingering(&mut self, client: u32) -> Vec<RequestId> {
+        let open = self.clients.close_lingering(client, self.now, &mut self.effects);
+        self.update_node_reads();
         open
     }
 
-    /// A client has broken the protocol: what it asked before is answered, then its connection ends.
+    /// Closes a client's connection once its earlier requests are answered; used after a violation of the
+    /// protocol.
     pub fn close_when_answered(&mut self, client: u32) {
         if let Some(client) = self.clients.get_mut(client) {
             client.close_when_answered();
         }
-        self.shut_if_answered(client);
+        self.close_if_answered(client);
     }
 
-    /// The same where nothing that it sends can be read on.
-    pub fn cannot_be_read(&mut self, client: u32) {
+    /// The same for a client whose input can't be decoded any more.
+    pub fn mark_client_unreadable(&mut self, client: u32) {
         if let Some(client) = self.clients.get_mut(client) {
-            client.cannot_be_read();
+            client.mark_unreadable();
         }
-        self.shut_if_answered(client);
+        self.close_if_answered(client);
     }
 
-    /// Ends a connection that asks for nothing new, once nothing is open on it.
-    pub fn shut_if_answered(&mut self, client: u32) {
-        if self.clients.get_mut(client).is_some_and(|client| client.is_spent()) {
-            self.shut_client(client);
+    /// Closes a connection that accepts no new requests once none is open on it.
+    pub fn close_if_answered(&mut self, client: u32) {
+        if self.clients.get_mut(client).is_some_and(|client| client.can_close()) {
+            self.close_client_lingering(client);
         }
     }
 
-    /// Memory is short: clients that read slowly go without.
-    pub fn is_short_for(&self, client: u32) -> bool {
-        self.clients.unsent() > self.most_unsent / 2 && self.clients.is_slow(client)
+    /// Whether memory is short and this client is slow, so that its requests are rejected.
+    pub fn is_memory_short_for(&self, client: u32) -> bool {
+        self.clients.unsent() > self.max_unsent_bytes / 2 && self.clients.is_slow(client)
     }
 
-    /// Memory has run out, and a client that reads slowly asks for more.
-    pub fn has_run_out_for(&self, client: u32) -> bool {
-        self.clients.unsent() > self.most_unsent && self.clients.is_slow(client)
+    /// Whether the memory for clients is used up and this client is slow.
+    pub fn is_memory_exhausted_for(&self, client: u32) -> bool {
+        self.clients.unsent() > self.max_unsent_bytes && self.clients.is_slow(client)
     }
 
-    /// While clients take too little, nodes are not read from: what they hold back costs no memory here.
-    fn balance(&mut self) {
-        let most = self.most_unsent / if self.nodes.reads_paused() { 2 } else { 1 };
+    /// Stops reading from nodes while clients take too little: what nodes hold back takes no memory here.
+    fn update_node_reads(&mut self) {
+        let most = self.max_unsent_bytes / if self.nodes.reads_paused() { 2 } else { 1 };
         self.nodes.pause_reads(self.clients.unsent() > most, &mut self.effects);
     }
 
-    /// Notes that the answer of a request is owed no more; tells who asked for it, if it was owed.
-    fn settle(&mut self, request_id: RequestId) -> Option<(u32, u64)> {
-        let pending = self.pending.get_mut(request_id.0).filter(|pending| pending.owed)?;
-        pending.owed = false;
-        self.owed -= 1;
+    /// Records that a request needs no answer any more; returns the client's connection and tag if it still
+    /// did.
+    fn mark_answered(&mut self, request_id: RequestId) -> Option<(u32, u64)> {
+        let pending = self.pending.get_mut(request_id.0).filter(|pending| pending.awaiting_answer)?;
+        pending.awaiting_answer = false;
+        self.owed_answers -= 1;
         if let Some(client) = self.clients.get_mut(pending.client) {
             client.open.remove(&pending.tag);
         }
         Some((pending.client, pending.tag))
     }
 
-    /// The final answer of a request, once.
+    /// Sends the final answer of a request; later calls do nothing.
     pub fn answer(&mut self, request_id: RequestId, answer: Answer<'_>) {
-        if let Some(pending) = self.pending.get(request_id.0).filter(|pending| pending.owed) {
+        if let Some(pending) = self.pending.get(request_id.0).filter(|pending| pending.awaiting_answer) {
             log::debug!(target: TRACE, "{} answered {}", pending.request.id, answer.word());
         }
-        if let Some((client, tag)) = self.settle(request_id) {
+        if let Some((client, tag)) = self.mark_answered(request_id) {
             self.write(client, tag, answer);
-            self.shut_if_answered(client);
+            self.close_if_answered(client);
         }
     }
 
-    /// Nobody waits for this request any more; tells whether anybody did.
-    pub fn forsake(&mut self, request_id: RequestId) -> bool {
-        self.settle(request_id).is_some()
+    /// Records that nobody waits for a request any more; returns whether somebody did.
+    pub fn abandon(&mut self, request_id: RequestId) -> bool {
+        self.mark_answered(request_id).is_some()
     }
 
-    /// Whether this still is the request with that serial, and its answer is owed.
-    pub fn is_owed(&self, request_id: RequestId, generation: u64) -> bool {
-        self.pending.get(request_id.0).is_some_and(|pending| pending.owed && pending.generation == generation)
+    /// Whether the request in this slot still has this generation and awaits its answer.
+    pub fn awaits_answer(&self, request_id: RequestId, generation: u64) -> bool {
+        self.pending
+            .get(request_id.0)
+            .is_some_and(|pending| pending.awaiting_answer && pending.generation == generation)
     }
 
-    /// Requests whose answer is owed.
-    pub fn all_owed(&self) -> Vec<(RequestId, u64)> {
-        let owed = self.pending.iter().filter(|pending| pending.owed);
+    /// The requests that await their answer, with their generations.
+    pub fn requests_awaiting_answer(&self) -> Vec<(RequestId, u64)> {
+        let owed = self.pending.iter().filter(|pending| pending.awaiting_answer);
         owed.filter_map(|pending| {
             self.request_ids.get(&pending.generation).map(|slot| (RequestId(slot), pending.generation))
         })
         .collect()
     }
 
-    /// Attempts and fills that are out at a node.
-    pub fn out_at(&self, node: NodeId) -> u32 {
-        let out = self.pending.iter().flat_map(|pending| &pending.attempts).filter(|attempt| attempt.out);
-        out.filter(|out| out.attempt.node == node || out.attempt.source == node).count() as u32
+    /// The number of attempts in flight at a node, including those that it fills as their source.
+    pub fn in_flight_at(&self, node: NodeId) -> u32 {
+        let entry =
+            self.pending.iter().flat_map(|pending| &pending.attempts).filter(|attempt| attempt.in_flight);
+        entry.filter(|entry| entry.attempt.node == node || entry.attempt.source == node).count() as u32
     }
 
-    /// Whether no answer is owed, and all that were given have left.
-    pub fn is_clear(&self) -> bool {
-        self.owed == 0 && self.clients.unsent() == 0
+    /// Whether no request awaits an answer and all answers have left.
+    pub fn is_drained(&self) -> bool {
+        self.owed_answers == 0 && self.clients.unsent() == 0
     }
 
-    /// The time of a request is over: what is out for it ends unanswered.
+    /// A request has timed out: its attempts in flight end unanswered.
     pub fn expire(&mut self, request_id: RequestId) {
         let attempts = self.pending.get(request_id.0).map_or(0, |pending| pending.attempts.len());
         for number in 0..attempts as u32 {
-            self.give_up(AttemptId { request_id, number }, Outcome::TimedOut);
+            self.abort_attempt(AttemptId { request_id, number }, Outcome::TimedOut);
         }
     }
 
-    /// What was not sent for a request that nobody waits for never will be, also where attempts are not called off.
+    /// Retracts the unsent attempts of a request for which nobody waits, also where attempts in flight are
+    /// not cancelled.
     pub fn drop_unsent(&mut self, request_id: RequestId) {
-        self.take_back_of(|attempt, _, _| attempt.request_id == request_id);
+        self.retract_unsent_where(|attempt, _, _| attempt.request_id == request_id);
     }
 
-    /// Whether an attempt of the request with that serial is still out.
-    pub fn is_out(&self, attempt: AttemptId, generation: u64) -> bool {
-        self.out(attempt, generation).is_some()
+    /// Whether an attempt is still in flight and its request has this generation.
+    pub fn is_in_flight(&self, attempt: AttemptId, generation: u64) -> bool {
+        self.in_flight_attempt(attempt, generation).is_some()
     }
 
-    /// An attempt that is still out, of the request with that serial.
-    fn out(&self, attempt: AttemptId, generation: u64) -> Option<&InFlightAttempt> {
+    /// The attempt, if it is still in flight and its request has this generation.
+    fn in_flight_attempt(&self, attempt: AttemptId, generation: u64) -> Option<&AttemptEntry> {
         let pending =
             self.pending.get(attempt.request_id.0).filter(|pending| pending.generation == generation)?;
-        pending.attempts.get(attempt.number as usize).filter(|out| out.out)
+        pending.attempts.get(attempt.number as usize).filter(|entry| entry.in_flight)
     }
 
-    /// An attempt that may be sent until now only is taken back, if it has not left whole.
-    pub fn too_late(&mut self, attempt: AttemptId, generation: u64) {
-        let Some(connection) = self.out(attempt, generation).map(|out| out.connection) else { return };
-        self.take_back_of(|other, _, _| *other == attempt);
-        // A part of it has left: the node must not get the rest.
+    /// The time until which an attempt may be sent has passed: it is retracted unless it has left completely.
+    pub fn send_deadline_passed(&mut self, attempt: AttemptId, generation: u64) {
+        let Some(connection) = self.in_flight_attempt(attempt, generation).map(|entry| entry.connection)
+        else {
+            return;
+        };
+        self.retract_unsent_where(|other, _, _| *other == attempt);
+        // Part of it has left, and the node must not receive the rest.
         if self.nodes.is_partly_written(connection, attempt) {
             self.node_closed(connection);
         }
