--- a/crates/dispatcher/src/changes/stream.rs
+++ b/crates/dispatcher/src/changes/stream.rs
@@ -158,7 +158,7 @@
     ) -> Nanos {
         self.close(now, "the address has changed", effects);
         self.address = address;
-        log::info!("change log: now followed index {address}");
+        log::info!("change log: now followed at {address}");
         self.address_changed(now)
     }
 
--- a/crates/dispatcher/src/local_cache.rs
+++ b/crates/dispatcher/src/local_cache.rs
@@ -14,9 +14,9 @@
 /// Telling a client that its cached copy is still current costs one part in this many of sending the copy.
 const NOT_MODIFIED_COST_DIVISOR: usize = 20;
 
-/// Purges are remembered for at least this long after they were received, plus four times the time that
-/// purged copies may remain in circulation: no older copy can arrive after that.
-const MIN_PURGE_RETENTION: Nanos = Nanos(60_000_000_000);
+/// Purges are remembered for this long after they were received, plus four times the time that purged copies
+/// may remain in circulation: no older copy can arrive after that.
+const PURGE_RETENTION_MARGIN: Nanos = Nanos(60_000_000_000);
 
 /// The earliest purge times among the purges received recently: in the present period and in the one before
 /// it.
@@ -32,9 +32,9 @@
     /// are to be remembered, so that each is kept for at least `span` on the dispatcher's own clock, whatever
     /// times the purges carry.
     fn record(&mut self, now: Nanos, at_ms: u64, span: Nanos) -> u64 {
-        let lasted = now.since(self.began);
-        if lasted > span {
-            self.previous = self.current.take().filter(|_| lasted <= Nanos(2 * span.0));
+        let elapsed = now.since(self.began);
+        if elapsed > span {
+            self.previous = self.current.take().filter(|_| elapsed <= Nanos(2 * span.0));
             self.began = now;
         }
         self.current = Some(self.current.map_or(at_ms, |earliest| earliest.min(at_ms)));
@@ -214,9 +214,9 @@
     /// The rank under which a copy is to be written to disk; `None` if it is not.
     pub fn disk_rank(&mut self, offered: &OfferedCopy, rate: Option<f64>, hops: f64) -> Option<u8> {
         let keepable = self.is_cacheable(u32::from(offered.key.content_type));
-        let seen = Seen { rate, hops, bytes: offered.body.len(), keepable };
+        let demand = Seen { rate, hops, bytes: offered.body.len(), keepable };
         let forbidden = self.purges.forbid(&offered.key.object, offered.facts.group, offered.facts.made_ms);
-        let rank = Tier::Disk.keeps(&seen).filter(|_| self.has_disk && !forbidden)?;
+        let rank = Tier::Disk.keeps(&demand).filter(|_| self.has_disk && !forbidden)?;
         // A copy that is already there, and not known to be unusable, is not written again.
         self.disk_fingerprints.insert(offered.key.print()).then_some(rank)
     }
@@ -242,12 +242,12 @@
             }
             (None, Some(Ok(group))) => {
                 // A copy whose group is unknown might belong to any.
-                self.memory.remove_all(|_, facts| facts.group.is_none_or(|of| of == group));
+                self.memory.remove_all(|_, facts| facts.group.is_none_or(|copy_group| copy_group == group));
                 self.purges.group(group, at_ms, 0);
             }
             _ => drop(self.memory.remove_all(|_, _| true)),
         }
-        let kept_for = Nanos(4 * self.purge_done.0).after(MIN_PURGE_RETENTION);
+        let kept_for = Nanos(4 * self.purge_done.0).after(PURGE_RETENTION_MARGIN);
         self.purges.forget_before(self.recent_purges.record(now, at_ms, kept_for));
     }
 
--- a/crates/dispatcher/src/reducer/change_log_events.rs
+++ b/crates/dispatcher/src/reducer/change_log_events.rs
@@ -70,6 +70,7 @@
         }
     }
 
+    /// Applies an event: to the agreement on rules, the snapshot, the node list and as a purge.
     pub(super) fn apply(&mut self, now: Nanos, change: &Change, after_gap: bool) {
         self.external_time.observe_event(now, change);
         let unix_ms = self.external_time.earliest_ms(now);
@@ -134,7 +135,7 @@
         let is_live = !fleet.full && self.is_live(now);
         let entries: Vec<_> =
             fleet.servers.iter().map(|listed| self.node_entry(now, listed, is_live)).collect();
-        let named: Vec<_> = entries.iter().map(|entry| entry.node).collect();
+        let listed: Vec<_> = entries.iter().map(|entry| entry.node).collect();
         let mut withdrawn: Vec<_> = entries
             .iter()
             .filter(|entry| entry.readiness != Readiness::Ready)
@@ -142,7 +143,10 @@
             .collect();
         if fleet.full {
             withdrawn.extend(
-                self.request_table.nodes_missing_from(&named).into_iter().map(|node| (node, Readiness::Gone)),
+                self.request_table
+                    .nodes_missing_from(&listed)
+                    .into_iter()
+                    .map(|node| (node, Readiness::Gone)),
             );
             self.routing.node_list_replaced(now, &entries, &mut self.request_table);
         } else {
--- a/crates/dispatcher/src/request_table/mod.rs
+++ b/crates/dispatcher/src/request_table/mod.rs
@@ -185,13 +185,13 @@
         let deadline = self.now.after(waits);
         self.effects.push(Effect::Arm(deadline, TimerKind::Expiry(request_id, self.generation)));
         self.open_ids.insert(request.id);
-        let (id, of, part) = (request.id, &request.content_type, request.part);
-        let (named, ms) = (request.object, request.timeout_ms);
-        log::debug!(target: TRACE, "{id} accepted from client {client}: {of} {named} part {part} in {ms} ms");
+        let (id, content_type, part) = (request.id, &request.content_type, request.part);
+        let (object_id, ms) = (request.object, request.timeout_ms);
+        log::debug!(target: TRACE, "{id} accepted from client {client}: {content_type} {object_id} part {part} in {ms} ms");
         if let Some(client) = self.clients.get_mut(client) {
             client.open.insert(tag, request_id);
         }
-        let (generation, owed, attempts) = (self.generation, true, Vec::new());
+        let (generation, attempts) = (self.generation, Vec::new());
         self.pending.put(
             request_id.0,
             PendingRequest {
@@ -203,7 +203,7 @@
                 routing_request: None,
                 expects_copy,
                 at_most_once,
-                awaiting_answer: owed,
+                awaiting_answer: true,
                 attempts,
             },
         );
@@ -297,8 +297,8 @@
 
     /// Stops reading from nodes while clients take too little: what nodes hold back takes no memory here.
     fn update_node_reads(&mut self) {
-        let most = self.max_unsent_bytes / if self.nodes.reads_paused() { 2 } else { 1 };
-        self.nodes.pause_reads(self.clients.unsent() > most, &mut self.effects);
+        let max = self.max_unsent_bytes / if self.nodes.reads_paused() { 2 } else { 1 };
+        self.nodes.pause_reads(self.clients.unsent() > max, &mut self.effects);
     }
 
     /// Records that a request needs no answer any more; returns the client's connection and tag if it still
@@ -338,11 +338,12 @@
 
     /// The requests that await their answer, with their generations.
     pub fn requests_awaiting_answer(&self) -> Vec<(RequestId, u64)> {
-        let owed = self.pending.iter().filter(|pending| pending.awaiting_answer);
-        owed.filter_map(|pending| {
-            self.request_ids.get(&pending.generation).map(|slot| (RequestId(slot), pending.generation))
-        })
-        .collect()
+        let awaiting = self.pending.iter().filter(|pending| pending.awaiting_answer);
+        awaiting
+            .filter_map(|pending| {
+                self.request_ids.get(&pending.generation).map(|slot| (RequestId(slot), pending.generation))
+            })
+            .collect()
     }
 
     /// The number of attempts in flight at a node, including those that it fills as their source.
--- a/crates/dispatcher/src/request_table/node_list.rs
+++ b/crates/dispatcher/src/request_table/node_list.rs
@@ -51,8 +51,8 @@
     }
 
     /// The listed nodes that a snapshot does not name.
-    pub fn nodes_missing_from(&self, named: &[NodeId]) -> Vec<NodeId> {
-        self.nodes.missing_from(named)
+    pub fn nodes_missing_from(&self, listed: &[NodeId]) -> Vec<NodeId> {
+        self.nodes.missing_from(listed)
     }
 
     /// A node accepts no new work: unsent attempts to it, or with it as their source, are retracted.
