--- a/crates/routing/src/interface.rs
+++ b/crates/routing/src/interface.rs
@@ -1,58 +1,57 @@
-//! What passes between an adapter and the decisions, in the users' words.
+//! The types that pass between an adapter and [`crate::policy::Dispatcher`].
 //!
-//! An adapter maps the ids of its protocol to the small indices here, calls the methods of
-//! [`crate::policy::Dispatcher`] as things happen, and implements [`Actions`], through which the
-//! module sends. Nothing here decides anything.
+//! An adapter maps the ids of its protocol to the small indices here, calls the methods of the dispatcher for each
+//! event, and implements [`Actions`], through which the dispatcher acts. There are no decisions in this file.
 
 pub use crate::retry_safety::{DedupScope, RetrySafety, UNKNOWN_ID};
 
-/// A time of the adapter's clock, or a span, in whole nanoseconds.
+/// A time of the adapter's clock, or a duration, in nanoseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Hash)]
 pub struct Nanos(pub u64);
 
 impl Nanos {
-    /// Nothing, or the clock's start.
+    /// A duration of zero, or the start of the clock.
     pub const ZERO: Nanos = Nanos(0);
 
-    /// From seconds; what is negative or not a number is zero.
+    /// Converts from seconds. Negative values and NaN become zero.
     pub fn from_secs(secs: f64) -> Nanos {
         Nanos((secs * 1e9).round() as u64)
     }
 
-    /// In seconds.
+    /// Converts to seconds.
     pub fn secs(self) -> f64 {
         self.0 as f64 / 1e9
     }
 
-    /// This time moved on by `span`.
+    /// The time that is `span` after this one.
     pub fn after(self, span: Nanos) -> Nanos {
         Nanos(self.0.saturating_add(span.0))
     }
 
-    /// The span from `earlier` to this time; zero if there is none.
+    /// The duration from `earlier` to this time; zero if `earlier` is later.
     pub fn since(self, earlier: Nanos) -> Nanos {
         Nanos(self.0.saturating_sub(earlier.0))
     }
 }
 
-/// A request in hand: a slot that the adapter may use again after [`Actions::release`].
+/// A request: a slot that the adapter may reuse after [`Actions::release`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct RequestId(pub u32);
 
-/// A cache, parent or origin: a slot that the adapter may use again once it has told that the node is forgotten.
+/// A cache, parent or origin: a slot that the adapter may reuse after [`crate::policy::Dispatcher::node_forgotten`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct NodeId(pub u32);
 
-/// One cacheable thing (a part of an object, where objects have parts): a slot that the adapter may use
-/// again after [`Actions::release_object`].
+/// A cacheable object, or a part of one if objects have parts: a slot that the adapter may reuse after
+/// [`Actions::release_object`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct ObjectId(pub u32);
 
-/// A location or hub.
+/// A zone: a location with caches, or a hub with parents.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct ZoneId(pub u32);
 
-/// A content type: a row of [`Settings::content_types`].
+/// A content type: an index into [`Settings::content_types`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct TypeId(pub u32);
 
@@ -72,173 +71,173 @@
     x ^ (x >> 31)
 }
 
-/// What the settings say of a content type.
+/// The settings of a content type.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ContentType {
-    /// An answer within this time earns the whole benefit.
+    /// Latency target: an answer within this time, plus the stretch, earns the whole benefit.
     pub latency_target: Nanos,
-    /// Added to the target time, as a multiple of the request's own sending time.
+    /// Added to the latency target, as a multiple of the request's work.
     pub latency_target_stretch: f64,
-    /// Whether it may run again.
+    /// Whether requests may run again.
     pub retry_safety: RetrySafety,
     /// How long a copy is fresh; `None` for no limit.
     pub fresh_for: Option<Nanos>,
-    /// Runs at the origin and leaves no copy.
+    /// Whether requests run at the origin and leave no copy.
     pub uncacheable: bool,
-    /// What one answer in time is worth.
+    /// The value of one answer within the latency target.
     pub benefit: f64,
 }
 
-/// How nodes of a tier start.
+/// Cold start of the nodes of a tier. Capacity rises from `share` to all of it while the node warms up.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ColdStart {
-    /// Least share of its capacity with which a node starts.
+    /// Share of its capacity that a node has when it starts, at least.
     pub share: f64,
-    /// When it is warm at the latest.
+    /// Time after which a node is warm at the latest.
     pub warm_after: Nanos,
-    /// It falls over when sent more than this many times its present capacity.
+    /// A node fails when it is sent more than this multiple of its present capacity.
     pub overload_multiple: f64,
 }
 
-/// What the operators tell of retry storms.
+/// Settings of overload control, which handles client retries.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct OverloadSettings {
-    /// For how long a try that failed is remembered: as long as clients may retry.
+    /// How long a failed try is remembered: as long as clients may retry.
     pub remember_for: Nanos,
-    /// How many are remembered at most.
+    /// The most failed tries that are remembered.
     pub max_remembered: usize,
-    /// Slots that the longest advice is divided into.
+    /// Number of slots that the longest retry-after is divided into.
     pub slots: usize,
-    /// The part of the pace that is not given away beforehand, in [0, 1).
+    /// Share of the capacity that is not reserved for expected retries, in [0, 1).
     pub unreserved_share: f64,
-    /// Clients mark their repeats; else a repeat is told by what is remembered.
+    /// Whether clients mark retries; else a retry is recognised by the failed tries that are remembered.
     pub clients_mark_retries: bool,
-    /// A marked repeat of what must not run twice counts as one that may have run, though its first try is not
-    /// known here.
+    /// Whether a marked retry of a request that must not run twice counts as one that may have run, if its first try
+    /// is not known here.
     pub unknown_retry_may_have_run: bool,
-    /// The most attempts for one request and its repeats.
+    /// The most attempts for one request and its retries.
     pub max_attempts: u32,
 }
 
-/// What a dispatcher is told when it starts.
+/// The settings of a dispatcher.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// Where chance starts from.
+    /// Seed of the random numbers.
     pub seed: u64,
     /// The dispatcher's own location.
     pub zone: ZoneId,
-    /// How many dispatchers there are in all.
+    /// Number of all dispatchers.
     pub dispatchers: u32,
-    /// How many dispatchers serve the own location.
+    /// Number of dispatchers of the own location.
     pub zone_dispatchers: u32,
     /// The content types.
     pub content_types: Vec<ContentType>,
-    /// The kind of node that is a parent, if there are parents.
+    /// The node kind of parents, if there are any.
     pub parent_kind: Option<u32>,
-    /// The kind of node that is the origin.
+    /// The node kind of the origin, if there is one.
     pub origin_kind: Option<u32>,
-    /// Whether parents and the origin take attempts too.
+    /// Whether attempts may be sent to parents and to the origin directly.
     pub direct_to_parents: bool,
-    /// Whether a request can join a fill that is under way.
+    /// Whether a cache coalesces fills: a request can join a fill that is in flight.
     pub coalesces_fills: bool,
-    /// Whether answers tell a fill that a parent held from one that went to the origin.
+    /// Whether answers report if a fill came from a copy at the parent or from the origin.
     pub fill_source_reported: bool,
     /// Whether a cache may fill from the caches of other locations.
     pub fill_from_other_locations: bool,
-    /// The top pace of one answer in KB a second; 0 if not told.
+    /// Full rate of one answer in KB a second; 0 if not known.
     pub client_kb_per_s: f64,
-    /// What the own location's link for fills carries, in KB a second; 0 if not told.
+    /// Capacity of the own location's fill link in KB a second; 0 if not known.
     pub link_kb_per_s: f64,
-    /// How long a purged copy may lie about.
+    /// How long a purged copy may stay in caches.
     pub purge_done: Nanos,
-    /// The time to heed a purge.
+    /// Propagation bound of purges: from this time on, no purged copy may be served.
     pub purge_notice: Nanos,
-    /// Sends to a node that drains or is gone must end within this.
+    /// Grace period of drains: within it, sending to a node that drains or is gone must end.
     pub drain_grace: Nanos,
-    /// How caches start.
+    /// Cold start of caches.
     pub cache_cold: ColdStart,
-    /// How parents start.
+    /// Cold start of parents.
     pub parent_cold: ColdStart,
-    /// A cold node falls over when sent more than it bears for this long.
+    /// Window of rule 4: a cold node fails when it is sent too much for this long.
     pub overload_window: Nanos,
-    /// The origin stops when asked for this many times what it can do; 0 for never.
+    /// The origin stops when it is sent this multiple of its capacity; 0 for never.
     pub origin_stop_multiple: f64,
-    /// The list of nodes comes only when followed.
+    /// Whether the node list is delivered only to subscribers.
     pub list_needs_subscription: bool,
-    /// Attempts may be called off.
+    /// Whether attempts can be cancelled.
     pub cancel: bool,
-    /// Clients are told when to come back.
+    /// Whether rejections carry a retry-after.
     pub retry_after: bool,
-    /// The longest advice that clients heed.
+    /// The longest retry-after that clients follow.
     pub max_retry_after: Nanos,
     /// The most attempts for one request.
     pub max_attempts: u32,
-    /// The list tells the sizes of nodes, exactly or roughly; else it gives every node the same.
+    /// Whether the node list gives capacities, exact or approximate; else every node has the same weight.
     pub capacities_listed: bool,
-    /// Nodes may be probed, and say what they are doing.
+    /// Whether nodes may be probed for their load.
     pub load_probes: bool,
-    /// Nodes may be asked whether they take work.
+    /// Whether nodes may be probed for readiness, that is, whether they accept work.
     pub readiness_probes: bool,
-    /// What storms are met with; `None` for nothing.
+    /// Overload control; `None` if there is none.
     pub overload_control: Option<OverloadSettings>,
 }
 
-/// Where a node stands in its life.
+/// The readiness of a node in the node list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Readiness {
-    /// Takes work.
+    /// Accepts work.
     Ready,
-    /// Finishes its work and takes no more.
+    /// Finishes its work and accepts no more.
     Draining,
     /// Removed.
     Gone,
 }
 
-/// A line of the list of nodes.
+/// An entry of the node list.
 #[derive(Debug, Clone, Copy)]
 pub struct NodeEntry {
     /// The node.
     pub node: NodeId,
     /// The stable hash of its name.
     pub hash: u64,
-    /// Where it stands.
+    /// Its zone.
     pub zone: ZoneId,
     /// Its machine kind.
     pub kind: u32,
-    /// Its cell, for deduped content types; [`UNKNOWN_ID`] where it is not told, as for the zone.
+    /// Its cell, for deduped content types. [`UNKNOWN_ID`] if it is not known; the same holds for the zone.
     pub cell: u32,
-    /// Whether it takes work.
+    /// Its readiness.
     pub readiness: Readiness,
-    /// Its size in relation to others.
+    /// Its weight: its capacity in relation to other nodes.
     pub weight: f64,
-    /// When it last started; zero if long ago.
+    /// When it last started; zero for long ago.
     pub started: Nanos,
 }
 
-/// A request that the dispatcher has taken.
+/// A request that the dispatcher has accepted.
 #[derive(Debug, Clone, Copy)]
 pub struct RoutingRequest {
     /// Its slot.
     pub request_id: RequestId,
     /// Its content type.
     pub content_type: TypeId,
-    /// The slot of what it asks for.
+    /// The slot of the object that it requests.
     pub object: ObjectId,
-    /// The stable hash of the object's name with its part: what a cache keeps as one copy.
+    /// The stable hash of the object's name and part, which a cache keeps as one copy.
     pub copy_hash: u64,
-    /// The stable hash of the object's name, whatever the part.
+    /// The stable hash of the object's name without the part.
     pub object_hash: u64,
-    /// The group of the object, as a purge may name it.
+    /// The group of the object, which a purge may name.
     pub group: Option<u64>,
-    /// When the client stops waiting for this try.
+    /// Deadline: when the client stops waiting for this try.
     pub deadline: Nanos,
-    /// A client's repeat of a request that was not served, where clients mark it.
+    /// Whether it is a client's retry of a request that was not served, if clients mark retries.
     pub is_retry: bool,
-    /// Its size, where told.
+    /// The size of the answer in KB, if known.
     pub size_kb: Option<f64>,
-    /// A hash that stands for the client, whatever connection it comes on; zero where not known.
+    /// A hash that identifies the client over all its connections; zero if not known.
     pub client: u64,
-    /// A hash of the bytes that it brings; zero for none.
+    /// A hash of the request body; zero for none.
     pub body_hash: u64,
 }
 
@@ -249,7 +248,7 @@
     Served,
     /// The node answered with an error; it may have run.
     Failed,
-    /// Not taken by the node or its source; it never ran.
+    /// Refused by the node or its source; it never ran.
     Refused,
     /// No answer in time; it may have run.
     TimedOut,
@@ -257,15 +256,15 @@
     Unreachable,
     /// The connection broke; it may have run.
     Broken,
-    /// Called off; it may have run.
+    /// Cancelled; it may have run.
     Cancelled,
     /// Not sent; it never ran.
     NotSent,
-    /// Nothing suitable held; it never ran.
+    /// No suitable copy is cached; it never ran.
     Missed,
 }
 
-/// What an answer tells of how it came about.
+/// What an answer reports about how it was produced.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Remark {
     /// Nothing.
@@ -276,17 +275,17 @@
     FilledFromCopy,
     /// Filled, and the origin was asked.
     FilledFromOrigin,
-    /// Joined a fill under way.
+    /// Joined a fill that is in flight.
     Joined,
-    /// An old copy.
+    /// A stale copy.
     Aged,
     /// The source refused.
     SourceRefused,
-    /// The source was unreachable, broke off or was too slow.
+    /// The source was unreachable, closed the connection or was too slow.
     SourceLost,
-    /// The source has none.
+    /// The source has no copy.
     SourceHasNone,
-    /// All places for fills are taken at the node.
+    /// The node has its most fills in flight.
     NoFillPlace,
     /// The origin failed behind the parent.
     OriginFailed,
@@ -299,73 +298,73 @@
     pub outcome: Outcome,
     /// How long it took.
     pub duration: Nanos,
-    /// Nothing more is owed for the request.
+    /// Whether the request needs no further answer.
     pub completes_request: bool,
-    /// Time to the source's first byte or to the fill's failure, where told.
+    /// Time to the source's first byte or to the failure of the fill, if reported.
     pub first_byte_wait: Option<Nanos>,
-    /// How the answer came about, where told.
+    /// How the answer was produced, if reported.
     pub remark: Remark,
-    /// The node's load report, where answers carry one.
+    /// The node's load report, if answers carry one.
     pub report: LoadReport,
 }
 
-/// What a node says of its load: some time old, and not exact.
+/// A node's report of its load, which is approximate and may be out of date.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct LoadReport {
-    /// Requests in hand.
+    /// Requests in flight at the node.
     pub in_flight: Option<f64>,
-    /// The part of the node that is busy, 0 to 1.
+    /// The busy share of the node's capacity, 0 to 1.
     pub busy: Option<f64>,
 }
 
-/// An attempt as the module orders it.
+/// An attempt that the dispatcher wants to be sent.
 #[derive(Debug, Clone, Copy)]
 pub struct Attempt {
-    /// The node that is asked.
+    /// The node that it is sent to.
     pub node: NodeId,
-    /// Who supplies a miss; the node itself for no fill.
+    /// The source of a fill if the node has no copy; the node itself for a lookup.
     pub source: NodeId,
-    /// Given up after this long; `None` for as long as the client waits.
+    /// Time after which it is given up; `None` for the client's deadline.
     pub time_limit: Option<Nanos>,
-    /// 0 keeps no copy, 1 to 3 keep it at that rank.
+    /// Rank of the copy: 0 keeps no copy, 1 to 3 keep it at that rank.
     pub rank: u8,
-    /// The oldest copy that will do; `None` for the content type's own limit.
+    /// The oldest copy that may be served; `None` for the limit of the content type.
     pub max_age: Option<Nanos>,
-    /// Not to be sent after this time, wherever it waits; then it ends as not sent.
+    /// Must not be sent after this time; if it is still waiting then, it ends as not sent.
     pub send_by: Option<Nanos>,
-    /// Join a fill that is under way.
+    /// Whether it may join a fill that is in flight.
     pub join: bool,
-    /// The source gives only what it holds.
+    /// Whether the source may serve only a cached copy.
     pub held_only: bool,
-    /// Leave no copy at the parent.
+    /// Whether the parent must keep no copy.
     pub no_parent_copy: bool,
-    /// Serve an ageing copy and fetch it anew behind.
+    /// Whether a stale copy may be served while it is refreshed in the background.
     pub renew: bool,
 }
 
-/// Through this the module sends. An adapter writes each call out in the order in which it comes.
+/// The actions of a dispatcher. An adapter carries them out in the order of the calls.
 pub trait Actions {
-    /// Makes an attempt for a request. The first of a request is number 0, and so on.
+    /// Sends an attempt for a request. The attempts of a request are numbered from 0.
     fn attempt(&mut self, request_id: RequestId, attempt: &Attempt);
-    /// Calls off an attempt that is out.
+    /// Cancels an attempt in flight.
     fn cancel(&mut self, request_id: RequestId, number: u32);
-    /// Final answer: not served, and trying again is harmless; after `retry_after`, if given.
+    /// Final answer: not served, and a retry is harmless; after `retry_after`, if given.
     fn reject(&mut self, request_id: RequestId, retry_after: Option<Nanos>);
-    /// Final answer: not served, and nothing is promised.
+    /// Final answer: not served, and a retry may not be harmless.
     fn fail(&mut self, request_id: RequestId);
-    /// Asks for [`crate::policy::Dispatcher::timer`] with `token` after `span`.
+    /// Arms a timer: [`crate::policy::Dispatcher::timer`] is to be called with `token` after `span`.
     fn arm_timer(&mut self, span: Nanos, token: u64);
-    /// Asks a node what it is doing; the answer comes by [`crate::policy::Dispatcher::load_probe_answered`].
+    /// Probes the load of a node; the answer goes to [`crate::policy::Dispatcher::load_probe_answered`].
     fn probe_load(&mut self, node: NodeId);
-    /// Asks a node whether it takes work; the answer comes by [`crate::policy::Dispatcher::readiness_probe_answered`].
-    /// Only where the adapter tells what is known of the change log.
+    /// Probes the readiness of a node; the answer goes to [`crate::policy::Dispatcher::readiness_probe_answered`].
+    /// Called only if the adapter reports the state of the change log.
     fn probe_readiness(&mut self, _node: NodeId) {}
-    /// Opens the standing subscription to the list of nodes.
+    /// Subscribes to the node list.
     fn subscribe_to_list(&mut self);
-    /// Writes a line for on-call staff.
+    /// Writes a line to the log for operators.
     fn log_line(&mut self, line: &str);
-    /// The module holds nothing more of this request.
+    /// The dispatcher keeps no state of this request any more.
     fn release(&mut self, request_id: RequestId);
-    /// The module holds nothing more of this object.
+    /// The dispatcher keeps no state of this object any more.
     fn release_object(&mut self, object: ObjectId);
 }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,6 +1,6 @@
-//! copperroute decides, for each request a dispatcher takes, which edge cache is asked, where a miss
-//! is filled from, and whether the copy is kept (MC3). It does no input or output of its own: an
-//! adapter calls [`policy::Dispatcher`] and hands it an [`interface::Actions`] to answer through.
+//! Routing decisions of a dispatcher: for each request, which cache gets an attempt, where a miss is filled from, and
+//! whether the copy is kept (MC3). The crate does no I/O and reads no clock. An adapter calls [`policy::Dispatcher`]
+//! for each event and gives it an [`interface::Actions`] through which it acts.
 
 pub mod change_log;
 pub mod fleet;
--- a/crates/routing/src/listed_nodes.rs
+++ b/crates/routing/src/listed_nodes.rs
@@ -1,13 +1,15 @@
-//! The listed nodes by what they are to one dispatcher. Kept in the order of their ids as lines change: a changed line costs
-//! nothing for the other nodes, and what is asked for on each decision does not go through all nodes of the fleet.
+//! An index of the listed nodes by their role for one dispatcher, and the home caches of copies.
+//!
+//! `nodes.rs` updates it with each delta of the node list; a delta of one node does not touch the others. Nodes are
+//! kept in the order of their ids. Queries for a decision do not go through the whole fleet.
 
 use crate::interface::{NodeEntry, NodeId, ZoneId, mix};
 
-/// Ids in their order, without repeats.
+/// A sorted set of node ids.
 #[derive(Debug, Default)]
-struct IdSet(Vec<NodeId>);
+struct SortedIds(Vec<NodeId>);
 
-impl IdSet {
+impl SortedIds {
     fn insert(&mut self, id: NodeId) {
         if let Err(at) = self.0.binary_search(&id) {
             self.0.insert(at, id);
@@ -21,9 +23,9 @@
     }
 }
 
-/// A cache as copies are placed on it.
+/// What the placement of copies depends on, for one cache.
 #[derive(Debug, Clone, Copy)]
-struct Place {
+struct CachePlacement {
     node: NodeId,
     hash: u64,
     weight: f64,
@@ -33,111 +35,114 @@
 #[derive(Debug)]
 struct ZoneCaches {
     zone: ZoneId,
-    places: Vec<Place>,
+    placements: Vec<CachePlacement>,
 }
 
-/// The cache that a copy's hash puts first in a location.
+/// The home of a copy in a location: its first cache by rendezvous hashing.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Home {
     /// The location.
     pub zone: ZoneId,
-    /// The lower, the earlier this location is in the copy's order.
+    /// The placement key of the cache. Locations with lower keys come first in the copy's order.
     pub key: f64,
     /// The cache.
     pub node: NodeId,
 }
 
-/// A draw in [0, 1) that a copy and a node have in common.
-pub fn share_of(copy_hash: u64, node_hash: u64) -> f64 {
+/// A pseudorandom number in [0, 1) for a copy and a node, the same at every dispatcher.
+pub fn placement_draw(copy_hash: u64, node_hash: u64) -> f64 {
     (mix(copy_hash ^ node_hash) >> 11) as f64 / (1_u64 << 53) as f64
 }
 
-/// Where a node stands in a copy's order by highest random weight: the lower the earlier.
-pub fn key_of(share: f64, weight: f64) -> f64 {
-    -(share.max(1e-18)).ln() / weight
+/// The key of a node in a copy's order by weighted rendezvous hashing. Lower keys come first.
+pub fn placement_key(draw: f64, weight: f64) -> f64 {
+    -(draw.max(1e-18)).ln() / weight
 }
 
-/// The least weight that counts.
-pub fn counted(weight: f64) -> f64 {
+/// The weight used for placement: at least 0.1.
+pub fn effective_weight(weight: f64) -> f64 {
     weight.max(0.1)
 }
 
 impl ZoneCaches {
-    /// The home of a copy here; `weighed` counts the caches of which the exact key was needed.
-    fn home(&self, copy_hash: u64, weighed: &mut usize) -> Option<Home> {
+    /// The home of a copy in this location. Adds the number of exact keys that were computed to `keys_computed`.
+    fn home(&self, copy_hash: u64, keys_computed: &mut usize) -> Option<Home> {
         let mut home: Option<Home> = None;
-        for place in &self.places {
-            let (share, weight) = (share_of(copy_hash, place.hash), counted(place.weight));
-            // A logarithm is at most its argument less one, so that most caches are ruled out without one.
-            if home.is_some_and(|home| (1.0 - share) / weight > home.key) {
+        for placement in &self.placements {
+            let (draw, weight) =
+                (placement_draw(copy_hash, placement.hash), effective_weight(placement.weight));
+            // ln(x) <= x - 1, so this bound rules out most caches without computing a logarithm.
+            if home.is_some_and(|home| (1.0 - draw) / weight > home.key) {
                 continue;
             }
-            *weighed += 1;
-            let key = key_of(share, weight);
-            if home.is_none_or(|home| (key, place.node) < (home.key, home.node)) {
-                home = Some(Home { zone: self.zone, key, node: place.node });
+            *keys_computed += 1;
+            let key = placement_key(draw, weight);
+            if home.is_none_or(|home| (key, placement.node) < (home.key, home.node)) {
+                home = Some(Home { zone: self.zone, key, node: placement.node });
             }
         }
         home
     }
 }
 
-/// The listed nodes.
+/// The listed nodes by role, and all listed caches by location.
 #[derive(Debug, Default)]
-pub struct Listed {
-    caches: IdSet,
-    parents: IdSet,
-    origins: IdSet,
+pub struct ListedNodes {
+    caches: SortedIds,
+    parents: SortedIds,
+    origins: SortedIds,
     zones: Vec<ZoneCaches>,
 }
 
-/// What a node is to this dispatcher.
+/// The role of a node for this dispatcher.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
-    /// A cache of the own location.
+    /// A cache of the dispatcher's location.
     OwnCache,
-    /// A cache elsewhere.
-    FarCache,
+    /// A cache of another location.
+    OtherLocationCache,
     /// A parent.
     Parent,
     /// The origin.
     Origin,
 }
 
-impl Listed {
-    /// Takes in a node that takes work, as its newest line has it.
-    pub fn insert(&mut self, e: &NodeEntry, role: Role) {
+impl ListedNodes {
+    /// Adds or updates a ready node by its newest entry.
+    pub fn insert(&mut self, entry: &NodeEntry, role: Role) {
         match role {
-            Role::Parent => return self.parents.insert(e.node),
-            Role::Origin => return self.origins.insert(e.node),
-            Role::OwnCache => self.caches.insert(e.node),
-            Role::FarCache => {}
+            Role::Parent => return self.parents.insert(entry.node),
+            Role::Origin => return self.origins.insert(entry.node),
+            Role::OwnCache => self.caches.insert(entry.node),
+            Role::OtherLocationCache => {}
         }
-        let place = Place { node: e.node, hash: e.hash, weight: e.weight };
-        let Some(of) = self.zones.iter_mut().find(|of| of.zone == e.zone) else {
-            return self.zones.push(ZoneCaches { zone: e.zone, places: vec![place] });
+        let placement = CachePlacement { node: entry.node, hash: entry.hash, weight: entry.weight };
+        let Some(caches) = self.zones.iter_mut().find(|caches| caches.zone == entry.zone) else {
+            return self.zones.push(ZoneCaches { zone: entry.zone, placements: vec![placement] });
         };
-        match of.places.binary_search_by_key(&e.node, |place| place.node) {
-            Ok(at) => of.places[at] = place,
-            Err(at) => of.places.insert(at, place),
+        match caches.placements.binary_search_by_key(&entry.node, |placement| placement.node) {
+            Ok(at) => caches.placements[at] = placement,
+            Err(at) => caches.placements.insert(at, placement),
         }
     }
 
-    /// Takes out a node, as its last line had it.
-    pub fn remove(&mut self, e: &NodeEntry) {
-        [&mut self.caches, &mut self.parents, &mut self.origins].into_iter().for_each(|of| of.remove(e.node));
-        if let Some(of) = self.zones.iter_mut().find(|of| of.zone == e.zone) {
-            of.places.retain(|place| place.node != e.node);
+    /// Removes a node by its last entry.
+    pub fn remove(&mut self, entry: &NodeEntry) {
+        [&mut self.caches, &mut self.parents, &mut self.origins]
+            .into_iter()
+            .for_each(|caches| caches.remove(entry.node));
+        if let Some(caches) = self.zones.iter_mut().find(|caches| caches.zone == entry.zone) {
+            caches.placements.retain(|placement| placement.node != entry.node);
         }
-        self.zones.retain(|of| !of.places.is_empty());
+        self.zones.retain(|caches| !caches.placements.is_empty());
     }
 
-    /// Takes all out.
+    /// Removes all nodes.
     pub fn clear(&mut self) {
-        *self = Listed::default();
+        *self = ListedNodes::default();
     }
 
-    /// The caches of the own location.
+    /// The caches of the dispatcher's location.
     pub fn caches(&self) -> &[NodeId] {
         &self.caches.0
     }
@@ -152,12 +157,13 @@
         self.origins.0.first().copied()
     }
 
-    /// The home of a copy in each location, in the copy's order of locations, and for how many caches an exact key was
-    /// needed.
+    /// The home of a copy in each location, in the copy's order of locations, and the number of exact keys computed
+    /// for it.
     pub fn homes(&self, copy_hash: u64) -> (Vec<Home>, usize) {
-        let mut weighed = 0;
-        let mut homes: Vec<_> = self.zones.iter().filter_map(|of| of.home(copy_hash, &mut weighed)).collect();
+        let mut keys_computed = 0;
+        let mut homes: Vec<_> =
+            self.zones.iter().filter_map(|caches| caches.home(copy_hash, &mut keys_computed)).collect();
         homes.sort_by(|a, b| a.key.total_cmp(&b.key).then(a.node.cmp(&b.node)));
-        (homes, weighed)
+        (homes, keys_computed)
     }
 }
--- a/crates/routing/src/pinned_rules.rs
+++ b/crates/routing/src/pinned_rules.rs
@@ -1,9 +1,9 @@
-//! Pinned rules: the rules in force when a request was accepted. Each further attempt obeys them as well as those in force now,
-//! so that nothing runs twice because a rule changed while an attempt was in flight.
+//! Pinned rules: the rules in force when a request was accepted. Each retry obeys them as well as the rules in force
+//! now, so that nothing runs twice because a rule changed while an attempt was in flight.
 
 use crate::interface::{Nanos, RetrySafety, Settings, TypeId};
 
-/// The stricter of two rules on retries.
+/// The stricter of two rules on retries. Of two deduplication windows it is the shorter, with the first scope.
 pub fn stricter(a: RetrySafety, b: RetrySafety) -> RetrySafety {
     use RetrySafety::*;
     match (a, b) {
@@ -24,16 +24,16 @@
 
 impl PinnedRules {
     /// The rules of a content type in these settings.
-    pub fn new(s: &Settings, content_type: TypeId) -> PinnedRules {
+    pub fn new(settings: &Settings, content_type: TypeId) -> PinnedRules {
         PinnedRules {
-            repeat: s.content_types[content_type.0 as usize].retry_safety,
-            max_attempts: s.max_attempts,
+            repeat: settings.content_types[content_type.0 as usize].retry_safety,
+            max_attempts: settings.max_attempts,
         }
     }
 
-    /// The stricter of these and of those in force.
-    pub fn and(self, s: &Settings, content_type: TypeId) -> PinnedRules {
-        let other = PinnedRules::new(s, content_type);
+    /// The stricter of these rules and of those in `settings`.
+    pub fn combined_with(self, settings: &Settings, content_type: TypeId) -> PinnedRules {
+        let other = PinnedRules::new(settings, content_type);
         PinnedRules {
             repeat: stricter(self.repeat, other.repeat),
             max_attempts: self.max_attempts.min(other.max_attempts),
@@ -45,7 +45,7 @@
         self.repeat
     }
 
-    /// How many attempts it may take.
+    /// The most attempts that may be made for it.
     pub fn max_attempts(&self) -> usize {
         self.max_attempts as usize
     }
--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -1,6 +1,10 @@
-//! Every decision of a dispatcher. An adapter makes one [`Dispatcher`] from the settings, calls `start`, then
-//! a method for each thing that happens. The module answers through the `Actions` it is handed, before the
-//! call returns. Words and trait: `src/interface.rs`.
+//! The routing decisions of one dispatcher: which node gets an attempt, where a miss is filled from, whether a copy
+//! is kept, and when a request is rejected.
+//!
+//! An adapter creates a [`Dispatcher`] from [`Settings`], calls `start`, and then one method for each event: a
+//! request, the end of an attempt, a timer, a change of the node list, a purge. The dispatcher acts through the
+//! [`Actions`] that it is given, before the call returns. It does no I/O and reads no clock. The types are in
+//! `src/interface.rs`.
 
 use crate::change_log::Knowledge;
 use crate::fleet::bandwidth_share::BandwidthShare;
@@ -8,7 +12,7 @@
 use crate::fleet::overload_control::{Admission, BackendCapacity, OverloadControl};
 use crate::fleet::slow_start::{Rate, keep_one_cold};
 use crate::interface::*;
-use crate::node_capacity::PROBE_EVERY;
+use crate::node_capacity::LOAD_PROBE_INTERVAL;
 use crate::nodes::{Node, Nodes};
 use crate::pinned_rules::PinnedRules;
 use crate::purges::{Purged, Purges};
@@ -26,200 +30,287 @@
 
 pub use staleness::StalenessCounts;
 
-// MC3's open choices, and the starting values of the design page.
-const TABLE: usize = 20_000; // shadow entries
-const HORIZON_S: f64 = 20.0; // keep horizon: storage cost is one over it
-const MIDDLE_CUT: f64 = 1.0; // of the storage cost
-const TOP_CUT: f64 = 4.0;
-const MIDDLE_SHARE: f64 = 0.3; // of recent kept fills, middle and top rank together
-const TOP_SHARE: f64 = 0.13;
-const FILLS_SEEN: Nanos = Nanos(10_000_000_000);
-// Health.
-const BUCKETS: usize = 8;
-const JUDGED_OVER: Nanos = Nanos(2_000_000_000);
-const FAILURES: f64 = 3.0; // fewer say nothing of a node
-const FAILED_SHARE: f64 = 0.5;
-const ROW: u32 = 2; // failures with none between that worked, however far apart, and
-const ROW_SHARE: f64 = 0.1; // of what worked lately, unless nothing is there to connect to
-const DEAD_ROW: u32 = 8; // the same for an origin
-const RUNS_ASIDE: u32 = 3; // at an origin that is set aside but has not died
-const ASIDE: Nanos = Nanos(3_000_000_000);
-const ASIDE_SPREAD_S: f64 = 2.0;
-const OVERDUE_STRETCH: f64 = 2.0; // an attempt is looked at after this many times its work and
+// MC3: parameters that the algorithm leaves open, at the design's starting values.
+
+/// Objects in the ghost cache. The least recently requested one is dropped first.
+const GHOST_CACHE_ENTRIES: usize = 20_000;
+/// Keep horizon in seconds. The storage cost of a copy is one over it.
+const KEEP_HORIZON_S: f64 = 20.0;
+/// Least keep benefit for the middle rank, as a multiple of the storage cost.
+const MIDDLE_RANK_MIN_BENEFIT: f64 = 1.0;
+/// Least keep benefit for the top rank, as a multiple of the storage cost.
+const TOP_RANK_MIN_BENEFIT: f64 = 4.0;
+/// The middle rank is given only while fewer than this share of the recent kept fills have as high a benefit ratio,
+/// so it bounds the middle and the top rank together.
+const MIDDLE_RANK_MAX_SHARE: f64 = 0.3;
+/// The same bound for the top rank.
+const TOP_RANK_MAX_SHARE: f64 = 0.13;
+/// Window over which kept fills are counted: 10 s.
+const KEPT_FILLS_WINDOW: Nanos = Nanos(10_000_000_000);
+
+// Health of nodes.
+
+/// Buckets of each sliding window.
+const WINDOW_BUCKETS: usize = 8;
+/// Window over which results of attempts are counted: 2 s.
+const HEALTH_WINDOW: Nanos = Nanos(2_000_000_000);
+/// Failures within the window that eject a node. Fewer say nothing about it.
+const MIN_WINDOW_FAILURES: f64 = 3.0;
+/// Share of the results within the window that must be failures as well.
+const MIN_FAILED_SHARE: f64 = 0.5;
+/// Consecutive failures that eject a node, however far apart they are.
+const MIN_CONSECUTIVE_FAILURES: u32 = 2;
+/// At a busy node, consecutive failures that eject it, for each success within the window. Not applied where no
+/// connection could be made.
+const CONSECUTIVE_FAILURES_PER_SUCCESS: f64 = 0.1;
+/// Consecutive failures that eject an origin.
+const ORIGIN_CONSECUTIVE_FAILURES: u32 = 8;
+/// Requests in flight at an ejected origin that has not died, for content that must run there.
+const EJECTED_ORIGIN_MAX_IN_FLIGHT: u32 = 3;
+/// Ejection time: 3 s plus jitter.
+const EJECTION_TIME: Nanos = Nanos(3_000_000_000);
+/// Largest jitter of the ejection time, in seconds.
+const EJECTION_JITTER_S: f64 = 2.0;
+/// An attempt is overdue after this many times its work, plus [`OVERDUE_SLACK`].
+const OVERDUE_WORK_MULTIPLE: f64 = 2.0;
+/// Time that an attempt may take beyond its work before it is overdue: 300 ms.
 const OVERDUE_SLACK: Nanos = Nanos(300_000_000);
-const FOLLOW_DUE: u64 = u64::MAX; // the tokens of timers of its own
-const PROBE_DUE: u64 = u64::MAX - 1;
-const LEASES_DUE: u64 = u64::MAX - 2;
-const ASK_AGAIN: Nanos = Nanos(1_000_000_000); // after a failed call to discovery
-// Load, in transfers for each one that the node's link fits.
-const FULL: f64 = 1.5; // the next cache in hash order takes over
-const UNEVEN: f64 = 1.5; // or this many times the location's mean
-const PRIOR_COUNT: f64 = 4.0; // own attempts out that weigh as much as what hits took
-const IN_TIME: f64 = 0.9; // of the target time
-const LARGE: f64 = 2.0; // times the mean sending time of its content type
-const LATE_SHARE: f64 = 0.15; // of large requests that would come late, but before their client gives up
-const FILL_WEIGHT: f64 = 1.3; // a fill keeps this much more of its target time in reserve than a hit
-const COLD_LOAD: f64 = 0.5; // of what the rule bears, and never over what the node can do
-const FILL_LEEWAY: f64 = 0.5; // fills that use up more of what the target time leaves crowd the link
-const FADES: Nanos = Nanos(4_000_000_000); // halves the first byte of a parent that is not asked
-const FILL_USUAL_S: f64 = 0.1; // until seen
-const COME_BACK_S: f64 = 0.1;
-const COME_BACK_SHARE: f64 = 0.67; // of the wait that is left
-const FURTHER_FLOOR: f64 = 0.1;
-const SMOOTH: f64 = 0.2;
-const DEFAULT_WORK_S: f64 = 0.3; // sending time of a content type not yet seen
-const LOOK_AGAIN: u32 = u32::MAX; // the serial of a look after a fill by another
-
-/// One dispatcher's decisions.
+
+// Timer tokens of the dispatcher itself. Those of attempts hold the request's id and the attempt's serial number.
+
+/// Subscribe to the node list.
+const SUBSCRIBE_TIMER: u64 = u64::MAX;
+/// Probe the load of a node.
+const LOAD_PROBE_TIMER: u64 = u64::MAX - 1;
+/// Renew node leases.
+const LEASE_TIMER: u64 = u64::MAX - 2;
+/// Delay before the node list is subscribed to again after a failure: 1 s.
+const SUBSCRIPTION_RETRY_DELAY: Nanos = Nanos(1_000_000_000);
+
+// Load. A load of 1 means as many transfers as the node can send at full rate at once.
+
+/// Load at which a cache counts as full, so that the next cache in hash order takes over.
+const FULL_LOAD: f64 = 1.5;
+/// A cache counts as full only above this multiple of the location's mean load, too.
+const FULL_LOAD_VS_MEAN: f64 = 1.5;
+/// Weight of the load estimate from the duration of hits, in own attempts in flight.
+const PACE_PRIOR_WEIGHT: f64 = 4.0;
+/// Part of the latency target, or of the deadline, that a request may be expected to take.
+const LATENCY_TARGET_MARGIN: f64 = 0.9;
+/// An object is large above this multiple of its content type's mean work.
+const LARGE_WORK_MULTIPLE: f64 = 2.0;
+/// Share of the large requests that are sent though they will miss the latency target, if they meet the deadline.
+const LATE_LARGE_SHARE: f64 = 0.15;
+/// Factor on the work of a fill in the comparison with the latency target: a fill keeps more time in reserve than a
+/// hit.
+const FILL_WORK_WEIGHT: f64 = 1.3;
+/// Share of the load that rule 4 allows at a cold node that is sent to it. Never more than the node's present
+/// capacity.
+const SLOW_START_LOAD: f64 = 0.5;
+/// Share of the time that the latency target leaves beyond the work. Fills that take more of it crowd the link.
+const FILL_SLACK_SHARE: f64 = 0.5;
+/// Half-life of the time to first byte of a parent that is not used: 4 s.
+const FIRST_BYTE_HALF_LIFE: Nanos = Nanos(4_000_000_000);
+/// Typical duration of a fill in seconds before one has ended.
+const INITIAL_FILL_S: f64 = 0.1;
+/// Shortest retry-after in seconds, before jitter.
+const MIN_RETRY_AFTER_S: f64 = 0.1;
+/// Retry-after as a share of the remaining wait for a cold node's token bucket, before jitter.
+const RETRY_AFTER_WAIT_SHARE: f64 = 0.67;
+/// Least share of the retries that are made, however many recent ones failed.
+const MIN_RETRY_SHARE: f64 = 0.1;
+/// Weight of a new sample in moving averages.
+const SMOOTHING_FACTOR: f64 = 0.2;
+/// Work of a content type of which nothing is known yet, in seconds of sending at full rate.
+const DEFAULT_WORK_S: f64 = 0.3;
+/// Serial number in the timer token of a second lookup, after another request's fill. Attempts never have it.
+const SECOND_LOOKUP_SERIAL: u32 = u32::MAX;
+
+/// The routing decisions of one dispatcher.
 #[derive(Debug)]
 pub struct Dispatcher {
-    s: Settings,
-    types: Vec<TypeRow>,
+    settings: Settings,
+    /// Statistics by content type.
+    type_stats: Vec<ContentTypeStats>,
     nodes: Nodes,
     requests: Slots<RequestState>,
     ghost_cache: GhostCache,
-    fills: Fills, // kept fills by their ratio
-    link: BandwidthShare,
-    fill_usual_s: f64,      // of fills that worked, from send to end
-    origin: OriginLimiter,  // how far it is spared
-    further: RingBuffer<2>, // further attempts that worked, that failed
+    kept_fills: KeptFillHistogram,
+    fill_link: BandwidthShare,
+    /// Moving average of the duration of successful fills, in seconds.
+    typical_fill_s: f64,
+    /// Limits fetches from the origin.
+    origin_limiter: OriginLimiter,
+    /// Recent retries: how many succeeded, and how many failed.
+    retry_results: RingBuffer<2>,
     purges: Purges,
-    storm: Option<OverloadControl>, // off unless the operators tell of storms
-    again: Nanos,                   // when the cold node that was asked last bears an attempt of this one's
-    knowledge: Option<Knowledge>,   // of the change log, where the adapter tells
-    probes_leases: bool,            // a timer is set for that
-    unheard: Cell<StalenessCounts>, // counted where choices are only read
+    /// `None` unless the operator configures it.
+    overload_control: Option<OverloadControl>,
+    /// Wait until the last cold node that was considered may be sent an attempt by this dispatcher; zero if none was.
+    slow_start_wait: Nanos,
+    /// State of the change log; `None` if the adapter does not report it.
+    knowledge: Option<Knowledge>,
+    /// Whether the timer [`LEASE_TIMER`] is armed.
+    lease_probes_armed: bool,
+    /// Counted in a cell, as selection takes `&self`.
+    staleness_counts: Cell<StalenessCounts>,
     random: Random,
+    /// Serial number of the last attempt.
     serial: u32,
 }
 
 impl Dispatcher {
-    /// A dispatcher that knows its settings and nothing else.
-    pub fn new(s: Settings) -> Self {
-        let row = |told: &ContentType| TypeRow::new(told, DEFAULT_WORK_S);
-        let storm =
-            |told| OverloadControl::new(told, &s.content_types, s.max_retry_after, s.overload_window, s.seed);
+    /// Creates a dispatcher with an empty node list.
+    pub fn new(settings: Settings) -> Self {
+        let stats = |content_type: &ContentType| ContentTypeStats::new(content_type, DEFAULT_WORK_S);
+        let overload_control = |overload_settings| {
+            OverloadControl::new(
+                overload_settings,
+                &settings.content_types,
+                settings.max_retry_after,
+                settings.overload_window,
+                settings.seed,
+            )
+        };
         Dispatcher {
-            types: s.content_types.iter().map(row).collect(),
-            nodes: Nodes::new(s.zone, s.parent_kind, s.origin_kind, s.capacities_listed),
+            type_stats: settings.content_types.iter().map(stats).collect(),
+            nodes: Nodes::new(
+                settings.zone,
+                settings.parent_kind,
+                settings.origin_kind,
+                settings.capacities_listed,
+            ),
             requests: Slots::default(),
             ghost_cache: GhostCache::default(),
-            fills: Fills::new(FILLS_SEEN, BUCKETS),
-            link: BandwidthShare::default(),
-            fill_usual_s: FILL_USUAL_S,
-            origin: OriginLimiter::new(),
-            further: RingBuffer::new(JUDGED_OVER, BUCKETS),
+            kept_fills: KeptFillHistogram::new(KEPT_FILLS_WINDOW, WINDOW_BUCKETS),
+            fill_link: BandwidthShare::default(),
+            typical_fill_s: INITIAL_FILL_S,
+            origin_limiter: OriginLimiter::new(),
+            retry_results: RingBuffer::new(HEALTH_WINDOW, WINDOW_BUCKETS),
             purges: Purges::default(),
-            storm: s.overload_control.map(storm),
-            again: Nanos::ZERO,
+            overload_control: settings.overload_control.map(overload_control),
+            slow_start_wait: Nanos::ZERO,
             knowledge: None,
-            probes_leases: false,
-            unheard: Cell::default(),
-            random: Random::new(s.seed),
+            lease_probes_armed: false,
+            staleness_counts: Cell::default(),
+            random: Random::new(settings.seed),
             serial: 0,
-            s,
+            settings,
         }
     }
 
-    /// The rules have changed. What was learnt and is in hand stays; seed and storms are as at the start.
-    pub fn settings_changed(&mut self, s: &Settings) {
-        self.requests
+    /// Applies changed settings. Statistics and requests in flight stay. The seed and the settings of overload
+    /// control keep their values from the start.
+    pub fn settings_changed(&mut self, settings: &Settings) {
+        self.requests.iter_mut().for_each(|request| {
+            request.pinned = request.pinned.combined_with(settings, request.routing_request.content_type)
+        });
+        self.type_stats
             .iter_mut()
-            .for_each(|request| request.pinned = request.pinned.and(s, request.routing_request.content_type));
-        self.types.iter_mut().zip(&s.content_types).for_each(|(row, told)| row.told = told.clone());
-        self.s = Settings { seed: self.s.seed, overload_control: self.s.overload_control, ..s.clone() };
+            .zip(&settings.content_types)
+            .for_each(|(stats, content_type)| stats.config = content_type.clone());
+        self.settings = Settings {
+            seed: self.settings.seed,
+            overload_control: self.settings.overload_control,
+            ..settings.clone()
+        };
     }
 
-    /// The dispatcher comes up.
+    /// Starts the dispatcher: subscribes to the node list and begins to probe, as configured.
     pub fn start(&mut self, now: Nanos, out: &mut impl Actions) {
-        self.nodes.begin(now);
-        if self.s.list_needs_subscription {
+        self.nodes.set_started_at(now);
+        if self.settings.list_needs_subscription {
             out.subscribe_to_list();
         }
-        if self.s.load_probes && !self.s.capacities_listed {
-            out.arm_timer(PROBE_EVERY, PROBE_DUE);
+        if self.settings.load_probes && !self.settings.capacities_listed {
+            out.arm_timer(LOAD_PROBE_INTERVAL, LOAD_PROBE_TIMER);
         }
     }
 
-    /// What a node can do once it is warm, in transfers at once.
-    fn can(&self, n: &Node) -> f64 {
-        self.nodes.can(n, self.s.zone_dispatchers).max(0.1)
+    /// Capacity of a node once it is warm, in concurrent transfers at full rate.
+    fn capacity_of(&self, node: &Node) -> f64 {
+        self.nodes.capacity_of(node, self.settings.zone_dispatchers).max(0.1)
     }
 
-    /// Asks a node at random what it is doing.
-    fn probe(&mut self, out: &mut impl Actions) {
-        let asked = self.nodes.drawn([self.random.next_f64(), self.random.next_f64()]);
+    /// Probes the load of a random node and arms the timer for the next probe.
+    fn probe_random_node(&mut self, out: &mut impl Actions) {
+        let asked = self.nodes.random_serving_node([self.random.next_f64(), self.random.next_f64()]);
         asked.into_iter().for_each(|id| out.probe_load(id));
-        out.arm_timer(PROBE_EVERY, PROBE_DUE);
+        out.arm_timer(LOAD_PROBE_INTERVAL, LOAD_PROBE_TIMER);
     }
 
-    /// A node has said what it is doing.
+    /// Handles the answer to a load probe.
     pub fn load_probe_answered(&mut self, now: Nanos, id: NodeId, report: LoadReport) {
-        if self.nodes.reported(now, id, self.cold_start(id).0.warm_after, report) {
-            self.link.caches_listed(&self.s, self.nodes.caches_can(self.s.zone_dispatchers));
+        if self.nodes.record_load_report(now, id, self.cold_start_of(id).0.warm_after, report) {
+            self.fill_link
+                .caches_listed(&self.settings, self.nodes.cache_capacities(self.settings.zone_dispatchers));
         }
     }
 
-    fn row(&self, d: &RoutingRequest) -> &TypeRow {
-        &self.types[d.content_type.0 as usize]
+    fn stats_of(&self, routing_request: &RoutingRequest) -> &ContentTypeStats {
+        &self.type_stats[routing_request.content_type.0 as usize]
     }
 
-    fn target_s(&self, request: &RequestState) -> f64 {
-        let told = &self.row(&request.routing_request).told;
-        told.latency_target.secs() + told.latency_target_stretch * request.work_s
+    fn latency_target_s(&self, request: &RequestState) -> f64 {
+        let content_type = &self.stats_of(&request.routing_request).config;
+        content_type.latency_target.secs() + content_type.latency_target_stretch * request.work_s
     }
 
-    /// The whole list: what is not in it is gone.
+    /// Handles a snapshot of the node list. Nodes that are not in it are gone.
     pub fn node_list_replaced(&mut self, now: Nanos, entries: &[NodeEntry], out: &mut impl Actions) {
-        self.nodes.unlist_all();
+        self.nodes.clear_list();
         self.nodes_changed(now, entries, out);
     }
 
-    /// Changed entries. A node that drains or is gone leaves every choice at once (rule 3).
+    /// Handles a delta of the node list. A node that drains or is gone is no longer selected (rule 3).
     pub fn nodes_changed(&mut self, _now: Nanos, entries: &[NodeEntry], out: &mut impl Actions) {
-        if self.s.load_probes && !self.s.capacities_listed {
-            self.nodes.unmet(entries).into_iter().for_each(|id| out.probe_load(id));
+        if self.settings.load_probes && !self.settings.capacities_listed {
+            self.nodes.unknown_warm_nodes(entries).into_iter().for_each(|id| out.probe_load(id));
         }
-        self.nodes.relist(entries, |e| Node::new(*e, JUDGED_OVER, BUCKETS));
-        self.link.caches_listed(&self.s, self.nodes.caches_can(self.s.zone_dispatchers));
+        self.nodes.update_list(entries, |e| Node::new(*e, HEALTH_WINDOW, WINDOW_BUCKETS));
+        self.fill_link
+            .caches_listed(&self.settings, self.nodes.cache_capacities(self.settings.zone_dispatchers));
     }
 
-    /// Attempts and fills believed to be out at a node.
+    /// Attempts and fills in flight at a node, as far as this dispatcher knows.
     pub fn in_flight_at(&self, id: NodeId) -> u32 {
-        self.nodes.get(id).map_or(0, |n| n.out)
+        self.nodes.get(id).map_or(0, |node| node.in_flight)
     }
 
-    /// A node that left the list so long ago that no request in hand has met it: its slot may be given anew.
+    /// Forgets a node that left the list so long ago that no request in flight refers to it. Its slot may be reused.
     pub fn node_forgotten(&mut self, id: NodeId) {
         self.nodes.forget(id);
     }
 
-    /// A node takes no connection of this dispatcher's before then: it is left out, and has not died.
+    /// Excludes a node that accepts no connection of this dispatcher until `until`. The node has not died.
     pub fn node_refuses_connections(&mut self, id: NodeId, until: Nanos) {
-        self.nodes.get_mut(id).into_iter().for_each(|n| n.aside_until = n.aside_until.max(until));
+        self.nodes
+            .get_mut(id)
+            .into_iter()
+            .for_each(|node| node.ejected_until = node.ejected_until.max(until));
     }
 
-    /// More is known of when a node started: earlier than it was listed with.
+    /// Corrects the start time of a node to an earlier time than was listed.
     pub fn node_started_earlier(&mut self, id: NodeId, at: Nanos) {
         self.nodes.started_earlier(id, at);
     }
 
-    /// A call to discovery failed: the old list stands, and the subscription is asked for again.
+    /// Handles a failed subscription: the old node list stays in use, and a timer subscribes again.
     pub fn subscription_failed(&mut self, _now: Nanos, out: &mut impl Actions) {
-        out.arm_timer(ASK_AGAIN, FOLLOW_DUE);
+        out.arm_timer(SUBSCRIPTION_RETRY_DELAY, SUBSCRIBE_TIMER);
     }
 
-    /// An object was purged `age` ago.
+    /// Records that an object was purged `age` ago.
     pub fn object_purged(&mut self, now: Nanos, hash: u64, age: Nanos, _out: &mut impl Actions) {
         self.purges.add(Purged::Object(hash), now.since(age));
     }
 
-    /// A group of objects was purged `age` ago.
+    /// Records that a group of objects was purged `age` ago.
     pub fn group_purged(&mut self, now: Nanos, group: u64, age: Nanos, _out: &mut impl Actions) {
         self.purges.add(Purged::Group(group), now.since(age));
     }
 
-    /// What was told since `age` ago is lost, and may have been purges of anything.
+    /// Records that events since `age` ago were lost, any of which may have been a purge of any object.
     pub fn purges_lost(&mut self, now: Nanos, age: Nanos) {
         self.purges.add(Purged::Anything, now.since(age));
     }
--- a/crates/routing/src/retry_safety.rs
+++ b/crates/routing/src/retry_safety.rs
@@ -1,21 +1,23 @@
-//! Retry safety: whether a request may run again by its content type's rule, and what follows for a further attempt (rule 2).
+//! Retry safety (rule 2): whether a request may run again by its content type's rule, and at which nodes and until
+//! when it may be retried.
 
 use crate::interface::{Nanos, NodeEntry};
 
-/// Stands for a zone, or a cell, that is not told.
+/// Stands for a zone or a cell that is not known.
 pub const UNKNOWN_ID: u32 = u32::MAX;
-/// A repeat is written so long before the time ends in which it is known: between the decision and the write lies a turn
-/// of the loop. Guards against a repeat that comes a moment too late; harms nothing but those last moments.
-const LEEWAY: Nanos = Nanos(25_000_000);
+/// A retry must be written this long before the deduplication window ends: 25 ms, as a turn of the event loop lies
+/// between the decision and the write. Prevents a duplicate that arrives just after the window. Costs retries in the
+/// last 25 ms.
+const SEND_MARGIN: Nanos = Nanos(25_000_000);
 
 /// Whether a request may run again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetrySafety {
     /// It may run any number of times.
     Retriable,
-    /// A repeat is known and dropped within a group of caches, for a time from the first attempt.
+    /// Duplicates are recognised and dropped within a group of caches, for a time after the first attempt.
     Deduped {
-        /// Which caches know of it.
+        /// The caches that recognise duplicates.
         scope: DedupScope,
         /// For how long, from the first attempt.
         window: Nanos,
@@ -24,21 +26,21 @@
     NonRetriable,
 }
 
-/// Which caches know a deduped request's repeats.
+/// The caches that recognise duplicates of a deduped request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DedupScope {
-    /// All of them.
+    /// All caches.
     All,
-    /// Those of one zone.
+    /// The caches of one zone.
     Zone,
-    /// Those of one cell.
+    /// The caches of one cell.
     Cell,
 }
 
 impl DedupScope {
-    /// Whether a repeat at `b` is known where the first went to `a`. Of nodes whose zone, or cell, is not told none is
-    /// known to share it with another.
-    pub fn holds_both(self, a: &NodeEntry, b: &NodeEntry) -> bool {
+    /// Whether `b` recognises a duplicate of a request that was first sent to `a`. A node whose zone or cell is not
+    /// known shares it with no other node.
+    pub fn covers(self, a: &NodeEntry, b: &NodeEntry) -> bool {
         let alike = match self {
             DedupScope::All => true,
             DedupScope::Zone => a.zone == b.zone && a.zone.0 != UNKNOWN_ID,
@@ -49,11 +51,11 @@
 }
 
 impl RetrySafety {
-    /// Until when a further attempt may be sent, of a request whose first attempt that may have run was ordered at `first`;
-    /// `None` where time sets no limit.
+    /// Until when a retry may be sent, if the first attempt that may have run was decided at `first`; `None` if there
+    /// is no limit in time.
     pub fn send_by(self, first: Nanos) -> Option<Nanos> {
         match self {
-            RetrySafety::Deduped { window, .. } => Some(first.after(window.since(LEEWAY))),
+            RetrySafety::Deduped { window, .. } => Some(first.after(window.since(SEND_MARGIN))),
             RetrySafety::Retriable | RetrySafety::NonRetriable => None,
         }
     }
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -1,11 +1,12 @@
-//! What a dispatcher keeps of its requests and objects. State only: nothing here decides.
+//! The state that a dispatcher keeps of requests, objects (the ghost cache) and content types. The decisions on it
+//! are in `policy`. Work is counted in seconds of sending at full rate.
 
 use crate::interface::{ContentType, Nanos, NodeId, ObjectId, RoutingRequest};
 use crate::pinned_rules::PinnedRules;
 use crate::structures::recency_window::RecencyWindow;
 use crate::structures::ring_buffer::RingBuffer;
 
-/// Values at small indices.
+/// A map from small integers to values.
 #[derive(Debug, Clone)]
 pub struct Slots<T>(Vec<Option<T>>);
 
@@ -26,13 +27,13 @@
         self.0.get_mut(index as usize)?.as_mut()
     }
 
-    /// Puts a value at `index`.
+    /// Sets the value at `index`.
     pub fn put(&mut self, index: u32, value: T) {
-        let at = index as usize;
-        if at >= self.0.len() {
-            self.0.resize_with(at + 1, || None);
+        let sent_at = index as usize;
+        if sent_at >= self.0.len() {
+            self.0.resize_with(sent_at + 1, || None);
         }
-        self.0[at] = Some(value);
+        self.0[sent_at] = Some(value);
     }
 
     /// Removes the value at `index`.
@@ -53,125 +54,130 @@
     }
 }
 
-/// Where a request stands.
+/// The stage of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stage {
-    /// Taken, nothing sent.
+    /// Accepted; no attempt was sent.
     Accepted,
-    /// An attempt is out, or about to be.
+    /// An attempt is in flight or about to be sent.
     Attempting,
-    /// Bound to a stream that has begun.
+    /// Bound to the attempt whose response has begun.
     Streaming,
     /// Answered: served.
     Served,
-    /// Answered: may come again.
+    /// Answered: not served, the client may retry.
     Rejected,
-    /// Answered: nothing is promised.
+    /// Answered: not served, and a retry may not be harmless.
     Failed,
-    /// Nobody waits any more.
+    /// The client no longer waits.
     ClientGone,
 }
 
 /// An attempt of a request.
 #[derive(Debug, Clone, Copy)]
-pub struct Sent {
-    /// The node asked.
+pub struct AttemptState {
+    /// The node that it was sent to.
     pub node: NodeId,
-    /// The source named for a miss; the node itself for a look.
+    /// The source of a fill; the node itself for a lookup.
     pub source: NodeId,
-    /// When.
-    pub at: Nanos,
-    /// Its number in the dispatcher's life.
+    /// When it was decided.
+    pub sent_at: Nanos,
+    /// Its serial number at this dispatcher.
     pub serial: u32,
-    /// Its end has not been told yet.
-    pub out: bool,
-    /// It left for the node, as far as is known.
-    pub left: bool,
-    /// It came to the node, as far as is known.
+    /// Whether its end has not been reported yet.
+    pub in_flight: bool,
+    /// Whether it was sent to the node, as far as is known.
+    pub was_sent: bool,
+    /// Whether it reached the node, as far as is known.
     pub reached: bool,
-    /// The source gives only what it holds.
+    /// Whether the source may serve only a cached copy.
     pub held_only: bool,
-    /// It should have ended before.
+    /// Whether it has been in flight for longer than expected.
     pub overdue: bool,
 }
 
-impl Sent {
-    /// An attempt that goes out now.
-    pub fn new(node: NodeId, source: NodeId, at: Nanos, serial: u32) -> Self {
-        let (out, left, reached, held_only, overdue) = (true, true, true, false, false);
-        Sent { node, source, at, serial, out, left, reached, held_only, overdue }
+impl AttemptState {
+    /// An attempt that is sent now.
+    pub fn new(node: NodeId, source: NodeId, sent_at: Nanos, serial: u32) -> Self {
+        let (in_flight, was_sent, reached, held_only, overdue) = (true, true, true, false, false);
+        AttemptState { node, source, sent_at, serial, in_flight, was_sent, reached, held_only, overdue }
     }
 
-    /// Whether it could only be answered from what the node holds.
-    pub fn is_look(&self) -> bool {
+    /// Whether it is a lookup, which only a cached copy at the node can answer.
+    pub fn is_lookup(&self) -> bool {
         self.node == self.source
     }
 }
 
-/// What MC3 says of a copy.
+/// The decision of MC3 on a copy.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Keep {
-    /// The rank that a hit gives it.
+pub struct KeepDecision {
+    /// The rank that a hit gives the copy.
     pub hit_rank: u8,
-    /// The rank at which a fill keeps it; 0 for not.
+    /// The rank at which a fill keeps the copy; 0 to keep none.
     pub fill_rank: u8,
-    /// Hops times rate, over storage cost.
-    pub ratio: f64,
+    /// Hops times request rate, divided by the storage cost.
+    pub benefit_ratio: f64,
 }
 
-/// What overload control noted of a request when it arrived.
+/// What overload control recorded of a request when it arrived.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Reservation {
     /// The fingerprint of the request and its retries.
     pub fingerprint: u64,
-    /// When it came.
+    /// When the request arrived.
     pub arrived_at: Nanos,
     /// Its priority level.
     pub priority_level: u8,
-    /// It was admitted under overload.
+    /// Whether it was admitted under overload.
     pub admitted_under_overload: bool,
-    /// Attempts that its earlier tries used.
+    /// Attempts made for the client's earlier tries of the same request.
     pub earlier_attempts: u8,
 }
 
 impl Reservation {
-    /// The level of a retry that came before its retry-after.
+    /// The level of a retry that arrived before its retry-after had passed.
     pub const EARLY_RETRY_LEVEL: u8 = u8::MAX;
 }
 
-/// A request in hand.
+/// A request that is not released yet.
 #[derive(Debug, Clone)]
 pub struct RequestState {
-    /// As it came.
+    /// The request as it arrived.
     pub routing_request: RoutingRequest,
-    /// Where it stands.
+    /// Its stage.
     pub stage: Stage,
-    /// Its sending time, told or judged.
+    /// Its work in seconds, from its size if known, else estimated.
     pub work_s: f64,
-    /// What MC3 says.
-    pub keep: Keep,
+    /// The decision of MC3 on its copy.
+    pub keep: KeepDecision,
     /// Its attempts, in order.
-    pub attempts: Vec<Sent>,
-    /// The cache that was looked at last and holds nothing.
+    pub attempts: Vec<AttemptState>,
+    /// The cache whose lookup was the last attempt and missed, if that is so.
     pub missed_at: Option<NodeId>,
-    /// That cache fills the copy for another download: it is looked at again once that may be done.
-    pub rides: Option<NodeId>,
-    /// The first attempt that is not proved never to have run.
+    /// The same cache if it is filling the copy for another request: a second lookup follows once that may have ended.
+    pub coalesced_at: Option<NodeId>,
+    /// Time and node of the first attempt that may have run.
     pub may_have_run: Option<(Nanos, NodeId)>,
-    /// The node that last answered with an error of its own.
+    /// The node that last answered with an error, while no other node has handled the request.
     pub erred_at: Option<NodeId>,
-    /// What overload control noted.
+    /// What overload control recorded.
     pub reservation: Reservation,
-    /// The rules that it is pinned to.
+    /// The rules in force when it was accepted, made stricter by each change since.
     pub pinned: PinnedRules,
 }
 
 impl RequestState {
-    /// A request just taken, with its sending time, what MC3 says, and the rules that it is taken under.
-    pub fn new(routing_request: RoutingRequest, work_s: f64, keep: Keep, pinned: PinnedRules) -> Self {
+    /// A new request without attempts.
+    pub fn new(
+        routing_request: RoutingRequest,
+        work_s: f64,
+        keep: KeepDecision,
+        pinned: PinnedRules,
+    ) -> Self {
         let (attempts, stage) = (Vec::new(), Stage::Accepted);
         let reservation = Reservation::default();
-        let (missed_at, rides, may_have_run, erred_at) = (None, None, None, None);
+        let (missed_at, coalesced_at, may_have_run, erred_at) = (None, None, None, None);
         RequestState {
             routing_request,
             stage,
@@ -179,7 +185,7 @@
             keep,
             attempts,
             missed_at,
-            rides,
+            coalesced_at,
             may_have_run,
             erred_at,
             reservation,
@@ -188,48 +194,48 @@
     }
 }
 
-/// RecencyWindow kept fills, counted by the quarter powers of two of hops times rate over storage cost.
+/// Histogram of recent kept fills by benefit ratio, with four buckets for each power of two.
 #[derive(Debug)]
-pub struct Fills(RingBuffer<64>);
+pub struct KeptFillHistogram(RingBuffer<64>);
 
-impl Fills {
-    /// None yet; counted over a window.
-    pub fn new(seen_over: Nanos, buckets: usize) -> Self {
-        Fills(RingBuffer::new(seen_over, buckets))
+impl KeptFillHistogram {
+    /// An empty histogram over a sliding window.
+    pub fn new(window: Nanos, buckets: usize) -> Self {
+        KeptFillHistogram(RingBuffer::new(window, buckets))
     }
 
-    fn place(ratio: f64) -> usize {
+    fn bucket_of(ratio: f64) -> usize {
         ((4.0 * ratio.max(1.0).log2()) as usize).min(63)
     }
 
     /// Counts a fill, if it was kept.
     pub fn add(&mut self, now: Nanos, ratio: f64, kept: bool) {
-        self.0.add(now, Self::place(ratio), f64::from(u8::from(kept)));
+        self.0.add(now, Self::bucket_of(ratio), f64::from(u8::from(kept)));
     }
 
-    /// How many had this ratio or more, and how many there were.
-    pub fn from(&self, now: Nanos, ratio: f64) -> (f64, f64) {
+    /// The number of kept fills with at least this ratio, and of all.
+    pub fn counts_from(&self, now: Nanos, ratio: f64) -> (f64, f64) {
         let counts = self.0.sums(now);
-        (counts[Self::place(ratio)..].iter().sum(), counts.iter().sum())
+        (counts[Self::bucket_of(ratio)..].iter().sum(), counts.iter().sum())
     }
 }
 
-/// A shadow entry.
+/// An entry of the ghost cache: statistics of a copy, kept without its content.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct GhostEntry {
-    /// Which object it is of.
+    /// The hash of the copy.
     pub copy_hash: u64,
-    /// When it was last asked for.
-    pub last: Nanos,
-    /// The estimate of the gap between requests.
-    pub gap_s: Option<f64>,
-    /// Hops to the closest held copy at the last fill.
+    /// When it was last requested.
+    pub last_requested: Nanos,
+    /// Estimated time between requests in seconds; `None` after the first.
+    pub request_gap_s: Option<f64>,
+    /// Hops to the closest cached copy at the last fill.
     pub hops: f64,
-    /// Its sending time as seen.
+    /// Its work in seconds as observed.
     pub work_s: Option<f64>,
 }
 
-/// Shadow entries in a bounded table that drops the least recently asked.
+/// A bounded table of ghost entries that drops the least recently requested one.
 #[derive(Debug, Default)]
 pub struct GhostCache {
     slots: Slots<GhostEntry>,
@@ -238,23 +244,23 @@
 
 impl GhostCache {
     /// Whether there is an entry for this object.
-    pub fn holds(&self, id: ObjectId) -> bool {
+    pub fn contains(&self, id: ObjectId) -> bool {
         self.order.contains(id.0)
     }
 
     /// The entry of an object.
     pub fn get(&self, id: ObjectId) -> Option<&GhostEntry> {
-        self.slots.get(id.0).filter(|_| self.holds(id))
+        self.slots.get(id.0).filter(|_| self.contains(id))
     }
 
-    /// The entry at an object's slot, if it still is of the copy with this hash.
+    /// The entry of an object, if it still belongs to the copy with this hash.
     pub fn get_mut(&mut self, id: ObjectId, copy_hash: u64) -> Option<&mut GhostEntry> {
         self.slots.get_mut(id.0).filter(|entry| entry.copy_hash == copy_hash)
     }
 
-    /// Puts an entry and returns what had to leave so that there are no more than `most`.
-    pub fn put(&mut self, id: ObjectId, entry: GhostEntry, most: usize) -> Option<ObjectId> {
-        let full = !self.holds(id) && self.order.len() >= most;
+    /// Sets the entry of an object. Returns the object that was dropped to keep the table within `max_entries`.
+    pub fn put(&mut self, id: ObjectId, entry: GhostEntry, max_entries: usize) -> Option<ObjectId> {
+        let full = !self.contains(id) && self.order.len() >= max_entries;
         let dropped = full.then(|| self.order.pop_oldest()).flatten();
         self.slots.put(id.0, entry);
         self.order.touch(id.0);
@@ -262,41 +268,41 @@
     }
 }
 
-/// What differs by content type.
+/// Settings and statistics of a content type.
 #[derive(Debug, Clone)]
-pub struct TypeRow {
-    /// What the settings say.
-    pub told: ContentType,
-    /// Its mean sending time as seen.
+pub struct ContentTypeStats {
+    /// Its settings.
+    pub config: ContentType,
+    /// Its mean work in seconds.
     pub mean_work_s: f64,
-    /// How many were seen, up to as many as the mean is over.
-    seen: f64,
-    /// How many were asked for whose sizes were told, while none was seen.
-    asked: f64,
+    /// Answers counted in the mean, up to [`MEAN_WINDOW_ANSWERS`].
+    answers: f64,
+    /// Requests of known size counted in the mean before the first answer.
+    requests: f64,
 }
 
-/// A content type's mean sending time is that of the first so many, then a moving average over as many.
-const MEAN_OVER: f64 = 50.0;
+/// The mean work of a content type is the plain mean of this many answers, then a moving average with this span.
+const MEAN_WINDOW_ANSWERS: f64 = 50.0;
 
-impl TypeRow {
-    /// A content type of which nothing was seen: a sending time stands in until then.
-    pub fn new(told: &ContentType, mean_work_s: f64) -> Self {
-        TypeRow { told: told.clone(), mean_work_s, seen: 0.0, asked: 0.0 }
+impl ContentTypeStats {
+    /// Statistics without data: `mean_work_s` is used until the first request or answer.
+    pub fn new(config: &ContentType, mean_work_s: f64) -> Self {
+        ContentTypeStats { config: config.clone(), mean_work_s, answers: 0.0, requests: 0.0 }
     }
 
-    /// Counts the sending time of what is asked for, where it is told: until an answer was seen the mean of these stands in.
-    pub fn asked(&mut self, work_s: Option<f64>) {
-        if let Some(work_s) = work_s.filter(|_| self.seen == 0.0) {
-            self.asked += 1.0;
-            self.mean_work_s += (work_s - self.mean_work_s) / self.asked;
+    /// Counts the work of a request if its size is known. Until the first answer, the mean of these is used.
+    pub fn record_request(&mut self, work_s: Option<f64>) {
+        if let Some(work_s) = work_s.filter(|_| self.answers == 0.0) {
+            self.requests += 1.0;
+            self.mean_work_s += (work_s - self.mean_work_s) / self.requests;
         }
     }
 
-    /// Counts the sending time of an answer, where it was told. Of hundreds of dispatchers each sees few: the first
-    /// answers weigh as much as those that follow.
-    pub fn saw(&mut self, work_s: Option<f64>) {
+    /// Counts the work of an answer if it is known. One of hundreds of dispatchers sees few answers, so the first
+    /// ones weigh as much as later ones.
+    pub fn record_answer(&mut self, work_s: Option<f64>) {
         let Some(work_s) = work_s else { return };
-        self.seen = (self.seen + 1.0).min(MEAN_OVER);
-        self.mean_work_s += (work_s - self.mean_work_s) / self.seen;
+        self.answers = (self.answers + 1.0).min(MEAN_WINDOW_ANSWERS);
+        self.mean_work_s += (work_s - self.mean_work_s) / self.answers;
     }
 }
--- a/crates/routing/tests/module/changed.rs
+++ b/crates/routing/tests/module/changed.rs
@@ -47,13 +47,13 @@
         dl 0: pull 1 from 1 rank 0 join
         dl 0: abandoned
         dl 1: pull 1 from 1 rank 1 join
-        note: node 1 set aside
+        note: node 1 ejected
         dl 1: abandoned
         loosened
         dl 0: pull 1 from 1 rank 0 join
         dl 0: abandoned
         dl 1: pull 1 from 1 rank 1 join
-        note: node 1 set aside
+        note: node 1 ejected
         dl 1: pull 0 from 0 rank 1 join
     "#]]
     .assert_eq(&said);
--- a/crates/routing/tests/module/cold.rs
+++ b/crates/routing/tests/module/cold.rs
@@ -4,7 +4,7 @@
 use copperroute_routing::fleet::origin_limiter::OriginLimiter;
 use copperroute_routing::fleet::slow_start::{Rate, TokenBucket, keep_one_cold};
 use copperroute_routing::interface::*;
-use copperroute_routing::state::TypeRow;
+use copperroute_routing::state::ContentTypeStats;
 use copperroute_routing::structures::random::Random;
 use expect_test::expect;
 use proptest::prelude::*;
@@ -118,13 +118,13 @@
 
 #[test]
 fn the_first_answers_settle_the_mean_and_later_ones_move_it() {
-    let mut row = TypeRow::new(&settings().content_types[0], 0.3);
-    row.saw(None);
+    let mut row = ContentTypeStats::new(&settings().content_types[0], 0.3);
+    row.record_answer(None);
     assert_eq!(row.mean_work_s, 0.3);
-    [0.04, 0.08, 0.06].into_iter().for_each(|work_s| row.saw(Some(work_s)));
+    [0.04, 0.08, 0.06].into_iter().for_each(|work_s| row.record_answer(Some(work_s)));
     assert!((row.mean_work_s - 0.06).abs() < 1e-9);
-    (0..1_000).for_each(|_| row.saw(Some(0.2)));
-    row.saw(Some(0.7));
+    (0..1_000).for_each(|_| row.record_answer(Some(0.2)));
+    row.record_answer(Some(0.7));
     assert!((row.mean_work_s - 0.21).abs() < 1e-3, "{}", row.mean_work_s);
 }
 
--- a/crates/routing/tests/module/failures.rs
+++ b/crates/routing/tests/module/failures.rs
@@ -38,7 +38,7 @@
     expect![[r#"
         dl 0: pull 1 from 1 rank 0 join
         dl 1: pull 1 from 1 rank 1 join
-        note: node 1 set aside
+        note: node 1 ejected
         dl 0: call off 0
         dl 1: call off 0
         dl 0: pull 2 from 2 rank 0 join
@@ -78,7 +78,7 @@
         dl 0: pull 2 from 2 rank 0 join
         dl 1: pull 1 from 1 rank 1 join
         dl 1: pull 2 from 2 rank 1 join
-        note: node 1 set aside
+        note: node 1 ejected
         dl 10: pull 1 from 1 rank 1 join
         dl 11: pull 2 from 2 rank 1 join
         dl 12: pull 1 from 1 rank 1 join
@@ -96,7 +96,7 @@
             module.attempt_ended(ms(1_010), RequestId(request_id), number, &error, &mut trace);
         }
     }
-    assert!(!trace.0.contains("set aside"), "{}", trace.0);
+    assert!(!trace.0.contains("ejected"), "{}", trace.0);
 }
 
 #[test]
@@ -112,7 +112,7 @@
         dl 0: pull 2 from 2 rank 0 join
         dl 1: pull 2 from 2 rank 1 join
         dl 2: pull 1 from 1 rank 1 join
-        note: node 1 set aside
+        note: node 1 ejected
         dl 3: pull 2 from 2 rank 1 join
     "#]]
     .assert_eq(&trace.0);
@@ -144,7 +144,7 @@
                 &mut trace,
             );
         }
-        assert_eq!(trace.0.contains("set aside"), aside, "{outcome:?}");
+        assert_eq!(trace.0.contains("ejected"), aside, "{outcome:?}");
     }
 }
 
@@ -167,7 +167,7 @@
     ask(&mut module, ms(1_700), 20, 0, 30, &mut trace);
     miss(&mut module, ms(1_701), 20, &mut trace);
     expect![[r#"
-        note: node 5 set aside
+        note: node 5 ejected
         dl 20: pull 1 from 1 rank 0 join
         dl 20: pull 1 from 3 rank 0 join held-only
     "#]]
@@ -234,10 +234,10 @@
         module.attempt_ended(now, RequestId(request_id), 0, &end(outcome, remark), &mut trace);
     }
     expect![[r#"
-        set aside: 3
+        ejected: 3
         throttled: 0
     "#]]
-    .assert_eq(&counts(&trace, &["set aside", "throttled"]));
+    .assert_eq(&counts(&trace, &["ejected", "throttled"]));
 }
 
 #[test]
@@ -317,7 +317,7 @@
         dl 0: pull 0 from 4 rank 1 join
         dl 1: pull 0 from 0 rank 1 join
         dl 1: pull 0 from 4 rank 1 join
-        note: node 4 set aside
+        note: node 4 ejected
         dl 0: call off 1
         dl 1: call off 1
     "#]]
--- a/crates/routing/tests/module/listed.rs
+++ b/crates/routing/tests/module/listed.rs
@@ -2,7 +2,9 @@
 
 use crate::common::*;
 use copperroute_routing::interface::*;
-use copperroute_routing::listed_nodes::{Home, Listed, Role, counted, key_of, share_of};
+use copperroute_routing::listed_nodes::{
+    Home, ListedNodes, Role, effective_weight, placement_draw, placement_key,
+};
 use copperroute_routing::nodes::{Node, Nodes};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -13,7 +15,7 @@
 fn searched<'a>(caches: impl Iterator<Item = &'a NodeEntry>, copy_hash: u64) -> Vec<Home> {
     let mut homes: Vec<Home> = Vec::new();
     for e in caches {
-        let key = key_of(share_of(copy_hash, e.hash), counted(e.weight));
+        let key = placement_key(placement_draw(copy_hash, e.hash), effective_weight(e.weight));
         match homes.iter_mut().find(|home| home.zone == e.zone) {
             Some(home) if (key, e.node) < (home.key, home.node) => (home.key, home.node) = (key, e.node),
             Some(_) => {}
@@ -34,8 +36,8 @@
             ..entry(id, 0, Readiness::Ready, Nanos::ZERO)
         })
         .collect();
-    let mut listed = Listed::default();
-    entries.iter().for_each(|e| listed.insert(e, Role::FarCache));
+    let mut listed = ListedNodes::default();
+    entries.iter().for_each(|e| listed.insert(e, Role::OtherLocationCache));
     let mut most = 0;
     for copy in 0..200_u64 {
         let copy_hash = mix(copy);
@@ -64,22 +66,22 @@
         let mut last: BTreeMap<u32, NodeEntry> = BTreeMap::new();
         for (e, whole) in lines {
             if whole {
-                nodes.unlist_all();
+                nodes.clear_list();
                 last.clear();
             }
-            nodes.relist(&[e], |e| Node::new(*e, ms(2_000), 8));
+            nodes.update_list(&[e], |e| Node::new(*e, ms(2_000), 8));
             last.insert(e.node.0, e);
             let ready = || last.values().filter(|e| e.readiness == Readiness::Ready);
             let of = |kind: u32| ready().filter(move |e| e.kind == kind).map(|e| e.node);
             let own = ready().filter(|e| e.kind == 0 && e.zone == OWN).map(|e| e.node);
-            prop_assert_eq!(nodes.caches().map(|n| n.e.node).collect::<Vec<_>>(), own.collect::<Vec<_>>());
-            prop_assert_eq!(nodes.parents().map(|n| n.e.node).collect::<Vec<_>>(), of(1).collect::<Vec<_>>());
+            prop_assert_eq!(nodes.caches().map(|n| n.entry.node).collect::<Vec<_>>(), own.collect::<Vec<_>>());
+            prop_assert_eq!(nodes.parents().map(|n| n.entry.node).collect::<Vec<_>>(), of(1).collect::<Vec<_>>());
             prop_assert_eq!(nodes.origin(), of(2).next());
             let homes = searched(ready().filter(|e| e.kind == 0), copy_hash);
             let away: Vec<_> = homes.iter().filter(|home| home.zone != OWN).map(|home| home.node).collect();
-            prop_assert_eq!(nodes.homes_away(copy_hash, ms(1), Nanos::ZERO), away);
+            prop_assert_eq!(nodes.homes_in_other_locations(copy_hash, ms(1), Nanos::ZERO), away);
             let place = homes.iter().position(|home| home.zone == OWN).unwrap_or_default();
-            prop_assert_eq!(nodes.turn(copy_hash, 0.5), (place as f64 + 0.5) / homes.len().max(1) as f64);
+            prop_assert_eq!(nodes.location_rank(copy_hash, 0.5), (place as f64 + 0.5) / homes.len().max(1) as f64);
         }
     }
 }
--- a/crates/routing/tests/module/purges.rs
+++ b/crates/routing/tests/module/purges.rs
@@ -2,7 +2,7 @@
 
 use crate::common::ms;
 use copperroute_routing::interface::Nanos;
-use copperroute_routing::purges::{MOST_HELD, Purged, Purges};
+use copperroute_routing::purges::{MAX_PURGES, Purged, Purges};
 use proptest::prelude::*;
 
 /// All purges as they were told, searched from end to end.
@@ -88,11 +88,11 @@
 fn purges_over_the_bound_become_one_of_anything() {
     let mut purges = Purges::default();
     let over = 10;
-    for at in 0..MOST_HELD as u64 + over {
+    for at in 0..MAX_PURGES as u64 + over {
         purges.add(Purged::Object(at), Nanos(at + 1));
-        assert!(purges.len() <= MOST_HELD);
+        assert!(purges.len() <= MAX_PURGES);
     }
-    assert_eq!(purges.len(), MOST_HELD);
+    assert_eq!(purges.len(), MAX_PURGES);
     // Those that had to go, and all that nobody purged, count as purged when the last of them was.
     assert_eq!(purges.last(0, None), Some(Nanos(over)));
     assert_eq!(purges.last(u64::MAX, None), Some(Nanos(over)));
--- a/crates/routing/tests/module/repeats.rs
+++ b/crates/routing/tests/module/repeats.rs
@@ -13,10 +13,10 @@
     let (a, b) = (node(1, 2, 3), node(2, 2, 3));
     let (c, d) = (node(3, UNKNOWN_ID, UNKNOWN_ID), node(4, UNKNOWN_ID, UNKNOWN_ID));
     for scope in [DedupScope::Zone, DedupScope::Cell] {
-        assert!(scope.holds_both(&a, &b) && scope.holds_both(&c, &c));
-        assert!(!scope.holds_both(&c, &d) && !scope.holds_both(&a, &c));
+        assert!(scope.covers(&a, &b) && scope.covers(&c, &c));
+        assert!(!scope.covers(&c, &d) && !scope.covers(&a, &c));
     }
-    assert!(DedupScope::All.holds_both(&c, &d));
+    assert!(DedupScope::All.covers(&c, &d));
 }
 
 #[test]
--- a/crates/routing/tests/module/rules.rs
+++ b/crates/routing/tests/module/rules.rs
@@ -64,7 +64,7 @@
         dl 1: pull 1 from 1 rank 1 join
         dl 1: pull 0 from 0 rank 1 join
         dl 2: pull 1 from 1 rank 1 join
-        note: node 1 set aside
+        note: node 1 ejected
         dl 2: throttled, come back
     "#]]
     .assert_eq(&trace.0);
--- a/crates/routing/tests/module/sizes.rs
+++ b/crates/routing/tests/module/sizes.rs
@@ -2,22 +2,22 @@
 
 use crate::common::*;
 use copperroute_routing::interface::*;
-use copperroute_routing::node_capacity::{Size, Sizes};
+use copperroute_routing::node_capacity::{CapacityEstimates, NodeCapacity};
 use copperroute_routing::policy::Dispatcher;
 use expect_test::expect;
 
 /// What a node of true size 6 is found to be after so many reports, or so many seconds of answers, by how it was listed.
 fn found(told: bool, listed: f64, reports: u32, answered_s: u64) -> f64 {
-    let (mut sizes, mut size) = (Sizes::new(told), Size::default());
+    let (mut sizes, mut size) = (CapacityEstimates::new(told), NodeCapacity::default());
     for at in 0..reports {
         let busy = [0.4, 0.6, 0.8][at as usize % 3];
-        sizes.reported(None, &mut size, (0, listed), 6.0 * busy, busy);
+        sizes.record_load_report(None, &mut size, (0, listed), 6.0 * busy, busy);
     }
     // Of two dispatchers' work one sees a half: 60 ms each 20 ms, which take half as long again as on an idle node.
     for at in 0..answered_s * 50 {
-        sizes.answered(ms(20 * (at + 1)), &mut size, (0, listed), 2, [0.06, 0.09]);
+        sizes.record_answer(ms(20 * (at + 1)), &mut size, (0, listed), 2, [0.06, 0.09]);
     }
-    (sizes.of(&size, 0, listed) * 100.0).round() / 100.0
+    (sizes.estimate(&size, 0, listed) * 100.0).round() / 100.0
 }
 
 #[test]
@@ -64,11 +64,11 @@
 
 #[test]
 fn what_is_idle_or_overrun_shows_no_size() {
-    let (mut sizes, mut size) = (Sizes::new(false), Size::default());
+    let (mut sizes, mut size) = (CapacityEstimates::new(false), NodeCapacity::default());
     for (in_hand, busy) in [(0.0, 0.5), (1.0, 0.01), (40.0, 1.0)] {
-        sizes.reported(None, &mut size, (0, 1.0), in_hand, busy);
+        sizes.record_load_report(None, &mut size, (0, 1.0), in_hand, busy);
     }
-    assert!(!sizes.known(0));
+    assert!(!sizes.is_known(0));
 }
 
 /// Two dispatchers that ask for much, of which the list gives caches this weight and cache 2 is cold; true sizes are 12.
--- a/crates/routing/tests/module/spared.rs
+++ b/crates/routing/tests/module/spared.rs
@@ -44,7 +44,7 @@
 fn seen_from(zone: u32) -> Nodes {
     let mut nodes = Nodes::new(ZoneId(zone), Some(1), Some(2), true);
     let cache = |id: u32| NodeEntry { zone: ZoneId(id / 2), ..entry(id, 0, Readiness::Ready, Nanos::ZERO) };
-    nodes.relist(&(0..6).map(cache).collect::<Vec<_>>(), |e| Node::new(*e, ms(2_000), 8));
+    nodes.update_list(&(0..6).map(cache).collect::<Vec<_>>(), |e| Node::new(*e, ms(2_000), 8));
     nodes
 }
 
@@ -52,15 +52,15 @@
 fn locations_have_one_order_for_a_copy_and_ask_the_first_of_it() {
     for object in 0..200 {
         let copy = stable_hash(format!("object-{object}").as_bytes());
-        let mut turns: Vec<_> = (0..3).map(|zone| (seen_from(zone).turn(copy, 0.0), zone)).collect();
+        let mut turns: Vec<_> = (0..3).map(|zone| (seen_from(zone).location_rank(copy, 0.0), zone)).collect();
         turns.sort_by(|a, b| a.0.total_cmp(&b.0));
         // Each has a place of its own, and the last asks the first.
         assert_eq!(turns.iter().map(|turn| (turn.0 * 3.0).round() as u32).collect::<Vec<_>>(), [0, 1, 2]);
-        let asked = seen_from(turns[2].1).homes_away(copy, ms(1), ms(1))[0];
+        let asked = seen_from(turns[2].1).homes_in_other_locations(copy, ms(1), ms(1))[0];
         assert_eq!(asked.0 / 2, turns[0].1);
     }
     // Alone, chance decides as for any share.
-    assert_eq!(Nodes::new(ZoneId(0), None, None, true).turn(7, 0.4), 0.4);
+    assert_eq!(Nodes::new(ZoneId(0), None, None, true).location_rank(7, 0.4), 0.4);
 }
 
 /// A dispatcher with a cache of another location in its list, whose parents have all just started.
