--- a/crates/routing/tests/module/common.rs
+++ b/crates/routing/tests/module/common.rs
@@ -1,10 +1,10 @@
-//! A dispatcher in a small location, and a printer of what it sends.
+//! Shared by the tests: settings and nodes of a small location, and a trace of the actions of a dispatcher.
 
 use copperroute_routing::interface::*;
 use copperroute_routing::policy::Dispatcher;
 use std::fmt::Write as _;
 
-/// Prints each thing that the module sends as a line, and keeps the timers that it arms.
+/// Writes each action as a line of text, and keeps the timers that are armed.
 #[derive(Default)]
 pub(crate) struct Trace(pub String, pub Vec<(Nanos, u64)>);
 
@@ -22,40 +22,40 @@
         let (node, source, rank) = (p.node.0, p.source.0, p.rank);
         say!(
             self,
-            "dl {}: pull {node} from {source} rank {rank}{age}{join}{held}{no_copy}{renew}",
+            "request {}: attempt {node} from {source} rank {rank}{age}{join}{held}{no_copy}{renew}",
             request_id.0
         );
     }
     fn cancel(&mut self, request_id: RequestId, number: u32) {
-        say!(self, "dl {}: call off {number}", request_id.0);
+        say!(self, "request {}: cancel {number}", request_id.0);
     }
     fn reject(&mut self, request_id: RequestId, retry_after: Option<Nanos>) {
         say!(
             self,
-            "dl {}: throttled{}",
+            "request {}: rejected{}",
             request_id.0,
-            if retry_after.is_some() { ", come back" } else { "" }
+            if retry_after.is_some() { ", retry-after" } else { "" }
         );
     }
     fn fail(&mut self, request_id: RequestId) {
-        say!(self, "dl {}: abandoned", request_id.0);
+        say!(self, "request {}: failed", request_id.0);
     }
     fn arm_timer(&mut self, span: Nanos, token: u64) {
         self.1.push((span, token));
     }
     fn probe_load(&mut self, node: NodeId) {
-        say!(self, "probe {}", node.0);
+        say!(self, "load probe {}", node.0);
     }
     fn probe_readiness(&mut self, node: NodeId) {
-        say!(self, "alive {}", node.0);
+        say!(self, "readiness probe {}", node.0);
     }
     fn subscribe_to_list(&mut self) {
-        say!(self, "follow");
+        say!(self, "subscribe");
     }
     fn log_line(&mut self, line: &str) {
-        say!(self, "note: {}", line.split(" for ").next().unwrap_or(line));
+        say!(self, "log: {}", line.split(" for ").next().unwrap_or(line));
     }
-    fn release(&mut self, _dl: RequestId) {}
+    fn release(&mut self, _request_id: RequestId) {}
     fn release_object(&mut self, _object: ObjectId) {}
 }
 
@@ -111,14 +111,14 @@
     }
 }
 
-/// Node `id`: caches are kind 0 in zone 2, parents kind 1, the origin kind 2.
+/// The entry of node `id`. Caches are kind 0 in zone 2, parents kind 1, the origin kind 2.
 pub(crate) fn entry(id: u32, kind: u32, readiness: Readiness, started: Nanos) -> NodeEntry {
     let zone = ZoneId(if kind == 0 { 2 } else { 0 });
     let hash = stable_hash(format!("node-{id}").as_bytes());
     NodeEntry { node: NodeId(id), hash, zone, kind, cell: 0, readiness, weight: 12.0, started }
 }
 
-/// A dispatcher that knows caches 0, 1, 2, parents 3, 4 and the origin 5, all warm; and its trace.
+/// A dispatcher with caches 0, 1, 2, parents 3, 4 and the origin 5, all warm, and its trace.
 pub(crate) fn start(settings: Settings) -> (Dispatcher, Trace) {
     let (mut module, mut trace) = (Dispatcher::new(settings), Trace::default());
     module.start(ms(1), &mut trace);
@@ -128,7 +128,7 @@
     (module, trace)
 }
 
-/// Request `request_id` of content type 0 for object `object`, of so many KB, which expires 3 s from now.
+/// A request of content type 0 for object `object` of `size_kb`, with a deadline 3 s from now.
 pub(crate) fn sized(now: Nanos, request_id: u32, object: u32, size_kb: f64) -> RoutingRequest {
     let hash = stable_hash(format!("object-{object}").as_bytes());
     RoutingRequest {
@@ -146,8 +146,8 @@
     }
 }
 
-/// Request `request_id` of content type `kind` for object `object`, which expires 3 s from now; 10 more on
-/// `kind` for a client's repeat.
+/// Sends a request for object `object` with a deadline 3 s from now. `kind` is the content type, plus 10 for a
+/// client's retry.
 pub(crate) fn ask(
     module: &mut Dispatcher,
     now: Nanos,
@@ -178,7 +178,7 @@
     }
 }
 
-/// The look of request `request_id` finds nothing.
+/// Ends the lookup of request `request_id` with a miss.
 pub(crate) fn miss(module: &mut Dispatcher, now: Nanos, request_id: u32, trace: &mut Trace) {
     module.attempt_ended(now, RequestId(request_id), 0, &end(Outcome::Missed, Remark::None), trace);
 }
--- a/crates/routing/tests/module/failures.rs
+++ b/crates/routing/tests/module/failures.rs
@@ -1,17 +1,19 @@
-//! What was found to fail, and what the module does about it.
+//! Failures of nodes, links and sources, and how the dispatcher reacts to them.
 
 use crate::common::*;
 use copperroute_routing::interface::*;
 use expect_test::expect;
 
-/// Counts the lines that hold each of `names`.
+/// For each of `names`, the number of lines that contain it.
 fn counts(trace: &Trace, names: &[&str]) -> String {
-    let count = |name: &&str| format!("{name}: {}\n", trace.0.lines().filter(|l| l.contains(*name)).count());
+    let count = |name: &&str| {
+        format!("{}: {}\n", name.trim(), trace.0.lines().filter(|line| line.contains(*name)).count())
+    };
     names.iter().map(count).collect()
 }
 
 #[test]
-fn fills_past_what_the_link_carries_are_refused_at_once() {
+fn fills_beyond_link_capacity_are_rejected_at_once() {
     let (mut module, mut trace) = start(settings());
     for object in 0..30 {
         ask(&mut module, ms(1_000), object, 0, object, &mut trace);
@@ -20,13 +22,13 @@
     expect![[r#"
         from 3: 6
         from 4: 10
-        throttled: 14
+        rejected: 14
     "#]]
-    .assert_eq(&counts(&trace, &["from 3", "from 4", "throttled"]));
+    .assert_eq(&counts(&trace, &["from 3", "from 4", "rejected"]));
 }
 
 #[test]
-fn a_silent_cache_is_set_aside_and_its_pulls_go_elsewhere() {
+fn silent_cache_is_ejected_and_its_attempts_are_retried_elsewhere() {
     let (mut module, mut trace) = start(settings());
     (0..2).for_each(|request_id| ask(&mut module, ms(1_000), request_id, 0, 9, &mut trace));
     module.timer(ms(1_600), 1, &mut trace);
@@ -36,20 +38,20 @@
     });
     ask(&mut module, ms(1_700), 7, 0, 9, &mut trace);
     expect![[r#"
-        dl 0: pull 1 from 1 rank 0 join
-        dl 1: pull 1 from 1 rank 1 join
-        note: node 1 ejected
-        dl 0: call off 0
-        dl 1: call off 0
-        dl 0: pull 2 from 2 rank 0 join
-        dl 1: pull 2 from 2 rank 1 join
-        dl 7: pull 2 from 2 rank 1 join
+        request 0: attempt 1 from 1 rank 0 join
+        request 1: attempt 1 from 1 rank 1 join
+        log: node 1 ejected
+        request 0: cancel 0
+        request 1: cancel 0
+        request 0: attempt 2 from 2 rank 0 join
+        request 1: attempt 2 from 2 rank 1 join
+        request 7: attempt 2 from 2 rank 1 join
     "#]]
     .assert_eq(&trace.0);
 }
 
 #[test]
-fn a_cache_that_fails_fast_is_set_aside_then_tried_with_one_pull() {
+fn failing_cache_is_ejected_then_half_open() {
     let (mut module, mut trace) = start(settings());
     for request_id in 0..2 {
         ask(&mut module, ms(1_000), request_id, 0, 9, &mut trace);
@@ -74,20 +76,20 @@
     module.attempt_ended(ms(7_100), RequestId(10), 0, &end(Outcome::Served, Remark::Hit), &mut trace);
     ask(&mut module, ms(7_200), 12, 0, 9, &mut trace);
     expect![[r#"
-        dl 0: pull 1 from 1 rank 0 join
-        dl 0: pull 2 from 2 rank 0 join
-        dl 1: pull 1 from 1 rank 1 join
-        dl 1: pull 2 from 2 rank 1 join
-        note: node 1 ejected
-        dl 10: pull 1 from 1 rank 1 join
-        dl 11: pull 2 from 2 rank 1 join
-        dl 12: pull 1 from 1 rank 1 join
+        request 0: attempt 1 from 1 rank 0 join
+        request 0: attempt 2 from 2 rank 0 join
+        request 1: attempt 1 from 1 rank 1 join
+        request 1: attempt 2 from 2 rank 1 join
+        log: node 1 ejected
+        request 10: attempt 1 from 1 rank 1 join
+        request 11: attempt 2 from 2 rank 1 join
+        request 12: attempt 1 from 1 rank 1 join
     "#]]
     .assert_eq(&trace.0);
 }
 
 #[test]
-fn what_errs_at_every_cache_says_nothing_of_them() {
+fn request_that_fails_everywhere_ejects_no_cache() {
     let (mut module, mut trace) = start(settings());
     for request_id in 0..3 {
         ask(&mut module, ms(1_000), request_id, 0, 9, &mut trace);
@@ -96,11 +98,11 @@
             module.attempt_ended(ms(1_010), RequestId(request_id), number, &error, &mut trace);
         }
     }
-    assert!(!trace.0.contains("ejected"), "{}", trace.0);
+    assert!(!trace.0.contains(" ejected"), "{}", trace.0);
 }
 
 #[test]
-fn a_connection_that_ends_is_one_failure_however_much_was_on_it() {
+fn broken_connection_counts_as_one_failure() {
     let (mut module, mut trace) = start(settings());
     (0..4).for_each(|request_id| ask(&mut module, ms(1_000), request_id, 0, 9, &mut trace));
     trace.0.clear();
@@ -109,18 +111,18 @@
     }
     module.attempt_ended(ms(1_020), RequestId(3), 0, &end(Outcome::Broken, Remark::None), &mut trace);
     expect![[r#"
-        dl 0: pull 2 from 2 rank 0 join
-        dl 1: pull 2 from 2 rank 1 join
-        dl 2: pull 1 from 1 rank 1 join
-        note: node 1 ejected
-        dl 3: pull 2 from 2 rank 1 join
+        request 0: attempt 2 from 2 rank 0 join
+        request 1: attempt 2 from 2 rank 1 join
+        request 2: attempt 1 from 1 rank 1 join
+        log: node 1 ejected
+        request 3: attempt 2 from 2 rank 1 join
     "#]]
     .assert_eq(&trace.0);
 }
 
 #[test]
-fn two_resets_in_a_row_are_chance_at_a_busy_cache_and_no_connection_is_not() {
-    for (outcome, aside) in [(Outcome::Broken, false), (Outcome::Unreachable, true)] {
+fn busy_cache_survives_two_resets_but_not_two_failed_connects() {
+    for (outcome, ejected) in [(Outcome::Broken, false), (Outcome::Unreachable, true)] {
         let (mut module, mut trace) = start(settings());
         for request_id in 0..40 {
             let at = ms(1_000 + 20 * u64::from(request_id));
@@ -144,13 +146,13 @@
                 &mut trace,
             );
         }
-        assert_eq!(trace.0.contains("ejected"), aside, "{outcome:?}");
+        assert_eq!(trace.0.contains(" ejected"), ejected, "{outcome:?}");
     }
 }
 
 #[test]
-fn a_silent_origin_leaves_the_parents_copies_in_use() {
-    // Nine fills hang while the caches answer and both parents serve what they hold.
+fn silent_origin_leaves_parent_copies_in_use() {
+    // Nine fills get no answer, while the caches answer and both parents serve cached copies.
     let (mut module, mut trace) = start(settings());
     for request_id in 0..15 {
         let at = ms(if request_id < 9 { 1_000 } else { 1_400 });
@@ -167,14 +169,15 @@
     ask(&mut module, ms(1_700), 20, 0, 30, &mut trace);
     miss(&mut module, ms(1_701), 20, &mut trace);
     expect![[r#"
-        note: node 5 ejected
-        dl 20: pull 1 from 1 rank 0 join
-        dl 20: pull 1 from 3 rank 0 join held-only
+        log: node 5 ejected
+        request 20: attempt 1 from 1 rank 0 join
+        request 20: attempt 1 from 3 rank 0 join held-only
     "#]]
     .assert_eq(&trace.0);
 }
 
-/// Where 12 fills go when parent 3 begins quickly and sends slowly, with the other parent in a state.
+/// Sources of 12 fills when parent 3 has a short time to first byte and sends slowly; `other` is the readiness of
+/// parent 4.
 fn with_a_slow_parent(other: Readiness) -> String {
     let (mut module, mut trace) = start(settings());
     module.nodes_changed(ms(900), &[entry(4, 1, other, Nanos::ZERO)], &mut trace);
@@ -182,9 +185,9 @@
         let now = ms(1_000 + 100 * u64::from(request_id));
         ask(&mut module, now, request_id, 0, 9, &mut trace);
         miss(&mut module, now, request_id, &mut trace);
-        let slow = trace.0.lines().last().is_some_and(|line| line.contains("from 3"));
+        let is_slow = trace.0.lines().last().is_some_and(|line| line.contains("from 3"));
         let (duration, first_byte_wait) =
-            if slow { (ms(900), Some(ms(10))) } else { (ms(130), Some(ms(30))) };
+            if is_slow { (ms(900), Some(ms(10))) } else { (ms(130), Some(ms(30))) };
         let ended = AttemptEnd { duration, first_byte_wait, ..end(Outcome::Served, Remark::FilledFromCopy) };
         module.attempt_ended(now.after(ms(90)), RequestId(request_id), 1, &ended, &mut trace);
     }
@@ -192,7 +195,7 @@
 }
 
 #[test]
-fn a_parent_that_sends_slowly_is_left_for_the_other_or_the_origin() {
+fn slow_parent_is_replaced_by_other_parent_or_origin() {
     expect![[r#"
         from 3: 1
         from 4: 11
@@ -205,7 +208,7 @@
 }
 
 #[test]
-fn with_no_cache_open_a_parent_is_asked_straight() {
+fn without_available_caches_a_parent_gets_direct_attempts() {
     let (mut module, mut trace) = start(settings());
     let gone = [0, 1, 2].map(|id| entry(id, 0, Readiness::Gone, Nanos::ZERO));
     module.nodes_changed(ms(900), &gone, &mut trace);
@@ -216,14 +219,14 @@
     module.nodes_changed(ms(900), &gone, &mut trace);
     ask(&mut module, ms(1_000), 1, 0, 9, &mut trace);
     expect![[r#"
-        dl 0: pull 4 from 5 rank 0 join
-        dl 1: throttled, come back
+        request 0: attempt 4 from 5 rank 0 join
+        request 1: rejected, retry-after
     "#]]
     .assert_eq(&trace.0);
 }
 
 #[test]
-fn where_all_caches_fail_at_times_those_that_answer_stay_in_use() {
+fn caches_that_answer_stay_in_use_when_all_fail_at_times() {
     let (mut module, mut trace) = start(settings());
     for request_id in 0..60 {
         let now = ms(1_000 + 20 * u64::from(request_id));
@@ -235,15 +238,15 @@
     }
     expect![[r#"
         ejected: 3
-        throttled: 0
+        rejected: 0
     "#]]
-    .assert_eq(&counts(&trace, &["ejected", "throttled"]));
+    .assert_eq(&counts(&trace, &[" ejected", "rejected"]));
 }
 
 #[test]
-fn one_own_pull_out_is_no_full_cache_and_slow_hits_are() {
-    // Found at full size: own attempts times twenty dispatchers sent nearly every request to another cache
-    // than its hash says; without them an overloaded cache did not show.
+fn load_follows_slow_hits_not_own_attempts_in_flight() {
+    // Own attempts in flight, multiplied by twenty dispatchers, sent nearly every request to another cache than the
+    // first in hash order; without any such estimate an overloaded cache was not noticed.
     let (mut module, mut trace) = start(Settings { zone_dispatchers: 20, ..settings() });
     (0..4).for_each(|request_id| ask(&mut module, ms(1_000), request_id, 0, 9, &mut trace));
     let slow = AttemptEnd { duration: ms(1_500), ..end(Outcome::Served, Remark::Hit) };
@@ -262,15 +265,15 @@
     trace.0.clear();
     (0..2).for_each(|request_id| ask(&mut module, ms(2_600), request_id, 0, 9, &mut trace));
     expect![[r#"
-        dl 0: pull 1 from 1 rank 1 join
-        dl 1: pull 2 from 2 rank 1 join
+        request 0: attempt 1 from 1 rank 1 join
+        request 1: attempt 2 from 2 rank 1 join
     "#]]
     .assert_eq(&trace.0);
 }
 
 #[test]
-fn at_a_busy_cache_a_fill_gives_way_where_a_hit_does_not() {
-    // Found on overloaded days: fills took as much of a full cache as hits, and of link and parents besides.
+fn busy_cache_limits_fills_before_hits() {
+    // Under overload, fills cost a full cache as much as hits do, and load the link and the parents as well.
     let served = [1, 2].map(|load| {
         let mut s = Settings { zone_dispatchers: 20, ..settings() };
         s.content_types[0].latency_target_stretch = 1.0;
@@ -291,19 +294,19 @@
     });
     expect![[r#"
         load 1
-        dl 70: pull 2 from 2 rank 0 join
-        dl 70: pull 2 from 4 rank 1 join
+        request 70: attempt 2 from 2 rank 0 join
+        request 70: attempt 2 from 4 rank 1 join
         load 2
-        dl 70: pull 2 from 2 rank 0 join
-        dl 70: pull 2 from 4 rank 1 join
+        request 70: attempt 2 from 2 rank 0 join
+        request 70: attempt 2 from 4 rank 1 join
     "#]]
     .assert_eq(&served.concat());
 }
 
 #[test]
-fn fills_that_hang_on_a_silent_parent_move_after_two() {
-    // Found at full size: one of hundreds asks a parent every few seconds, so three failures in 2 s never
-    // came, and each of its fills hung until its expiry.
+fn fills_leave_a_silent_parent_after_two_failures() {
+    // One of hundreds of dispatchers uses a parent every few seconds, so it never sees three failures within 2 s. Each
+    // of its fills then waited until the deadline.
     let (mut module, mut trace) = start(settings());
     module.nodes_changed(ms(900), &[entry(5, 2, Readiness::Gone, Nanos::ZERO)], &mut trace);
     for (request_id, at) in [(0, 1_000), (1, 4_000)] {
@@ -313,20 +316,20 @@
     module.timer(ms(1_600), 2, &mut trace);
     module.timer(ms(4_600), 1 << 32 | 4, &mut trace);
     expect![[r#"
-        dl 0: pull 0 from 0 rank 0 join
-        dl 0: pull 0 from 4 rank 1 join
-        dl 1: pull 0 from 0 rank 1 join
-        dl 1: pull 0 from 4 rank 1 join
-        note: node 4 ejected
-        dl 0: call off 1
-        dl 1: call off 1
+        request 0: attempt 0 from 0 rank 0 join
+        request 0: attempt 0 from 4 rank 1 join
+        request 1: attempt 0 from 0 rank 1 join
+        request 1: attempt 0 from 4 rank 1 join
+        log: node 4 ejected
+        request 0: cancel 1
+        request 1: cancel 1
     "#]]
     .assert_eq(&trace.0);
 }
 
 #[test]
-fn where_sources_refuse_fills_further_pulls_become_few() {
-    // Found at full size: second fills did not count as further attempts, so each request made all six.
+fn retries_become_rare_when_sources_refuse_fills() {
+    // Second fills were not counted as retries, so each request made all six attempts.
     let (mut module, mut trace) = start(settings());
     let attempts = (0..6).map(|request_id| {
         trace.0.clear();
@@ -336,18 +339,18 @@
             let ended = if number % 2 == 0 { end(Outcome::Missed, Remark::None) } else { refused };
             module.attempt_ended(ms(1_010), RequestId(request_id), number, &ended, &mut trace);
         }
-        trace.0.matches("pull").count()
+        trace.0.matches("attempt").count()
     });
     expect![[r#"
-        pulls for each of six: [4, 2, 4, 1, 1, 3]
+        attempts for each of six: [4, 2, 4, 1, 1, 3]
     "#]]
-    .assert_eq(&format!("pulls for each of six: {:?}\n", attempts.collect::<Vec<_>>()));
+    .assert_eq(&format!("attempts for each of six: {:?}\n", attempts.collect::<Vec<_>>()));
 }
 
 #[test]
-fn dispatchers_that_set_a_node_aside_together_come_back_apart() {
-    // Hundreds that meet a dead cache in the same moment must not all try it again in another.
-    let back = |seed| {
+fn ejection_jitter_spreads_first_attempts_after_ejection() {
+    // Hundreds of dispatchers that find a cache dead at the same time must not all try it again at the same time.
+    let first_attempt_ms = |seed| {
         let (mut module, mut trace) = start(Settings { seed, ..settings() });
         ask(&mut module, ms(1_000), 0, 0, 9, &mut trace);
         module.timer(ms(1_600), 1, &mut trace);
@@ -356,14 +359,14 @@
         let tries = (0..100_u32).map(|step| (step, ms(3_000 + 50 * u64::from(step))));
         let mut asked = tries.map(|(step, now)| {
             ask(&mut module, now, 10 + step, 0, 9, &mut trace);
-            (now.0 / 1_000_000, trace.0.contains("pull 1 "))
+            (now.0 / 1_000_000, trace.0.contains("attempt 1 "))
         });
-        asked.find(|(_, back)| *back).map_or(0, |(now, _)| now)
+        asked.find(|(_, attempted)| *attempted).map_or(0, |(now, _)| now)
     };
     let mut seconds = [0; 8];
-    (0..200).for_each(|seed| seconds[(back(seed) / 1_000) as usize] += 1);
+    (0..200).for_each(|seed| seconds[(first_attempt_ms(seed) / 1_000) as usize] += 1);
     expect![[r#"
-        back in second 0, 1, ...: [0, 0, 0, 0, 35, 100, 65, 0]
+        first attempts in second 0, 1, ...: [0, 0, 0, 0, 35, 100, 65, 0]
     "#]]
-    .assert_eq(&format!("back in second 0, 1, ...: {seconds:?}\n"));
+    .assert_eq(&format!("first attempts in second 0, 1, ...: {seconds:?}\n"));
 }
--- a/crates/routing/tests/module/listed.rs
+++ b/crates/routing/tests/module/listed_nodes.rs
@@ -1,4 +1,4 @@
-//! The listed nodes by what they are: the same as a search through all of them, at less work.
+//! The index of listed nodes gives the same results as a search through all nodes, with fewer computations.
 
 use crate::common::*;
 use copperroute_routing::interface::*;
@@ -11,8 +11,8 @@
 
 const OWN: ZoneId = ZoneId(2);
 
-/// The homes as a search through all caches finds them.
-fn searched<'a>(caches: impl Iterator<Item = &'a NodeEntry>, copy_hash: u64) -> Vec<Home> {
+/// The homes of a copy by a search through all caches.
+fn search_homes<'a>(caches: impl Iterator<Item = &'a NodeEntry>, copy_hash: u64) -> Vec<Home> {
     let mut homes: Vec<Home> = Vec::new();
     for e in caches {
         let key = placement_key(placement_draw(copy_hash, e.hash), effective_weight(e.weight));
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn few_caches_of_a_large_fleet_are_weighed_for_the_homes_of_a_copy() {
+fn homes_of_a_copy_need_few_exact_keys() {
     const ZONES: u32 = 34;
     let entries: Vec<_> = (0..3_200)
         .map(|id| NodeEntry {
@@ -38,34 +38,35 @@
         .collect();
     let mut listed = ListedNodes::default();
     entries.iter().for_each(|e| listed.insert(e, Role::OtherLocationCache));
-    let mut most = 0;
+    let mut max_keys = 0;
     for copy in 0..200_u64 {
         let copy_hash = mix(copy);
-        let (homes, weighed) = listed.homes(copy_hash);
-        assert_eq!(homes, searched(entries.iter(), copy_hash));
-        most = most.max(weighed);
+        let (homes, keys_computed) = listed.homes(copy_hash);
+        assert_eq!(homes, search_homes(entries.iter(), copy_hash));
+        max_keys = max_keys.max(keys_computed);
     }
-    // A location has 94 of them; of those each time one takes the first place it is weighed, and few besides.
-    assert!(most <= 8 * ZONES as usize, "{most} of 3,200 caches were weighed");
+    // A location has about 94 caches. An exact key is needed for each one that becomes the first so far, and few
+    // others.
+    assert!(max_keys <= 8 * ZONES as usize, "{max_keys} exact keys computed for 3,200 caches");
 }
 
-fn lines() -> impl Strategy<Value = Vec<(NodeEntry, bool)>> {
+fn deltas() -> impl Strategy<Value = Vec<(NodeEntry, bool)>> {
     let line = (0_u32..24, 0_u32..3, 0_u32..4, 0_u32..4, 1_u32..4, 0_u32..30);
-    let line = line.prop_map(|(id, kind, zone, state, weight, whole)| {
+    let line = line.prop_map(|(id, kind, zone, state, weight, is_snapshot)| {
         let readiness = [Readiness::Ready, Readiness::Ready, Readiness::Draining, Readiness::Gone];
         let e = entry(id, kind, readiness[state as usize], Nanos::ZERO);
-        (NodeEntry { zone: ZoneId(zone), weight: f64::from(weight), ..e }, whole == 0)
+        (NodeEntry { zone: ZoneId(zone), weight: f64::from(weight), ..e }, is_snapshot == 0)
     });
     prop::collection::vec(line, 1..120)
 }
 
 proptest! {
     #[test]
-    fn lines_as_they_change_lead_to_what_a_search_through_all_finds(lines in lines(), copy_hash: u64) {
+    fn index_matches_a_full_search_after_any_deltas(deltas in deltas(), copy_hash: u64) {
         let mut nodes = Nodes::new(OWN, Some(1), Some(2), true);
         let mut last: BTreeMap<u32, NodeEntry> = BTreeMap::new();
-        for (e, whole) in lines {
-            if whole {
+        for (e, is_snapshot) in deltas {
+            if is_snapshot {
                 nodes.clear_list();
                 last.clear();
             }
@@ -77,9 +78,9 @@
             prop_assert_eq!(nodes.caches().map(|n| n.entry.node).collect::<Vec<_>>(), own.collect::<Vec<_>>());
             prop_assert_eq!(nodes.parents().map(|n| n.entry.node).collect::<Vec<_>>(), of(1).collect::<Vec<_>>());
             prop_assert_eq!(nodes.origin(), of(2).next());
-            let homes = searched(ready().filter(|e| e.kind == 0), copy_hash);
-            let away: Vec<_> = homes.iter().filter(|home| home.zone != OWN).map(|home| home.node).collect();
-            prop_assert_eq!(nodes.homes_in_other_locations(copy_hash, ms(1), Nanos::ZERO), away);
+            let homes = search_homes(ready().filter(|e| e.kind == 0), copy_hash);
+            let other_locations: Vec<_> = homes.iter().filter(|home| home.zone != OWN).map(|home| home.node).collect();
+            prop_assert_eq!(nodes.homes_in_other_locations(copy_hash, ms(1), Nanos::ZERO), other_locations);
             let place = homes.iter().position(|home| home.zone == OWN).unwrap_or_default();
             prop_assert_eq!(nodes.location_rank(copy_hash, 0.5), (place as f64 + 0.5) / homes.len().max(1) as f64);
         }
--- a/crates/routing/tests/module/spared.rs
+++ b/crates/routing/tests/module/origin_limits.rs
@@ -1,4 +1,4 @@
-//! An origin that is slow, set aside or stopped, and parents that bear nothing: who fetches then, and what still runs.
+//! Fills and uncacheable requests while the origin is slow, ejected or stopped, or while no parent can take a fill.
 
 use crate::common::*;
 use copperroute_routing::interface::*;
@@ -6,8 +6,8 @@
 use copperroute_routing::policy::Dispatcher;
 use expect_test::expect;
 
-/// Fails the origin eight times in a row, then asks for `more` requests that must run there.
-fn aside(outcome: Outcome, more: u32) -> String {
+/// Eight consecutive failures of the origin, then `more` requests that must run there.
+fn after_origin_failures(outcome: Outcome, more: u32) -> String {
     let (mut module, mut trace) = start(settings());
     let mut now = ms(10);
     for request_id in 0..8 {
@@ -24,24 +24,24 @@
 }
 
 #[test]
-fn a_few_that_must_run_at_the_origin_still_do_while_it_is_set_aside_unless_it_died() {
+fn ejected_origin_still_runs_a_few_requests_unless_it_died() {
     expect![[r#"
-        dl 20: pull 5 from 5 rank 0 join
-        dl 21: pull 5 from 5 rank 0 join
-        dl 22: pull 5 from 5 rank 0 join
-        dl 23: pull 5 from 5 rank 0 join
-        dl 24: pull 5 from 5 rank 0 join
+        request 20: attempt 5 from 5 rank 0 join
+        request 21: attempt 5 from 5 rank 0 join
+        request 22: attempt 5 from 5 rank 0 join
+        request 23: attempt 5 from 5 rank 0 join
+        request 24: attempt 5 from 5 rank 0 join
     "#]]
-    .assert_eq(&aside(Outcome::Failed, 5));
+    .assert_eq(&after_origin_failures(Outcome::Failed, 5));
     expect![[r#"
-        dl 20: throttled, come back
-        dl 21: throttled, come back
+        request 20: rejected, retry-after
+        request 21: rejected, retry-after
     "#]]
-    .assert_eq(&aside(Outcome::Unreachable, 2));
+    .assert_eq(&after_origin_failures(Outcome::Unreachable, 2));
 }
 
-/// The nodes as a dispatcher of this location sees them: three locations with two caches each.
-fn seen_from(zone: u32) -> Nodes {
+/// The nodes for a dispatcher of this location: three locations with two caches each.
+fn nodes_of(zone: u32) -> Nodes {
     let mut nodes = Nodes::new(ZoneId(zone), Some(1), Some(2), true);
     let cache = |id: u32| NodeEntry { zone: ZoneId(id / 2), ..entry(id, 0, Readiness::Ready, Nanos::ZERO) };
     nodes.update_list(&(0..6).map(cache).collect::<Vec<_>>(), |e| Node::new(*e, ms(2_000), 8));
@@ -49,32 +49,32 @@
 }
 
 #[test]
-fn locations_have_one_order_for_a_copy_and_ask_the_first_of_it() {
+fn locations_agree_on_a_copys_order_and_ask_the_first() {
     for object in 0..200 {
         let copy = stable_hash(format!("object-{object}").as_bytes());
-        let mut turns: Vec<_> = (0..3).map(|zone| (seen_from(zone).location_rank(copy, 0.0), zone)).collect();
-        turns.sort_by(|a, b| a.0.total_cmp(&b.0));
-        // Each has a place of its own, and the last asks the first.
-        assert_eq!(turns.iter().map(|turn| (turn.0 * 3.0).round() as u32).collect::<Vec<_>>(), [0, 1, 2]);
-        let asked = seen_from(turns[2].1).homes_in_other_locations(copy, ms(1), ms(1))[0];
-        assert_eq!(asked.0 / 2, turns[0].1);
+        let mut ranks: Vec<_> = (0..3).map(|zone| (nodes_of(zone).location_rank(copy, 0.0), zone)).collect();
+        ranks.sort_by(|a, b| a.0.total_cmp(&b.0));
+        // Each location has its own rank, and the last one fills from the first.
+        assert_eq!(ranks.iter().map(|rank| (rank.0 * 3.0).round() as u32).collect::<Vec<_>>(), [0, 1, 2]);
+        let sibling = nodes_of(ranks[2].1).homes_in_other_locations(copy, ms(1), ms(1))[0];
+        assert_eq!(sibling.0 / 2, ranks[0].1);
     }
-    // Alone, chance decides as for any share.
+    // With a single location, the rank is the random number.
     assert_eq!(Nodes::new(ZoneId(0), None, None, true).location_rank(7, 0.4), 0.4);
 }
 
-/// A dispatcher with a cache of another location in its list, whose parents have all just started.
+/// A dispatcher with a cache of another location in its list. All parents have just started.
 fn parents_cold(fill_from_other_locations: bool) -> (Dispatcher, Trace) {
     let (mut module, mut trace) =
         start(Settings { fill_from_other_locations, overload_window: ms(1), ..settings() });
-    let away = NodeEntry { zone: ZoneId(4), ..entry(6, 0, Readiness::Ready, Nanos::ZERO) };
+    let other_location = NodeEntry { zone: ZoneId(4), ..entry(6, 0, Readiness::Ready, Nanos::ZERO) };
     let parents = [3, 4].map(|id| entry(id, 1, Readiness::Ready, ms(9_999)));
-    module.nodes_changed(ms(10_000), &[&parents[..], &[away]].concat(), &mut trace);
+    module.nodes_changed(ms(10_000), &[&parents[..], &[other_location]].concat(), &mut trace);
     (module, trace)
 }
 
 #[test]
-fn where_no_parent_bears_a_fill_the_copys_cache_of_another_location_is_asked() {
+fn without_usable_parents_a_fill_uses_a_cache_of_another_location() {
     let filled = |sideways| {
         let (mut module, mut trace) = parents_cold(sideways);
         ask(&mut module, ms(10_001), 0, 0, 1, &mut trace);
@@ -82,21 +82,21 @@
         trace.0
     };
     expect![[r#"
-        dl 0: pull 1 from 1 rank 0 join
-        dl 0: pull 1 from 6 rank 1 join held-only
+        request 0: attempt 1 from 1 rank 0 join
+        request 0: attempt 1 from 6 rank 1 join held-only
     "#]]
     .assert_eq(&filled(true));
     expect![[r#"
-        dl 0: pull 1 from 1 rank 0 join
-        dl 0: throttled, come back
+        request 0: attempt 1 from 1 rank 0 join
+        request 0: rejected, retry-after
     "#]]
     .assert_eq(&filled(false));
 }
 
 #[test]
-fn a_fill_is_too_late_only_at_a_cache_that_is_loaded_over_what_it_can_do() {
+fn fill_is_too_late_only_at_an_overloaded_cache() {
     let (mut module, mut trace) = start(settings());
-    // Fetches have come to take long, though in time for a large object.
+    // Fetches take long, but are in time for a large object.
     for request_id in 0..300 {
         let now = ms(20 * u64::from(request_id));
         ask(&mut module, now, request_id, 0, request_id, &mut trace);
@@ -113,8 +113,8 @@
     ask(&mut module, ms(7_000), 900, 0, 900, &mut trace);
     miss(&mut module, ms(7_001), 900, &mut trace);
     expect![[r#"
-        dl 900: pull 1 from 1 rank 0 join
-        dl 900: pull 1 from 4 rank 0 join
+        request 900: attempt 1 from 1 rank 0 join
+        request 900: attempt 1 from 4 rank 0 join
     "#]]
     .assert_eq(&trace.0);
 }
--- a/crates/routing/tests/module/purges.rs
+++ b/crates/routing/tests/module/purges.rs
@@ -1,11 +1,11 @@
-//! Purges, beside the simplest model of them: a list of all that were told.
+//! The set of purges, compared with a simple model: a list of all purges.
 
 use crate::common::ms;
 use copperroute_routing::interface::Nanos;
 use copperroute_routing::purges::{MAX_PURGES, Purged, Purges};
 use proptest::prelude::*;
 
-/// All purges as they were told, searched from end to end.
+/// All purges in the order of arrival, searched linearly.
 #[derive(Default)]
 struct PurgeList(Vec<(Purged, Nanos)>);
 
@@ -28,7 +28,7 @@
     }
 }
 
-/// What may happen: a purge of some age, or time that goes by and what is old is forgotten.
+/// A step of the property test: a purge of some age, time that passes, or old purges that are dropped.
 #[derive(Debug, Clone)]
 enum Step {
     Purge(Purged, u64),
@@ -48,7 +48,7 @@
     prop_oneof![
         6 => (purged(), 0_u64..12_000).prop_map(|(what, age_ms)| Step::Purge(what, age_ms)),
         2 => (0_u64..3_000).prop_map(Step::Pass),
-        // The span may change with the rules in force.
+        // The span may change with the settings.
         2 => (1_000_u64..9_000).prop_map(Step::Forget),
     ]
 }
@@ -57,7 +57,7 @@
     #![proptest_config(ProptestConfig::with_cases(2_000))]
 
     #[test]
-    fn answers_are_those_of_a_list_of_all(steps in prop::collection::vec(step(), 1..120)) {
+    fn answers_match_a_list_of_all_purges(steps in prop::collection::vec(step(), 1..120)) {
         let (mut purges, mut list) = (Purges::default(), PurgeList::default());
         let mut now = ms(20_000);
         for step in steps {
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn purges_over_the_bound_become_one_of_anything() {
+fn purges_over_the_bound_become_one_of_any_object() {
     let mut purges = Purges::default();
     let over = 10;
     for at in 0..MAX_PURGES as u64 + over {
@@ -93,7 +93,7 @@
         assert!(purges.len() <= MAX_PURGES);
     }
     assert_eq!(purges.len(), MAX_PURGES);
-    // Those that had to go, and all that nobody purged, count as purged when the last of them was.
+    // Objects whose purges were dropped, and those never purged, count as purged at the time of the last one dropped.
     assert_eq!(purges.last(0, None), Some(Nanos(over)));
     assert_eq!(purges.last(u64::MAX, None), Some(Nanos(over)));
     assert_eq!(purges.last(over, None), Some(Nanos(over + 1)));
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn the_same_object_again_takes_no_further_room() {
+fn repeated_purges_of_an_object_take_one_entry() {
     let mut purges = Purges::default();
     for at in 0..100_000 {
         purges.add(Purged::Object(7), Nanos(at));
--- a/crates/routing/tests/module/ordinary.rs
+++ b/crates/routing/tests/module/request_path.rs
@@ -1,16 +1,16 @@
-//! The ordinary path: MC3 decides what is kept, at which rank, and whether the parent keeps a copy.
+//! The path of a request: MC3 decides whether a copy is kept, at which rank, and whether the parent keeps one.
 
 use crate::common::*;
 use copperroute_routing::interface::*;
 use expect_test::expect;
 use std::fmt::Write as _;
 
-/// Settings of the only dispatcher of a location.
+/// Settings of a location with a single dispatcher.
 fn alone() -> Settings {
     Settings { zone_dispatchers: 1, ..settings() }
 }
 
-/// Asks for object 9 after each of `gaps`; a look misses and the fill is answered with `remark`.
+/// Requests object 9 after each of `gaps`, in ms. Each lookup misses, and the fill ends with `remark`.
 fn missed(gaps: &[u64], remark: Remark) -> String {
     let (mut module, mut trace) = start(alone());
     let mut now = ms(1_000);
@@ -31,31 +31,31 @@
 }
 
 #[test]
-fn a_first_request_passes_unkept_and_the_second_is_kept() {
+fn first_request_is_not_kept_and_second_is() {
     expect![[r#"
-        dl 0: pull 1 from 1 rank 0 join
-        dl 0: pull 1 from 4 rank 0 join
-        dl 1: pull 1 from 1 rank 1 join
-        dl 1: pull 1 from 3 rank 1 join
+        request 0: attempt 1 from 1 rank 0 join
+        request 0: attempt 1 from 4 rank 0 join
+        request 1: attempt 1 from 1 rank 1 join
+        request 1: attempt 1 from 3 rank 1 join
     "#]]
     .assert_eq(&missed(&[0, 5_000], Remark::FilledFromCopy));
 }
 
 #[test]
-fn the_closer_copy_makes_it_not_worth_keeping() {
-    // 60 s apart: worth it two hops from a copy, not one hop from it.
+fn copy_one_hop_away_is_not_worth_keeping() {
+    // Requests 60 s apart: a copy is worth keeping two hops from the closest one, not one hop from it.
     let near = missed(&[0, 60_000], Remark::FilledFromCopy);
     let far = missed(&[0, 60_000], Remark::FilledFromOrigin);
     let last = |trace: &str| trace.lines().last().unwrap_or_default().to_string();
     expect![[r#"
-        near dl 1: pull 1 from 3 rank 0 join
-        far  dl 1: pull 1 from 3 rank 0 join
+        near request 1: attempt 1 from 3 rank 0 join
+        far  request 1: attempt 1 from 3 rank 0 join
     "#]]
     .assert_eq(&format!("near {}\nfar  {}\n", last(&near), last(&far)));
 }
 
 #[test]
-fn a_hit_on_what_is_not_worth_keeping_gets_the_lowest_rank() {
+fn hit_on_copy_not_worth_keeping_gets_lowest_rank() {
     let (mut module, mut trace) = start(settings());
     for (request_id, at) in [(0, 1_000), (1, 3_000), (2, 300_000)] {
         ask(&mut module, ms(at), request_id, 1, 9, &mut trace);
@@ -68,18 +68,18 @@
         );
     }
     expect![[r#"
-        dl 0: pull 1 from 1 rank 0 join
-        dl 1: pull 1 from 1 rank 1 join
-        dl 2: pull 1 from 1 rank 1 join
+        request 0: attempt 1 from 1 rank 0 join
+        request 1: attempt 1 from 1 rank 1 join
+        request 2: attempt 1 from 1 rank 1 join
     "#]]
     .assert_eq(&trace.0);
 }
 
 #[test]
-fn a_small_share_of_fills_gets_the_upper_ranks_and_the_top_skips_the_parent() {
+fn upper_ranks_are_rare_and_top_rank_leaves_no_parent_copy() {
     let (mut module, mut trace) = start(alone());
     let mut now = ms(1_000);
-    // Twenty objects asked for twice, 9 s apart; then one asked for ten times a second.
+    // Twenty objects requested twice, 9 s apart; then one object requested ten times a second.
     let asked = (0..40).map(|n| (n % 20, 450)).chain((0..6).map(|_| (50, 100)));
     for (request_id, (object, gap)) in asked.enumerate() {
         now = now.after(ms(gap));
@@ -100,27 +100,28 @@
 }
 
 #[test]
-fn a_clients_repeat_is_no_request_more() {
-    // Found on scans: repeats of refused requests had one-off objects kept, at the upper ranks even.
+fn client_retry_does_not_count_as_a_request() {
+    // Guards against scans: retries of rejected requests caused objects requested only once to be kept, some at
+    // upper ranks.
     let (mut module, mut trace) = start(alone());
     for (request_id, at, kind) in [(0, 1_000, 0), (1, 1_200, 10), (2, 9_000, 0)] {
         ask(&mut module, ms(at), request_id, kind, 9, &mut trace);
         miss(&mut module, ms(at), request_id, &mut trace);
     }
     expect![[r#"
-        dl 0: pull 1 from 1 rank 0 join
-        dl 0: pull 1 from 4 rank 0 join
-        dl 1: pull 1 from 1 rank 0 join
-        dl 1: pull 1 from 4 rank 0 join
-        dl 2: pull 1 from 1 rank 1 join
-        dl 2: pull 1 from 4 rank 1 join
+        request 0: attempt 1 from 1 rank 0 join
+        request 0: attempt 1 from 4 rank 0 join
+        request 1: attempt 1 from 1 rank 0 join
+        request 1: attempt 1 from 4 rank 0 join
+        request 2: attempt 1 from 1 rank 1 join
+        request 2: attempt 1 from 4 rank 1 join
     "#]]
     .assert_eq(&trace.0);
 }
 
 #[test]
-fn of_several_dispatchers_most_first_downloads_are_kept_as_the_locations_second() {
-    // Found at full size: what one of twenty asks for first was mostly asked for at the location before.
+fn with_several_dispatchers_most_first_requests_are_kept() {
+    // What is new to one of twenty dispatchers was mostly requested at the location before.
     let kept = [1, 2, 20].map(|zone_dispatchers| {
         let (mut module, mut trace) = start(Settings { zone_dispatchers, ..settings() });
         for request_id in 0..100 {
@@ -138,13 +139,13 @@
     .assert_eq(&format!("kept of 100, by 1, 2 and 20 dispatchers: {kept:?}\n"));
 }
 
-/// A look at object 9 finds a fill of it under way for another request; then what the look after the wait finds.
-fn fill_under_way(coalesces_fills: bool, again: Outcome, remark: Remark) -> String {
+/// A lookup of object 9 finds a fill in flight for another request; the lookup after the wait ends as given.
+fn fill_in_flight(coalesces_fills: bool, again: Outcome, remark: Remark) -> String {
     let (mut module, mut trace) = start(Settings { coalesces_fills, ..alone() });
-    // A look again is armed under a token whose low half is all ones.
+    // The timer of a second lookup has a token whose low half is all ones.
     let waits = |trace: &mut Trace| {
         let armed = trace.1.drain(..).rfind(|(_, token)| *token as u32 == u32::MAX);
-        let _ = armed.map(|(wait, _)| writeln!(trace.0, "looks again after {:.2} s", wait.secs()));
+        let _ = armed.map(|(wait, _)| writeln!(trace.0, "second lookup after {:.2} s", wait.secs()));
         armed.map(|armed| armed.1)
     };
     ask(&mut module, ms(1_000), 0, 0, 9, &mut trace);
@@ -158,46 +159,46 @@
 }
 
 #[test]
-fn where_fills_are_not_shared_a_fill_under_way_is_waited_for_not_made_twice() {
+fn without_coalescing_a_fill_in_flight_is_waited_for() {
     expect![[r#"
-        dl 0: pull 1 from 1 rank 0
-        looks again after 0.07 s
-        dl 0: pull 1 from 1 rank 0
+        request 0: attempt 1 from 1 rank 0
+        second lookup after 0.07 s
+        request 0: attempt 1 from 1 rank 0
     "#]]
-    .assert_eq(&fill_under_way(false, Outcome::Served, Remark::Hit));
-    // It is under way still: once more, leaving room for a fill of its own.
+    .assert_eq(&fill_in_flight(false, Outcome::Served, Remark::Hit));
+    // The fill is still in flight: one more wait, which leaves an attempt for a fill by this request.
     expect![[r#"
-        dl 0: pull 1 from 1 rank 0
-        looks again after 0.07 s
-        dl 0: pull 1 from 1 rank 0
-        looks again after 0.14 s
+        request 0: attempt 1 from 1 rank 0
+        second lookup after 0.07 s
+        request 0: attempt 1 from 1 rank 0
+        second lookup after 0.14 s
     "#]]
-    .assert_eq(&fill_under_way(false, Outcome::Missed, Remark::Joined));
-    // Where fills are shared, the fill rides on the one under way.
+    .assert_eq(&fill_in_flight(false, Outcome::Missed, Remark::Joined));
+    // With coalesced fills, the fill joins the one in flight.
     expect![[r#"
-        dl 0: pull 1 from 1 rank 0 join
-        dl 0: pull 1 from 4 rank 0 join
+        request 0: attempt 1 from 1 rank 0 join
+        request 0: attempt 1 from 4 rank 0 join
     "#]]
-    .assert_eq(&fill_under_way(true, Outcome::Served, Remark::FilledFromCopy));
+    .assert_eq(&fill_in_flight(true, Outcome::Served, Remark::FilledFromCopy));
 }
 
-/// A dispatcher that also knows caches 6 and 7 of another location; a look at object 9 misses, then the fill ends so.
+/// With caches 6 and 7 of another location in the list: a lookup of object 9 misses, then the fill ends as given.
 fn filled_elsewhere(sideways: bool, outcome: Outcome, remark: Remark) -> String {
     elsewhere(sideways, true, Nanos::ZERO, outcome, remark)
 }
 
 fn elsewhere(
     fill_from_other_locations: bool,
-    spared: bool,
+    is_limited: bool,
     started: Nanos,
     outcome: Outcome,
     remark: Remark,
 ) -> String {
     let (mut module, mut trace) = start(Settings { fill_from_other_locations, ..alone() });
-    let away = |id| NodeEntry { zone: ZoneId(1), ..entry(id, 0, Readiness::Ready, started) };
-    module.nodes_changed(ms(1), &[away(6), away(7)], &mut trace);
-    // The origin has failed lately: it is spared.
-    for request_id in (10..20).filter(|_| spared) {
+    let other_location = |id| NodeEntry { zone: ZoneId(1), ..entry(id, 0, Readiness::Ready, started) };
+    module.nodes_changed(ms(1), &[other_location(6), other_location(7)], &mut trace);
+    // The origin has failed recently, so fetches from it are limited.
+    for request_id in (10..20).filter(|_| is_limited) {
         ask(&mut module, ms(500), request_id, 0, request_id, &mut trace);
         miss(&mut module, ms(500), request_id, &mut trace);
         module.attempt_ended(
@@ -216,34 +217,34 @@
 }
 
 #[test]
-fn where_caches_may_fill_from_other_locations_a_fill_asks_there_first() {
+fn limited_fills_try_other_locations_first() {
     expect![[r#"
-        dl 0: pull 1 from 1 rank 0 join
-        dl 0: pull 1 from 6 rank 0 join held-only
+        request 0: attempt 1 from 1 rank 0 join
+        request 0: attempt 1 from 6 rank 0 join held-only
     "#]]
     .assert_eq(&filled_elsewhere(true, Outcome::Served, Remark::FilledFromCopy));
-    // What it lacks goes to the parents, and that cache is not asked again.
+    // If that cache has no copy, a parent fills, and the cache is not tried again.
     expect![[r#"
-        dl 0: pull 1 from 1 rank 0 join
-        dl 0: pull 1 from 6 rank 0 join held-only
-        dl 0: pull 1 from 4 rank 0 held-only
+        request 0: attempt 1 from 1 rank 0 join
+        request 0: attempt 1 from 6 rank 0 join held-only
+        request 0: attempt 1 from 4 rank 0 held-only
     "#]]
     .assert_eq(&filled_elsewhere(true, Outcome::Missed, Remark::SourceHasNone));
     expect![[r#"
-        dl 0: pull 1 from 1 rank 0 join
-        dl 0: pull 1 from 4 rank 0 join held-only
+        request 0: attempt 1 from 1 rank 0 join
+        request 0: attempt 1 from 4 rank 0 join held-only
     "#]]
     .assert_eq(&filled_elsewhere(false, Outcome::Served, Remark::FilledFromCopy));
-    // Caches there that have just started are not asked (rule 4).
+    // Cold caches of other locations are not used (rule 4).
     expect![[r#"
-        dl 0: pull 1 from 1 rank 0 join
-        dl 0: pull 1 from 4 rank 0 join held-only
+        request 0: attempt 1 from 1 rank 0 join
+        request 0: attempt 1 from 4 rank 0 join held-only
     "#]]
     .assert_eq(&elsewhere(true, true, ms(900), Outcome::Served, Remark::FilledFromCopy));
-    // While the origin is not spared, parents fill as they would.
+    // While fetches from the origin are not limited, a parent fills.
     expect![[r#"
-        dl 0: pull 1 from 1 rank 0 join
-        dl 0: pull 1 from 4 rank 0 join
+        request 0: attempt 1 from 1 rank 0 join
+        request 0: attempt 1 from 4 rank 0 join
     "#]]
     .assert_eq(&elsewhere(true, false, Nanos::ZERO, Outcome::Served, Remark::FilledFromCopy));
 }
--- a/crates/routing/tests/module/repeats.rs
+++ b/crates/routing/tests/module/retry_safety.rs
@@ -1,10 +1,10 @@
-//! Within which nodes, and until when, a repeat of a deduped request is known.
+//! Nodes and time within which duplicates of a deduped request are recognised.
 
 use crate::common::*;
 use copperroute_routing::interface::*;
 
 #[test]
-fn nodes_whose_zone_or_cell_is_not_told_share_it_with_nobody() {
+fn unknown_zone_or_cell_is_shared_with_no_node() {
     let node = |id, zone, cell| NodeEntry {
         zone: ZoneId(zone),
         cell,
@@ -20,10 +20,10 @@
 }
 
 #[test]
-fn a_repeat_is_written_a_little_before_its_time_ends() {
+fn retry_must_be_sent_before_the_window_ends() {
     let deduped = RetrySafety::Deduped { scope: DedupScope::All, window: ms(400) };
     assert_eq!(deduped.send_by(ms(1_000)), Some(ms(1_375)));
-    // A window shorter than that leaves no time at all.
+    // A window shorter than the margin allows no retry.
     let short = RetrySafety::Deduped { scope: DedupScope::All, window: ms(10) };
     assert_eq!(short.send_by(ms(1_000)), Some(ms(1_000)));
     assert_eq!(
--- a/crates/routing/tests/module/rules.rs
+++ b/crates/routing/tests/module/safety_rules.rs
@@ -1,32 +1,32 @@
-//! The five rules, as decision traces.
+//! The five rules that every decision obeys.
 
 use crate::common::*;
 use copperroute_routing::interface::*;
 use expect_test::expect;
 
 #[test]
-fn one_final_answer_whatever_comes_after() {
+fn each_request_gets_one_final_answer() {
     let (mut module, mut trace) = start(settings());
     ask(&mut module, ms(1_000), 0, 0, 1, &mut trace);
     module.client_gone(ms(1_100), RequestId(0), &mut trace);
     module.client_gone(ms(1_100), RequestId(0), &mut trace);
     module.attempt_ended(ms(1_200), RequestId(0), 0, &end(Outcome::Cancelled, Remark::None), &mut trace);
     module.attempt_ended(ms(1_300), RequestId(0), 0, &end(Outcome::Failed, Remark::None), &mut trace);
-    // Out of time: the answer comes with the outcome, and nothing follows.
+    // After a timeout, the final answer is sent with the outcome, and nothing follows.
     ask(&mut module, ms(2_000), 1, 0, 1, &mut trace);
     module.attempt_ended(ms(5_000), RequestId(1), 0, &end(Outcome::TimedOut, Remark::None), &mut trace);
     module.client_gone(ms(5_000), RequestId(1), &mut trace);
     expect![[r#"
-        dl 0: pull 1 from 1 rank 0 join
-        dl 0: call off 0
-        dl 1: pull 1 from 1 rank 1 join
-        dl 1: abandoned
+        request 0: attempt 1 from 1 rank 0 join
+        request 0: cancel 0
+        request 1: attempt 1 from 1 rank 1 join
+        request 1: failed
     "#]]
     .assert_eq(&trace.0);
 }
 
 #[test]
-fn what_must_not_run_twice_goes_again_only_when_it_never_ran() {
+fn non_retriable_request_is_retried_only_if_it_never_ran() {
     let (mut module, mut trace) = start(settings());
     ask(&mut module, ms(1_000), 0, 2, 1, &mut trace);
     module.attempt_ended(ms(1_100), RequestId(0), 0, &end(Outcome::Unreachable, Remark::None), &mut trace);
@@ -34,17 +34,17 @@
     ask(&mut module, ms(1_300), 1, 2, 1, &mut trace);
     module.attempt_ended(ms(1_400), RequestId(1), 0, &end(Outcome::TimedOut, Remark::None), &mut trace);
     expect![[r#"
-        dl 0: pull 5 from 5 rank 0 join
-        dl 0: pull 3 from 5 rank 0 join
-        dl 0: abandoned
-        dl 1: pull 5 from 5 rank 0 join
-        dl 1: abandoned
+        request 0: attempt 5 from 5 rank 0 join
+        request 0: attempt 3 from 5 rank 0 join
+        request 0: failed
+        request 1: attempt 5 from 5 rank 0 join
+        request 1: failed
     "#]]
     .assert_eq(&trace.0);
 }
 
 #[test]
-fn deduped_downloads_keep_to_their_group_and_window() {
+fn deduped_requests_are_retried_within_scope_and_window() {
     let mut s = settings();
     let window = ms(500);
     s.content_types[0].retry_safety = RetrySafety::Deduped { scope: DedupScope::Cell, window };
@@ -59,19 +59,19 @@
         module.attempt_ended(now, RequestId(request_id), 0, &end(Outcome::Broken, Remark::None), &mut trace);
     }
     expect![[r#"
-        dl 0: pull 1 from 1 rank 0 join
-        dl 0: pull 2 from 2 rank 0 join
-        dl 1: pull 1 from 1 rank 1 join
-        dl 1: pull 0 from 0 rank 1 join
-        dl 2: pull 1 from 1 rank 1 join
-        note: node 1 ejected
-        dl 2: throttled, come back
+        request 0: attempt 1 from 1 rank 0 join
+        request 0: attempt 2 from 2 rank 0 join
+        request 1: attempt 1 from 1 rank 1 join
+        request 1: attempt 0 from 0 rank 1 join
+        request 2: attempt 1 from 1 rank 1 join
+        log: node 1 ejected
+        request 2: rejected, retry-after
     "#]]
     .assert_eq(&trace.0);
 }
 
 #[test]
-fn what_drains_or_is_gone_is_neither_asked_nor_named_as_a_source() {
+fn draining_and_gone_nodes_get_no_attempts() {
     let (mut module, mut trace) = start(settings());
     let drained = [1, 3].map(|id| entry(id, u32::from(id == 3), Readiness::Draining, Nanos::ZERO));
     module.nodes_changed(ms(900), &drained, &mut trace);
@@ -80,24 +80,24 @@
         ask(&mut module, now, object, 0, object, &mut trace);
         miss(&mut module, now, object, &mut trace);
     }
-    // A whole list: what it leaves out is gone.
+    // A snapshot of the list: nodes that are not in it are gone.
     let kinds = [(2, 0), (4, 1), (5, 2)];
     let list = kinds.map(|(id, kind)| entry(id, kind, Readiness::Ready, Nanos::ZERO));
     module.node_list_replaced(ms(1_100), &list, &mut trace);
     ask(&mut module, ms(1_200), 9, 0, 0, &mut trace);
     miss(&mut module, ms(1_201), 9, &mut trace);
     expect![[r#"
-        dl 0: pull 0 from 0 rank 0 join
-        dl 0: pull 0 from 4 rank 1 join
-        dl 1: pull 0 from 0 rank 0 join
-        dl 1: pull 0 from 4 rank 0 join
-        dl 9: pull 2 from 2 rank 1 join
-        dl 9: pull 2 from 4 rank 1 join
+        request 0: attempt 0 from 0 rank 0 join
+        request 0: attempt 0 from 4 rank 1 join
+        request 1: attempt 0 from 0 rank 0 join
+        request 1: attempt 0 from 4 rank 0 join
+        request 9: attempt 2 from 2 rank 1 join
+        request 9: attempt 2 from 4 rank 1 join
     "#]]
     .assert_eq(&trace.0);
 }
 
-/// How many of 40 requests at once go to node 1, a cache or parent that started `age` ago.
+/// How many of 40 simultaneous requests go to a cache or parent that started `age` ms ago.
 fn sent_to_cold(kind: u32, age: u64) -> usize {
     let (mut module, mut trace) = start(settings());
     let (now, node) = (ms(60_000), if kind == 0 { 1 } else { 4 });
@@ -106,12 +106,12 @@
         ask(&mut module, now, object, 0, object, &mut trace);
         miss(&mut module, now, object, &mut trace);
     }
-    let name = if kind == 0 { format!("pull {node} ") } else { format!("from {node} ") };
+    let name = if kind == 0 { format!("attempt {node} ") } else { format!("from {node} ") };
     trace.0.matches(&name).count()
 }
 
 #[test]
-fn cold_nodes_get_no_more_than_this_dispatchers_part() {
+fn cold_nodes_get_only_this_dispatchers_share() {
     let caches = [0, 5_000, 10_000, 15_000].map(|age| sent_to_cold(0, age));
     let parents = [0, 7_000, 14_000, 21_000].map(|age| sent_to_cold(1, age));
     expect![[r#"
@@ -122,9 +122,9 @@
 }
 
 #[test]
-fn hundreds_of_dispatchers_share_a_cold_parent_by_chance() {
-    // A part of it is under one download: a hard bound sent nothing for the whole warm-up, a floor of one
-    // for each would push it over. What all send in the rule's time, in requests, as it warms up.
+fn many_dispatchers_share_a_cold_parent_by_probability() {
+    // The share of one dispatcher is less than one request. A hard limit would send nothing for the whole warm-up, a
+    // minimum of one request for each dispatcher would overload the node. Counts the requests that all send at once.
     let sent = [0, 7_000, 14_000].map(|age| {
         let one = |seed| {
             let (mut module, mut trace) = start(Settings { seed, dispatchers: 300, ..settings() });
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn purges_cap_the_age_at_looks_and_fills_until_copies_are_gone() {
+fn purges_limit_copy_age_until_old_copies_are_gone() {
     let (mut module, mut trace) = start(settings());
     let object = stable_hash(b"object-1");
     module.object_purged(ms(1_000), object, ms(200), &mut trace);
@@ -158,30 +158,30 @@
         miss(&mut module, ms(at), request_id, &mut trace);
     }
     expect![[r#"
-        dl 0: pull 1 from 1 rank 0 age<=0.200 join
-        dl 0: pull 1 from 3 rank 1 age<=0.200 join
-        dl 1: pull 1 from 1 rank 1 age<=0.000 join
-        dl 1: pull 1 from 3 rank 1 age<=0.000 join
-        dl 2: pull 1 from 1 rank 1 age<=1.000 join
-        dl 2: pull 1 from 3 rank 1 age<=1.000 join
-        dl 3: pull 1 from 1 rank 1 age<=5.500 join
-        dl 3: pull 1 from 3 rank 1 age<=5.500 join
-        dl 4: pull 1 from 1 rank 1 join
-        dl 4: pull 1 from 3 rank 1 join
+        request 0: attempt 1 from 1 rank 0 age<=0.200 join
+        request 0: attempt 1 from 3 rank 1 age<=0.200 join
+        request 1: attempt 1 from 1 rank 1 age<=0.000 join
+        request 1: attempt 1 from 3 rank 1 age<=0.000 join
+        request 2: attempt 1 from 1 rank 1 age<=1.000 join
+        request 2: attempt 1 from 3 rank 1 age<=1.000 join
+        request 3: attempt 1 from 1 rank 1 age<=5.500 join
+        request 3: attempt 1 from 3 rank 1 age<=5.500 join
+        request 4: attempt 1 from 1 rank 1 join
+        request 4: attempt 1 from 3 rank 1 join
     "#]]
     .assert_eq(&trace.0);
 }
 
 #[test]
-fn a_cache_that_drains_while_it_is_looked_at_is_not_filled() {
+fn cache_that_drains_during_a_lookup_is_not_filled() {
     let (mut module, mut trace) = start(settings());
     ask(&mut module, ms(1_000), 0, 0, 1, &mut trace);
     module.nodes_changed(ms(1_100), &[entry(1, 0, Readiness::Draining, Nanos::ZERO)], &mut trace);
-    // A busy cache answers the look only after the grace of the drain.
+    // A busy cache answers the lookup only after the grace period of the drain.
     miss(&mut module, ms(2_300), 0, &mut trace);
     expect![[r#"
-        dl 0: pull 1 from 1 rank 0 join
-        dl 0: pull 0 from 0 rank 0 join
+        request 0: attempt 1 from 1 rank 0 join
+        request 0: attempt 0 from 0 rank 0 join
     "#]]
     .assert_eq(&trace.0);
 }
--- a/crates/routing/tests/module/changed.rs
+++ b/crates/routing/tests/module/settings_changes.rs
@@ -1,10 +1,11 @@
-//! Rules that change while requests are out.
+//! Settings that change while requests are in flight.
 
 use crate::common::*;
 use copperroute_routing::interface::*;
 use expect_test::expect;
 
-/// The most attempts that a request takes whose nodes all refuse, by seeds, with other rules in force once it is out.
+/// The most attempts, over some seeds, of a request that all nodes refuse, if settings change from `before` to
+/// `after` while its first attempt is in flight.
 fn attempts(before: &Settings, after: &Settings) -> usize {
     let one = |seed: u64| {
         let (mut module, mut trace) = start(Settings { seed, ..before.clone() });
@@ -14,13 +15,13 @@
             let refused = end(Outcome::Refused, Remark::None);
             module.attempt_ended(ms(1_010), RequestId(0), number, &refused, &mut trace);
         }
-        trace.0.matches("pull").count()
+        trace.0.matches("attempt").count()
     };
     (1..40).map(one).max().unwrap_or(0)
 }
 
 #[test]
-fn a_further_pull_obeys_what_a_download_was_taken_under_and_what_is_in_force() {
+fn retries_obey_pinned_and_current_rules() {
     let (loose, mut tight) = (settings(), settings());
     tight.max_attempts = 2;
     assert!(attempts(&loose, &loose) > 2);
@@ -29,10 +30,10 @@
 }
 
 #[test]
-fn a_type_that_becomes_non_retriable_is_not_repeated_nor_offered_for_it() {
+fn non_retriable_type_is_neither_retried_nor_rejected() {
     let (loose, mut tight) = (settings(), settings());
     tight.content_types[0].retry_safety = RetrySafety::NonRetriable;
-    let mut said = String::new();
+    let mut traces = String::new();
     for (name, before, after) in [("tightened", &loose, &tight), ("loosened", &tight, &loose)] {
         let (mut module, mut trace) = start(before.clone());
         ask(&mut module, ms(1_000), 0, 0, 1, &mut trace);
@@ -40,27 +41,27 @@
         module.attempt_ended(ms(1_100), RequestId(0), 0, &end(Outcome::Broken, Remark::None), &mut trace);
         ask(&mut module, ms(1_200), 1, 0, 1, &mut trace);
         module.attempt_ended(ms(1_300), RequestId(1), 0, &end(Outcome::Broken, Remark::None), &mut trace);
-        said += &format!("{name}\n{}", trace.0);
+        traces += &format!("{name}\n{}", trace.0);
     }
     expect![[r#"
         tightened
-        dl 0: pull 1 from 1 rank 0 join
-        dl 0: abandoned
-        dl 1: pull 1 from 1 rank 1 join
-        note: node 1 ejected
-        dl 1: abandoned
+        request 0: attempt 1 from 1 rank 0 join
+        request 0: failed
+        request 1: attempt 1 from 1 rank 1 join
+        log: node 1 ejected
+        request 1: failed
         loosened
-        dl 0: pull 1 from 1 rank 0 join
-        dl 0: abandoned
-        dl 1: pull 1 from 1 rank 1 join
-        note: node 1 ejected
-        dl 1: pull 0 from 0 rank 1 join
+        request 0: attempt 1 from 1 rank 0 join
+        request 0: failed
+        request 1: attempt 1 from 1 rank 1 join
+        log: node 1 ejected
+        request 1: attempt 0 from 0 rank 1 join
     "#]]
-    .assert_eq(&said);
+    .assert_eq(&traces);
 }
 
 #[test]
-fn what_was_learnt_stays_when_rules_change() {
+fn statistics_survive_settings_changes() {
     let (mut module, mut trace) = start(settings());
     for at in 0..4 {
         ask(&mut module, ms(1_000 + 500 * at), 0, 0, 1, &mut trace);
@@ -85,12 +86,12 @@
         client: 0,
         body_hash: 0,
     };
-    let known = module.copy_demand(&d);
+    let demand = module.copy_demand(&d);
     let mut tight = settings();
     (tight.max_attempts, tight.cache_cold.share) = (2, 0.1);
     module.settings_changed(&tight);
-    assert!(known.is_some_and(|known| known.0.is_some()));
-    assert_eq!(module.copy_demand(&d), known);
+    assert!(demand.is_some_and(|demand| demand.0.is_some()));
+    assert_eq!(module.copy_demand(&d), demand);
     ask(&mut module, ms(4_000), 1, 0, 1, &mut trace);
-    assert!(trace.0.contains("dl 1: pull"), "{}", trace.0);
+    assert!(trace.0.contains("request 1: attempt"), "{}", trace.0);
 }
--- a/crates/routing/tests/module/cold.rs
+++ b/crates/routing/tests/module/slow_start.rs
@@ -1,4 +1,5 @@
-//! What cold nodes are sent: by one dispatcher, and by the sum of hundreds.
+//! Slow start of cold nodes: work sent by one dispatcher and by hundreds together. Also the mean work of content
+//! types and the limits on fetches from the origin.
 
 use crate::common::*;
 use copperroute_routing::fleet::origin_limiter::OriginLimiter;
@@ -11,20 +12,21 @@
 
 const WINDOW: Nanos = Nanos(3_000_000_000);
 
-/// What a node bears of which the rule bears two and a half times as much.
-fn room(bearable: f64, sharers: u32) -> Rate {
+/// The rate for a node of this capacity, if rule 4 allows 2.5 times as much.
+fn rate(bearable: f64, sharers: u32) -> Rate {
     Rate::new(bearable, 2.5, WINDOW, sharers)
 }
 
-/// Work that so many dispatchers send a cold node that can do 2.4 s of it a second, each asked so often, in a minute.
-fn sent_by(dispatchers: u32, every_ms: u64, work_s: f64) -> f64 {
+/// Work in seconds that these dispatchers send in a minute to a cold node of capacity 2.4, if each gets a request
+/// every `every_ms`.
+fn work_sent_by(dispatchers: u32, every_ms: u64, work_s: f64) -> f64 {
     let mut chance = Random::new(u64::from(dispatchers));
     let mut sent = 0.0;
     for _ in 0..dispatchers {
         let mut bucket = TokenBucket::default();
         let mut at = (chance.next_f64() * every_ms as f64) as u64;
         while at < 60_000 {
-            let send = bucket.spend(ms(1 + at), &room(2.4, dispatchers), work_s);
+            let send = bucket.spend(ms(1 + at), &rate(2.4, dispatchers), work_s);
             sent += if chance.next_f64() < send { work_s } else { 0.0 };
             at += (every_ms as f64 * (0.5 + chance.next_f64())) as u64;
         }
@@ -33,26 +35,30 @@
 }
 
 #[test]
-fn however_many_share_a_cold_node_they_send_it_what_it_can_do() {
-    // 144 s of work can be done; the same is asked for however many ask.
+fn slow_start_sum_does_not_grow_with_the_number_of_dispatchers() {
+    // The node can do 144 s of work. The total load does not depend on the number of dispatchers.
     let sent = [1, 10, 100, 300, 1_000].map(|dispatchers| {
-        let busy = sent_by(dispatchers, u64::from(dispatchers) * 20, 0.12);
-        let thin = sent_by(dispatchers, u64::from(dispatchers) * 50, 0.12);
-        format!("{dispatchers}: {:.2} of it, {:.2} where it just suffices\n", busy / 144.0, thin / 144.0)
+        let high_load = work_sent_by(dispatchers, u64::from(dispatchers) * 20, 0.12);
+        let low_load = work_sent_by(dispatchers, u64::from(dispatchers) * 50, 0.12);
+        format!(
+            "{dispatchers}: {:.2} of capacity at high load, {:.2} at low load\n",
+            high_load / 144.0,
+            low_load / 144.0
+        )
     });
     expect![[r#"
-        1: 1.04 of it, 1.01 where it just suffices
-        10: 1.00 of it, 0.98 where it just suffices
-        100: 0.99 of it, 0.49 where it just suffices
-        300: 0.42 of it, 0.15 where it just suffices
-        1000: 0.11 of it, 0.02 where it just suffices
+        1: 1.04 of capacity at high load, 1.01 at low load
+        10: 1.00 of capacity at high load, 0.98 at low load
+        100: 0.99 of capacity at high load, 0.49 at low load
+        300: 0.42 of capacity at high load, 0.15 at low load
+        1000: 0.11 of capacity at high load, 0.02 at low load
     "#]]
     .assert_eq(&sent.concat());
 }
 
 proptest! {
     #[test]
-    fn no_more_is_spent_than_has_grown(
+    fn token_bucket_spends_no_more_than_has_accrued(
         gaps in prop::collection::vec((0_u64..4_000, 1_u64..1_500), 1..200), sharers in 1_u32..500, bearable in 0.05_f64..30.0,
     ) {
         let mut bucket = TokenBucket::default();
@@ -61,7 +67,7 @@
         for (gap, work_ms) in gaps {
             now = now.after(ms(gap));
             let work_s = work_ms as f64 / 1e3;
-            let chance = bucket.spend(now, &room(bearable, sharers), work_s);
+            let chance = bucket.spend(now, &rate(bearable, sharers), work_s);
             prop_assert!((0.0..=1.0).contains(&chance));
             prop_assert!(chance == 0.0 || work_s <= 0.25 * bearable * WINDOW.secs());
             spent += chance * work_s;
@@ -71,13 +77,13 @@
 }
 
 #[test]
-fn of_cold_caches_the_first_is_asked_and_of_warm_ones_any() {
+fn only_the_first_cold_cache_is_kept() {
     let mut caches = vec![(1, true), (2, false), (3, true), (4, false)];
     keep_one_cold(&mut caches, |cache| cache.1);
     assert_eq!(caches, [(1, true), (2, false), (4, false)]);
 }
 
-/// A location of ten dispatchers whose caches have all just started.
+/// A dispatcher of a location with ten dispatchers, whose caches have all just started.
 fn all_cold(now: Nanos) -> (copperroute_routing::policy::Dispatcher, Trace) {
     let mut s = settings();
     (s.dispatchers, s.zone_dispatchers) = (10, 10);
@@ -88,7 +94,7 @@
 }
 
 #[test]
-fn where_all_caches_are_cold_a_copy_is_looked_for_in_one_place_and_nothing_goes_past_them() {
+fn with_all_caches_cold_a_copy_has_one_cache_and_none_is_bypassed() {
     let (mut module, mut trace) = all_cold(ms(60_000));
     for at in 0..300 {
         let now = ms(60_000 + at * 40);
@@ -104,20 +110,20 @@
     let mut nodes: Vec<_> = trace
         .0
         .lines()
-        .filter(|line| line.contains("pull"))
+        .filter(|line| line.contains("attempt"))
         .map(|line| {
-            let node = line.split("pull ").nth(1).unwrap_or_default();
+            let node = line.split("attempt ").nth(1).unwrap_or_default();
             node.split(" from").next().unwrap_or_default().to_string()
         })
         .collect();
     assert!(nodes.len() > 3, "{}", trace.0);
     nodes.dedup();
-    assert_eq!(nodes, ["1"], "only the copy's first cache");
-    assert!(trace.0.contains("throttled, come back"));
+    assert_eq!(nodes, ["1"], "only the first cache of the copy");
+    assert!(trace.0.contains("rejected, retry-after"));
 }
 
 #[test]
-fn the_first_answers_settle_the_mean_and_later_ones_move_it() {
+fn mean_work_is_a_plain_mean_then_a_moving_average() {
     let mut row = ContentTypeStats::new(&settings().content_types[0], 0.3);
     row.record_answer(None);
     assert_eq!(row.mean_work_s, 0.3);
@@ -128,15 +134,15 @@
     assert!((row.mean_work_s - 0.21).abs() < 1e-3, "{}", row.mean_work_s);
 }
 
-/// Six fills hang, and are looked at when they are overdue or not; how many of thirty that follow, each of which a parent
-/// gives at once, might have been fetched from the origin.
-fn fetched_after_fills_hung(look: bool) -> usize {
+/// Six fills get no answer; their overdue timers fire or not. Returns how many of the next thirty fills, each of
+/// which a parent answers at once, were allowed to fetch from the origin.
+fn fetches_after_silent_fills(fire_timers: bool) -> usize {
     let (mut module, mut trace) = start(settings());
     for request_id in 0..6 {
         ask(&mut module, ms(10_000), request_id, 0, request_id + 1, &mut trace);
         miss(&mut module, ms(10_001), request_id, &mut trace);
     }
-    if look {
+    if fire_timers {
         for (_, token) in std::mem::take(&mut trace.1) {
             module.timer(ms(11_000), token, &mut trace);
         }
@@ -154,13 +160,16 @@
 }
 
 #[test]
-fn fills_that_hang_spare_the_origin_before_they_end() {
-    let [waited, looked] = [false, true].map(fetched_after_fills_hung);
-    assert!(waited >= 10 && looked * 3 <= waited, "{waited} without a look, {looked} with one");
+fn overdue_fills_limit_the_origin_before_they_end() {
+    let [without_timers, with_timers] = [false, true].map(fetches_after_silent_fills);
+    assert!(
+        without_timers >= 10 && with_timers * 3 <= without_timers,
+        "{without_timers} without overdue timers, {with_timers} with them"
+    );
 }
 
 #[test]
-fn an_overdue_fill_that_comes_after_all_counts_as_what_it_was() {
+fn late_fill_no_longer_counts_as_overdue() {
     let mut origin = OriginLimiter::new();
     assert_eq!(origin.allowed_share(ms(1_000)), 1.0);
     (0..4).for_each(|_| origin.fetch_overdue(ms(1_000)));
@@ -171,38 +180,38 @@
         origin.fetch_answered(ms(1_200), 0.05, 0.8);
     }
     assert_eq!(origin.allowed_share(ms(1_200)), 1.0);
-    // What was late is forgotten after two seconds, what came since is not taken for less than nothing.
+    // An overdue fill is forgotten after two seconds; if it ends later, the count does not become negative.
     origin.fetch_overdue(ms(1_300));
     origin.overdue_ended(ms(3_900));
     assert_eq!(origin.allowed_share(ms(4_000)), 1.0);
 }
 
-/// Keeps the times to come back that are told, and passes over all else.
+/// Records retry-after times and ignores all other actions.
 #[derive(Default)]
-struct Told(Vec<Nanos>);
+struct RetryAfterTimes(Vec<Nanos>);
 
-impl Actions for Told {
-    fn attempt(&mut self, _dl: RequestId, _attempt: &Attempt) {}
-    fn cancel(&mut self, _dl: RequestId, _number: u32) {}
-    fn reject(&mut self, _dl: RequestId, retry_after: Option<Nanos>) {
+impl Actions for RetryAfterTimes {
+    fn attempt(&mut self, _request_id: RequestId, _attempt: &Attempt) {}
+    fn cancel(&mut self, _request_id: RequestId, _number: u32) {}
+    fn reject(&mut self, _request_id: RequestId, retry_after: Option<Nanos>) {
         self.0.extend(retry_after);
     }
-    fn fail(&mut self, _dl: RequestId) {}
+    fn fail(&mut self, _request_id: RequestId) {}
     fn arm_timer(&mut self, _span: Nanos, _token: u64) {}
     fn probe_load(&mut self, _node: NodeId) {}
     fn subscribe_to_list(&mut self) {}
     fn log_line(&mut self, _line: &str) {}
-    fn release(&mut self, _dl: RequestId) {}
+    fn release(&mut self, _request_id: RequestId) {}
     fn release_object(&mut self, _object: ObjectId) {}
 }
 
 #[test]
-fn who_a_cold_cache_cannot_bear_is_told_to_come_back_when_the_part_has_grown() {
+fn retry_after_follows_the_token_bucket_of_a_cold_cache() {
     let told = |dispatchers| {
         let mut s = settings();
         (s.dispatchers, s.zone_dispatchers) = (dispatchers, dispatchers);
         let (mut module, _) = start(s);
-        let mut told = Told::default();
+        let mut told = RetryAfterTimes::default();
         let cold = [0, 1, 2].map(|id| entry(id, 0, Readiness::Ready, ms(60_000)));
         module.nodes_changed(ms(60_000), &cold, &mut told);
         let asked = |at: u32| RoutingRequest {
@@ -222,21 +231,22 @@
         told.0.iter().map(|wait| wait.secs()).sum::<f64>() / told.0.len() as f64
     };
     let [few, many] = [2, 100].map(told);
-    // Two seconds is the longest that clients heed here.
+    // The longest retry-after in these settings is 2 s.
     assert!(few < 0.5 && many > 1.5, "{few:.2} s of a few, {many:.2} s of many");
 }
 
 #[test]
-fn a_dispatcher_that_has_answered_nothing_rates_its_first_pull_by_the_size_that_is_told() {
-    // A part of a second is 0.12 s of sending, the request 0.1 s: its chance is certain once it is rated by its own size.
-    let pulled = (0..40).filter(|seed| {
+fn first_request_is_rated_by_its_known_size() {
+    // The bucket holds 0.12 s of work after a second and the request needs 0.1 s, so it is certain to be sent if it
+    // is rated by its own size.
+    let sent = (0..40).filter(|seed| {
         let mut s = settings();
         (s.seed, s.dispatchers, s.zone_dispatchers) = (*seed, 20, 20);
         let (mut module, mut trace) = start(s);
         let cold = [0, 1, 2].map(|id| entry(id, 0, Readiness::Ready, ms(9_000)));
         module.nodes_changed(ms(10_000), &cold, &mut trace);
         ask(&mut module, ms(10_000), 0, 0, 1, &mut trace);
-        trace.0.contains("pull")
+        trace.0.contains("attempt")
     });
-    assert_eq!(pulled.count(), 40);
+    assert_eq!(sent.count(), 40);
 }
--- a/crates/routing/tests/module/cold_fleet.rs
+++ b/crates/routing/tests/module/slow_start_fleet.rs
@@ -1,5 +1,5 @@
-//! A fleet of dispatchers before a cache and a parent that have just started: their real decisions on one clock, and what
-//! comes to the two nodes of all together.
+//! Simulation of a fleet of dispatchers with a cache and a parent that have just started. All dispatchers make real
+//! decisions on one clock; the attempts that reach the two cold nodes are recorded.
 
 use crate::common::*;
 use copperroute_routing::interface::*;
@@ -7,35 +7,35 @@
 use copperroute_routing::structures::random::Random;
 use std::collections::BTreeMap;
 
-/// A node that starts, and how it is asked.
+/// A scenario: the cold nodes and the load.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Case {
+pub(crate) struct Scenario {
     pub dispatchers: u32,
-    /// How many the settings name.
-    pub told: u32,
-    /// Transfers at once that the cold node fits once it is warm.
+    /// Number of dispatchers in the settings, which may differ.
+    pub listed_dispatchers: u32,
+    /// Capacity of the cold nodes once they are warm, in concurrent transfers.
     pub weight: f64,
     pub multiple: f64,
     pub window: Nanos,
-    /// Requests a second of all dispatchers.
+    /// Requests a second at all dispatchers.
     pub rate: f64,
-    /// No request comes from this second to that; then forty times as many for a second.
-    pub silent: (u64, u64),
+    /// No request arrives from the first of these seconds to the second; then forty times the rate for a second.
+    pub silence: (u64, u64),
     pub restarts: Restarts,
 }
 
-/// Which dispatchers begin anew in the middle of what is counted, with nothing known but the list.
+/// Which dispatchers restart during the measurement, with nothing but the node list.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum Restarts {
     None,
-    /// At this second, so many of a hundred.
+    /// At this second, this percentage of them.
     Once(u64, u32),
-    /// All in turn, each so often.
+    /// All in turn, each once per interval.
     InTurn(Nanos),
 }
 
 impl Restarts {
-    /// Those of so many dispatchers that begin anew between two moments since the node's start.
+    /// The dispatchers that restart between two times, counted from the start of the cold nodes.
     fn due(&self, dispatchers: u32, since: Nanos, until: Nanos, chance: &mut Random) -> Vec<usize> {
         let all = 0..dispatchers as usize;
         match *self {
@@ -54,37 +54,37 @@
     }
 }
 
-/// Of each request 100 ms are sent.
+/// Work of each request in seconds.
 pub(crate) const WORK_S: f64 = 0.1;
-/// How both nodes start.
-pub(crate) const SHARE: f64 = 0.2;
+/// Cold start of both nodes: initial share of the capacity, and warm-up time.
+pub(crate) const INITIAL_SHARE: f64 = 0.2;
 const WARM_AFTER: Nanos = Nanos(15_000_000_000);
-/// The node starts at this second, and is told of one later.
-const STARTS: u64 = 60;
-/// Seconds that are looked at.
-const SECONDS: u64 = 14;
+/// The nodes start at this second; the node list shows it one second later.
+const NODE_START_S: u64 = 60;
+/// Duration of the measurement in seconds.
+const MEASURED_S: u64 = 14;
 /// The cold cache, and the cold parent.
-const COLD: [u32; 2] = [0, 3];
+const COLD_NODES: [u32; 2] = [0, 3];
 
-/// Ends of attempts to come: whose, of which request, the attempt's number, its node and source.
+/// Ends of attempts by time: dispatcher, request, number of the attempt, node and source.
 type Ends = BTreeMap<(Nanos, u32), (usize, RequestId, u32, u32, u32)>;
 
-/// What one dispatcher sends: whether a call goes to the cold nodes.
+/// The attempts that one dispatcher sends.
 #[derive(Default)]
-struct Calls {
+struct SentAttempts {
     attempts: Vec<(RequestId, u32, u32, u32)>,
     counts: BTreeMap<u32, u32>,
 }
 
-impl Actions for Calls {
+impl Actions for SentAttempts {
     fn attempt(&mut self, request_id: RequestId, attempt: &Attempt) {
         let number = self.counts.entry(request_id.0).or_default();
         self.attempts.push((request_id, *number, attempt.node.0, attempt.source.0));
         *number += 1;
     }
-    fn cancel(&mut self, _dl: RequestId, _number: u32) {}
-    fn reject(&mut self, _dl: RequestId, _come_back: Option<Nanos>) {}
-    fn fail(&mut self, _dl: RequestId) {}
+    fn cancel(&mut self, _request_id: RequestId, _number: u32) {}
+    fn reject(&mut self, _request_id: RequestId, _retry_after: Option<Nanos>) {}
+    fn fail(&mut self, _request_id: RequestId) {}
     fn arm_timer(&mut self, _span: Nanos, _token: u64) {}
     fn probe_load(&mut self, _node: NodeId) {}
     fn subscribe_to_list(&mut self) {}
@@ -95,13 +95,14 @@
     fn release_object(&mut self, _object: ObjectId) {}
 }
 
-impl Case {
+impl Scenario {
     fn settings(&self, seed: u64) -> Settings {
-        let cold = ColdStart { share: SHARE, warm_after: WARM_AFTER, overload_multiple: self.multiple };
+        let cold =
+            ColdStart { share: INITIAL_SHARE, warm_after: WARM_AFTER, overload_multiple: self.multiple };
         Settings {
             seed,
-            dispatchers: self.told,
-            zone_dispatchers: self.told,
+            dispatchers: self.listed_dispatchers,
+            zone_dispatchers: self.listed_dispatchers,
             cache_cold: cold,
             parent_cold: cold,
             overload_window: self.window,
@@ -112,7 +113,7 @@
     fn list(&self, started: Nanos) -> Vec<NodeEntry> {
         let nodes = [(0, 0), (1, 0), (2, 0), (3, 1), (4, 1), (5, 2)];
         let listed = nodes.map(|(id, kind)| {
-            let started = if COLD.contains(&id) { started } else { Nanos::ZERO };
+            let started = if COLD_NODES.contains(&id) { started } else { Nanos::ZERO };
             NodeEntry { weight: self.weight, ..entry(id, kind, Readiness::Ready, started) }
         });
         listed.to_vec()
@@ -120,58 +121,61 @@
 
     fn begin(&self, now: Nanos, seed: u64, started: Nanos) -> Dispatcher {
         let mut module = Dispatcher::new(self.settings(seed));
-        let mut out = Calls::default();
+        let mut out = SentAttempts::default();
         module.start(now, &mut out);
         module.node_list_replaced(now, &self.list(started), &mut out);
         module
     }
 
-    /// The moments at which calls come to the cold cache and to the cold parent.
-    pub(crate) fn play(&self, seed: u64) -> [Vec<Nanos>; 2] {
+    /// Runs the scenario. Returns the times at which attempts reach the cold cache and the cold parent.
+    pub(crate) fn run(&self, seed: u64) -> [Vec<Nanos>; 2] {
         let mut chance = Random::new(seed);
         let mut fleet: Vec<_> = (0..self.dispatchers)
             .map(|at| self.begin(ms(1), seed << 16 | u64::from(at), Nanos::ZERO))
             .collect();
-        let mut outs: Vec<_> = fleet.iter().map(|_| Calls::default()).collect();
-        // Some get several times the mean.
+        let mut outputs: Vec<_> = fleet.iter().map(|_| SentAttempts::default()).collect();
+        // Some dispatchers get several times the mean load.
         let shares: Vec<f64> = fleet.iter().map(|_| 0.2 + 3.0 * chance.next_f64().powi(4)).collect();
         let sum: f64 = shares.iter().sum();
-        let (started, told) = (ms(STARTS * 1_000), ms(STARTS * 1_000 + 1_000));
-        for (module, out) in fleet.iter_mut().zip(&mut outs) {
-            module.nodes_changed(told, &self.list(started), out);
+        let (started, reported) = (ms(NODE_START_S * 1_000), ms(NODE_START_S * 1_000 + 1_000));
+        for (module, out) in fleet.iter_mut().zip(&mut outputs) {
+            module.nodes_changed(reported, &self.list(started), out);
         }
-        let mut came = [Vec::new(), Vec::new()];
+        let mut arrivals = [Vec::new(), Vec::new()];
         let mut ends = Ends::new();
-        let (mut now, mut looked, mut count) = (told, told, 0_u32);
-        while now < ms((STARTS + SECONDS) * 1_000) {
-            let second = now.0 / 1_000_000_000 - STARTS;
-            for at in
-                self.restarts.due(self.dispatchers, looked.since(started), now.since(started), &mut chance)
-            {
+        let (mut now, mut last_check, mut count) = (reported, reported, 0_u32);
+        while now < ms((NODE_START_S + MEASURED_S) * 1_000) {
+            let second = now.0 / 1_000_000_000 - NODE_START_S;
+            for at in self.restarts.due(
+                self.dispatchers,
+                last_check.since(started),
+                now.since(started),
+                &mut chance,
+            ) {
                 fleet[at] = self.begin(now, seed << 24 | u64::from(count) << 10 | at as u64, started);
-                outs[at] = Calls::default();
+                outputs[at] = SentAttempts::default();
                 ends.retain(|_, end| end.0 != at);
             }
-            looked = now;
+            last_check = now;
             let due = ends.first_key_value().filter(|((when, _), _)| *when <= now).map(|(key, _)| *key);
             if let Some(key) = due {
                 let Some((at, request_id, number, node, source)) = ends.remove(&key) else { continue };
-                // A third of the looks find something; fills bring it.
+                // A third of the lookups hit; fills succeed.
                 let held = node != source || chance.next_f64() < 0.33;
-                let how = match held {
+                let ended = match held {
                     true if node == source => end(Outcome::Served, Remark::Hit),
                     true => end(Outcome::Served, Remark::FilledFromCopy),
-                    // Some are told that another's fill is under way, and look again.
+                    // Some misses report a fill in flight for another request, so that a second lookup follows.
                     false if chance.next_f64() < 0.5 => end(Outcome::Missed, Remark::Joined),
                     false => end(Outcome::Missed, Remark::None),
                 };
-                fleet[at].attempt_ended(now, request_id, number, &how, &mut outs[at]);
-                self.sent(now, at, &mut outs[at], &mut came, &mut ends, &mut count);
+                fleet[at].attempt_ended(now, request_id, number, &ended, &mut outputs[at]);
+                self.sent(now, at, &mut outputs[at], &mut arrivals, &mut ends, &mut count);
                 continue;
             }
-            let burst = if self.silent.1 > 0 && second == self.silent.1 { 40.0 } else { 1.0 };
+            let burst = if self.silence.1 > 0 && second == self.silence.1 { 40.0 } else { 1.0 };
             now = now.after(Nanos::from_secs(-(1.0 - chance.next_f64()).ln() / (burst * self.rate)));
-            if (self.silent.0..self.silent.1).contains(&second) {
+            if (self.silence.0..self.silence.1).contains(&second) {
                 continue;
             }
             let mut place = chance.next_f64() * sum;
@@ -182,27 +186,27 @@
             let at = at.unwrap_or(0);
             count += 1;
             let object = (chance.next_f64() * 2_000.0) as u32;
-            // No request is in hand for so long that its number comes again.
+            // No request is in flight for so long that its number is used again.
             let d = sized(now, count % 8_192, object, WORK_S * 10_000.0);
-            fleet[at].request_arrived(now, &d, &mut outs[at]);
-            self.sent(now, at, &mut outs[at], &mut came, &mut ends, &mut count);
+            fleet[at].request_arrived(now, &d, &mut outputs[at]);
+            self.sent(now, at, &mut outputs[at], &mut arrivals, &mut ends, &mut count);
         }
-        came
+        arrivals
     }
 
     fn sent(
         &self,
         now: Nanos,
         at: usize,
-        out: &mut Calls,
-        came: &mut [Vec<Nanos>; 2],
+        out: &mut SentAttempts,
+        arrivals: &mut [Vec<Nanos>; 2],
         ends: &mut Ends,
         count: &mut u32,
     ) {
         for (request_id, number, node, source) in std::mem::take(&mut out.attempts) {
-            for (cold, came) in COLD.iter().zip(came.iter_mut()) {
+            for (cold, arrivals) in COLD_NODES.iter().zip(arrivals.iter_mut()) {
                 if node == *cold || source == *cold {
-                    came.push(now);
+                    arrivals.push(now);
                 }
             }
             *count += 1;
@@ -210,19 +214,19 @@
         }
     }
 
-    /// The fullest window, as calls over what `bears` makes of the N of its first moment.
-    pub(crate) fn fullest(&self, came: &[Nanos], bears: impl Fn(f64) -> f64) -> f64 {
+    /// The fullest window: attempts in it divided by `bound(N)`, with N at the beginning of the window.
+    pub(crate) fn fullest(&self, arrivals: &[Nanos], bound: impl Fn(f64) -> f64) -> f64 {
         let mut worst: f64 = 0.0;
-        for (first, from) in came.iter().enumerate() {
-            let calls = came[first..].iter().take_while(|at| at.since(*from) < self.window).count();
-            worst = worst.max(calls as f64 / bears(self.allowed(from.since(ms(STARTS * 1_000)))));
+        for (first, from) in arrivals.iter().enumerate() {
+            let attempts = arrivals[first..].iter().take_while(|at| at.since(*from) < self.window).count();
+            worst = worst.max(attempts as f64 / bound(self.allowed(from.since(ms(NODE_START_S * 1_000)))));
         }
         worst
     }
 
-    /// Calls that the settings let a node be asked for in a window, so long after its start.
+    /// N: the attempts that rule 4 allows in a window, at this time after the start of the node.
     pub(crate) fn allowed(&self, age: Nanos) -> f64 {
-        let present = SHARE + (1.0 - SHARE) * (age.secs() / WARM_AFTER.secs()).min(1.0);
+        let present = INITIAL_SHARE + (1.0 - INITIAL_SHARE) * (age.secs() / WARM_AFTER.secs()).min(1.0);
         self.multiple * present * self.weight * self.window.secs() / WORK_S
     }
 }
