--- a/crates/routing/src/interface.rs
+++ b/crates/routing/src/interface.rs
@@ -2,6 +2,8 @@
 //!
 //! An adapter maps the ids of its protocol to the small indices here, calls the methods of the dispatcher for each
 //! event, and implements [`Actions`], through which the dispatcher acts. There are no decisions in this file.
+//!
+//! The work of a request is the time that sending its response takes at full rate, in seconds.
 
 pub use crate::retry_safety::{DedupScope, RetrySafety, UNKNOWN_ID};
 
--- a/crates/routing/src/nodes.rs
+++ b/crates/routing/src/nodes.rs
@@ -151,7 +151,8 @@
     }
 
     /// Capacity of a node once it is warm, in concurrent transfers. While nothing is known of its kind, a warm node
-    /// is assumed to have room for one more transfer by each of the `sharers` dispatchers that send to it.
+    /// is assumed to have room for one more transfer than are in flight, at each of the `sharers` dispatchers that
+    /// send to it.
     pub fn capacity_of(&self, node: &Node, sharers: u32) -> f64 {
         if !self.capacities.is_known(node.entry.kind) && node.started == Nanos::ZERO {
             return node.entry.weight.max(f64::from((node.in_flight + 1) * sharers.max(1)));
--- a/crates/routing/src/policy/attempt_outcome.rs
+++ b/crates/routing/src/policy/attempt_outcome.rs
@@ -277,7 +277,8 @@
 
     /// Handles a timer. For an attempt that is overdue: if its node, its source or the origin has answered nothing
     /// since the attempt was sent, that one is silent. A silent node is ejected; a silent source or origin counts a
-    /// failure. Once it is ejected, retriable attempts in flight there are cancelled so that they are retried elsewhere.
+    /// failure. Once it is ejected, retriable attempts in flight there are cancelled so that they are retried
+    /// elsewhere.
     pub fn timer(&mut self, now: Nanos, token: u64, out: &mut impl Actions) {
         match token {
             SUBSCRIBE_TIMER => return out.subscribe_to_list(),
--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -4,7 +4,7 @@
 //! An adapter creates a [`Dispatcher`] from [`Settings`], calls `start`, and then one method for each event: a
 //! request, the end of an attempt, a timer, a change of the node list, a purge. The dispatcher acts through the
 //! [`Actions`] that it is given, before the call returns. It does no I/O and reads no clock. The types are in
-//! `src/interface.rs`.
+//! `src/interface.rs`, which also defines the work of a request.
 
 use crate::change_log::Knowledge;
 use crate::fleet::bandwidth_share::BandwidthShare;
@@ -91,7 +91,7 @@
 
 /// Load at which a cache counts as full, so that the next cache in hash order takes over.
 const FULL_LOAD: f64 = 1.5;
-/// A cache counts as full only above this multiple of the location's mean load, too.
+/// It must also exceed this multiple of the location's mean load.
 const FULL_LOAD_VS_MEAN: f64 = 1.5;
 /// Weight of the load estimate from the duration of hits, in own attempts in flight.
 const PACE_PRIOR_WEIGHT: f64 = 4.0;
@@ -152,7 +152,7 @@
     knowledge: Option<Knowledge>,
     /// Whether the timer [`LEASE_TIMER`] is armed.
     lease_probes_armed: bool,
-    /// Counted in a cell, as selection takes `&self`.
+    /// Effects of stale knowledge, counted in a cell as selection takes `&self`.
     staleness_counts: Cell<StalenessCounts>,
     random: Random,
     /// Serial number of the last attempt.
--- a/crates/routing/src/policy/node_selection.rs
+++ b/crates/routing/src/policy/node_selection.rs
@@ -111,9 +111,9 @@
         let mean_work_s = self.stats_of(&request.routing_request).mean_work_s;
         let mut caches = self.ranked_caches(now, request);
         // If all caches fail at times and none is available, those that still answer are better than none.
-        let none_open = !caches.iter().any(|cache| self.is_available(now, cache.node));
+        let none_available = !caches.iter().any(|cache| self.is_available(now, cache.node));
         let answers = |id: NodeId| {
-            none_open
+            none_available
                 && self.nodes.get(id).is_some_and(|node| node.started <= now)
                 && self.accepts_work(now, id)
         };
--- a/crates/routing/src/policy/request_path.rs
+++ b/crates/routing/src/policy/request_path.rs
@@ -18,7 +18,7 @@
             .size_kb
             .filter(|_| self.settings.client_kb_per_s > 0.0)
             .map(|kb| kb / self.settings.client_kb_per_s);
-        // If the size is not known, the work seen for the object or the mean of its content type is used.
+        // If the size is not known, the work observed for the object is used, else the mean of its content type.
         self.type_stats[routing_request.content_type.0 as usize].record_request(known_work_s);
         let work_s = known_work_s.or(observed_work_s).unwrap_or(self.stats_of(routing_request).mean_work_s);
         self.requests.put(
@@ -43,8 +43,8 @@
         self.count_request(now, routing_request, out);
     }
 
-    /// Demand for a copy by the ghost cache: requests a second at this dispatcher (`None` after one request), and
-    /// hops to the closest cached copy.
+    /// Demand for a copy according to the ghost cache: requests a second at this dispatcher (`None` after one
+    /// request), and hops to the closest cached copy.
     pub fn copy_demand(&self, routing_request: &RoutingRequest) -> Option<(Option<f64>, f64)> {
         let ghost_entry = self
             .ghost_cache
@@ -53,7 +53,7 @@
         Some((ghost_entry.request_gap_s.map(|gap| 1.0 / gap), ghost_entry.hops))
     }
 
-    /// Sends the first attempt if overload control admits the request; else answers it at once.
+    /// Sends the first attempt if overload control admits the request; else rejects or fails it at once.
     pub(super) fn admit(
         &mut self,
         now: Nanos,
@@ -198,7 +198,7 @@
         };
         if let Some(known) = self.ghost_cache.get(routing_request.object) {
             let gap = now.since(known.last_requested).secs().max(1e-3);
-            // If the gap is more than twice the estimate, it replaces the estimate.
+            // After a gap of more than twice the estimate, the gap replaces the estimate.
             let previous =
                 known.request_gap_s.map_or(gap, |previous| if gap > 2.0 * previous { gap } else { previous });
             // A client's retry does not count. Else under overload all rejected requests, scans too, would come to be
--- a/crates/routing/src/policy/safety_rules.rs
+++ b/crates/routing/src/policy/safety_rules.rs
@@ -1,6 +1,10 @@
-//! The rules that every decision obeys, and the stages of a request. Rule 1: one final answer for each request. Rule
-//! 2: no request with an effect runs twice. Rule 4: cold nodes are not overloaded. Rule 5: no copy older than a purge
-//! is served. (Rule 3, no work for nodes that drain or are gone, is kept by the node list and by `staleness.rs`.)
+//! The rules that every decision obeys, and the stages of a request.
+//!
+//! - Rule 1: each request gets one final answer.
+//! - Rule 2: no request with an effect runs twice.
+//! - Rule 3: nodes that drain or are gone get no work. The node list and `staleness.rs` keep this rule.
+//! - Rule 4: cold nodes are not overloaded.
+//! - Rule 5: no copy older than a purge is served.
 
 use super::*;
 
@@ -49,13 +53,13 @@
     /// Rule 2: whether a retry may be sent to a node. A request that may have run is retried only if a duplicate is
     /// harmless.
     pub(super) fn may_retry_at(&self, now: Nanos, request: &RequestState, id: NodeId) -> bool {
-        let Some((sent, first)) = request.may_have_run else { return true };
+        let Some((sent_at, first)) = request.may_have_run else { return true };
         let (Some(a), Some(b)) = (self.nodes.get(first), self.nodes.get(id)) else { return false };
         match request.pinned.retry_safety() {
             RetrySafety::Retriable => true,
             RetrySafety::NonRetriable => false,
             rule @ RetrySafety::Deduped { scope, .. } => {
-                rule.send_by(sent) > Some(now) && scope.covers(&a.entry, &b.entry)
+                rule.send_by(sent_at) > Some(now) && scope.covers(&a.entry, &b.entry)
             }
         }
     }
