--- a/crates/dispatcher/src/nodes/attempts.rs
+++ b/crates/dispatcher/src/nodes/attempts.rs
@@ -1,49 +1,50 @@
-//! Attempts on their way to a connection, and off it.
+//! Attempts and connections: assigning an attempt to a connection, writing it, and taking it back.
 
 use super::*;
 
 impl Nodes {
-    /// Takes back the attempts, to any node, that are meant and of which nothing has left. Tells also from which connections:
-    /// others may have to be handed over anew there, and one that takes no further attempts may be spent.
+    /// Takes back the selected attempts, to any node, of which nothing was sent. Also returns the connections that they
+    /// were on: other attempts may have to be written there again, and a retired one may have to be closed.
     pub fn retract_unsent(
         &mut self,
-        meant: impl Fn(&AttemptId) -> bool,
+        selected: impl Fn(&AttemptId) -> bool,
         effects: &mut Vec<Effect>,
     ) -> (Vec<AttemptId>, Vec<u32>) {
-        let (mut back, mut freed): (Vec<AttemptId>, Vec<u32>) = Default::default();
+        let (mut taken_back, mut freed): (Vec<AttemptId>, Vec<u32>) = Default::default();
         for (number, connection) in &mut self.connections {
-            let before = back.len();
-            back.extend(connection.waiting.iter().filter(|attempt| meant(attempt)));
-            connection.waiting.retain(|attempt| !meant(attempt));
-            back.extend(connection.retract(*number, &meant, effects));
-            freed.extend((back.len() > before).then_some(*number));
+            let before = taken_back.len();
+            taken_back.extend(connection.waiting.iter().filter(|attempt| selected(attempt)));
+            connection.waiting.retain(|attempt| !selected(attempt));
+            taken_back.extend(connection.truncate_unsent(*number, &selected, effects));
+            freed.extend((taken_back.len() > before).then_some(*number));
         }
-        back.sort_by_key(|attempt| (attempt.request_id.0, attempt.number));
+        taken_back.sort_by_key(|attempt| (attempt.request_id.0, attempt.number));
         freed.sort();
-        (back, freed)
+        (taken_back, freed)
     }
 
-    /// Takes back those that are meant and wait for one connection.
-    pub fn retract_waiting(&mut self, number: u32, meant: impl Fn(&AttemptId) -> bool) -> Vec<AttemptId> {
+    /// Takes back the selected attempts that wait for one connection.
+    pub fn retract_waiting(&mut self, number: u32, selected: impl Fn(&AttemptId) -> bool) -> Vec<AttemptId> {
         let Some(connection) = self.connections.get_mut(&number) else { return Vec::new() };
-        let back = connection.waiting.iter().copied().filter(|attempt| meant(attempt)).collect();
-        connection.waiting.retain(|attempt| !meant(attempt));
-        back
+        let taken_back = connection.waiting.iter().copied().filter(|attempt| selected(attempt)).collect();
+        connection.waiting.retain(|attempt| !selected(attempt));
+        taken_back
     }
 
-    /// Of what was given to a connection, what has not begun to leave waits again.
+    /// The attempts given to a connection of which nothing was sent wait to be written again.
     pub fn requeue_unsent(&mut self, number: u32, effects: &mut Vec<Effect>) {
         if let Some(connection) = self.connections.get_mut(&number) {
-            // The last of them comes first.
-            for attempt in connection.retract(number, &|_| true, effects) {
+            // The last one is returned first.
+            for attempt in connection.truncate_unsent(number, &|_| true, effects) {
                 connection.waiting.push_front(attempt);
             }
         }
     }
 
-    /// Puts an attempt of a request on a connection to a node, made if need be; nothing if there is none to be
-    /// had. Where it may run `once` only, none that rested is used; nor are those while nodes close them under
-    /// the next attempt. Costs a connect.
+    /// Assigns an attempt to a connection to its node, which is opened if needed; returns `None` if no connection can
+    /// be had. For a request that must not run twice (`once`), idle connections are closed and a new one is opened.
+    /// The same holds for all requests after a node has closed an idle connection under an attempt. Prevents attempts
+    /// of unknown outcome. Costs a connect.
     pub fn assign(
         &mut self,
         node: NodeId,
@@ -53,16 +54,16 @@
         now: Nanos,
         effects: &mut Vec<Effect>,
     ) -> Option<u32> {
-        let spared = self.openings.limits_to_one(now);
-        if once || (now < self.doubt && !spared) {
-            let rested = |number: &u32| self.connections.get(number).is_some_and(|c| c.has_rested(now));
+        let limited = self.back_off.limits_to_one(now);
+        if once || (now < self.avoid_idle_until && !limited) {
+            let is_idle = |number: &u32| self.connections.get(number).is_some_and(|c| c.is_idle(now));
             let pool = self.pools.get(node.0)?;
-            let mut rested: Vec<_> = pool.connections.iter().copied().filter(rested).collect();
-            // Where none may be opened in its place, one that rested is better than none.
-            if !self.openings.may_open(now, &pool.back_off, pool.connections.len() - rested.len()) {
-                rested.clear();
+            let mut idle: Vec<_> = pool.connections.iter().copied().filter(is_idle).collect();
+            // If no connection may be opened in its place, an idle one is better than none.
+            if !self.back_off.may_open(now, &pool.back_off, pool.connections.len() - idle.len()) {
+                idle.clear();
             }
-            for number in rested {
+            for number in idle {
                 self.close(number, effects);
             }
         }
@@ -75,20 +76,21 @@
         };
         let load = |number: &&u32| self.connections.get(number).map_or(0, Connection::load);
         let best = pool.connections.iter().filter(usable).filter(fits).min_by_key(load).copied();
-        // What is on one connection ends with it: so one that carries nothing, else a further one.
-        let used = pool.connections.iter().filter(usable).count();
-        let room = (used == 0 || self.connections.len() < self.most)
-            && self.openings.may_open(now, &pool.back_off, used);
-        let number = match best.filter(|number| !room || load(&number) == 0) {
+        // All attempts on a connection fail with it: so one without attempts is preferred, then a new one, then the
+        // least loaded.
+        let usable_count = pool.connections.iter().filter(usable).count();
+        let may_open = (usable_count == 0 || self.connections.len() < self.max_connections)
+            && self.back_off.may_open(now, &pool.back_off, usable_count);
+        let number = match best.filter(|number| !may_open || load(&number) == 0) {
             Some(number) => number,
-            None if !room => return None,
+            None if !may_open => return None,
             None => self.open_connection(node, address, now, effects),
         };
         self.connections.get_mut(&number)?.waiting.push_back(attempt);
         Some(number)
     }
 
-    /// Makes a connection to a node.
+    /// Opens a connection to a node.
     pub(super) fn open_connection(
         &mut self,
         node: NodeId,
@@ -96,19 +98,22 @@
         now: Nanos,
         effects: &mut Vec<Effect>,
     ) -> u32 {
-        self.last += 1;
+        self.last_number += 1;
         if let Some(pool) = self.pools.get_mut(node.0) {
-            pool.connections.push(self.last);
+            pool.connections.push(self.last_number);
         }
-        self.connections.insert(self.last, Connection::new(node, now));
-        effects.push(Effect::Connect(Peer::Node(self.last), address));
-        effects
-            .push(Effect::Arm(now.after(self.limits.connect_timeout), TimerKind::ConnectTimeout(self.last)));
-        self.last
+        self.connections.insert(self.last_number, Connection::new(node, now));
+        effects.push(Effect::Connect(Peer::Node(self.last_number), address));
+        effects.push(Effect::Arm(
+            now.after(self.limits.connect_timeout),
+            TimerKind::ConnectTimeout(self.last_number),
+        ));
+        self.last_number
     }
 
-    /// Hands waiting attempts to a connection that has nothing unsent, as many as go at once. What an attempt says
-    /// is asked for only then; one that is nobody's any more has nothing to say.
+    /// Writes waiting attempts, up to [`MAX_BATCH_BYTES`], to a connection that has no unsent output. `fetch` returns
+    /// the content of an attempt, the expiry of its request, and whether the request must not run twice. It returns
+    /// `None` for an attempt that is no longer awaited.
     pub fn write_waiting<'a>(
         &mut self,
         number: u32,
@@ -117,32 +122,45 @@
         effects: &mut Vec<Effect>,
     ) {
         let Some(connection) = self.connections.get_mut(&number) else { return };
-        if !connection.up || connection.queued > connection.written {
+        if !connection.is_up || connection.bytes_queued > connection.bytes_written {
             return;
         }
-        let rested = connection.live == 0 && now.since(connection.used) > RESTED;
+        let was_idle = connection.awaited == 0 && now.since(connection.last_used) > IDLE_AFTER;
         let mut bytes = Vec::new();
-        while bytes.len() < GATHERED {
+        while bytes.len() < MAX_BATCH_BYTES {
             let Some(attempt) = connection.waiting.pop_front() else { break };
             let Some((fetch, expires, once)) = fetch(attempt) else { continue };
-            let begin = connection.queued + bytes.len() as u64;
+            let start = connection.bytes_queued + bytes.len() as u64;
             encode_fetch(&fetch, &mut bytes);
-            let end = connection.queued + bytes.len() as u64;
-            let uses = connection.out.get(&fetch.id).map_or(1, |before| before.uses.saturating_add(1));
+            let end = connection.bytes_queued + bytes.len() as u64;
+            let attempt_count = connection
+                .in_flight
+                .get(&fetch.id)
+                .map_or(1, |before| before.attempt_count.saturating_add(1));
             let attempt = Some(attempt);
-            let written = Written { attempt, at: now, begin, end, once, answered: false, uses, expires };
-            connection.out.insert(fetch.id, written);
-            connection.live += 1;
+            let written = WrittenAttempt {
+                attempt,
+                written_at: now,
+                start,
+                end,
+                run_once: once,
+                answered: false,
+                attempt_count,
+                expires_at: expires,
+            };
+            connection.in_flight.insert(fetch.id, written);
+            connection.awaited += 1;
         }
         if !bytes.is_empty() {
-            connection.queued += bytes.len() as u64;
-            (connection.used, connection.after_rest) = (now, rested);
+            connection.bytes_queued += bytes.len() as u64;
+            (connection.last_used, connection.reused_after_idle) = (now, was_idle);
             effects.push(Effect::Write(Peer::Node(number), bytes));
         }
     }
 
-    /// Gives up a pull: unsent it is dropped, which is told, else the node hears of it. If it was `waited_for`
-    /// and the node has finished no answer since it was sent, what else goes there might wait as long.
+    /// Gives up an attempt. One of which nothing was sent is dropped, and the result is true; else the node is sent an
+    /// abort. If the answer was awaited (`waited_for`) and the connection has completed no answer since the attempt was
+    /// written, the node's connections without a later answer are retired: other attempts there might wait as long.
     pub fn abort(
         &mut self,
         number: u32,
@@ -157,18 +175,18 @@
             self.close_if_spent(number, effects);
             return true;
         }
-        if !connection.retract(number, &|other| *other == attempt, effects).is_empty() {
+        if !connection.truncate_unsent(number, &|other| *other == attempt, effects).is_empty() {
             self.close_if_spent(number, effects);
             return true;
         }
-        let Some(written) = connection.out.get_mut(&id).filter(|w| w.attempt == Some(attempt)) else {
+        let Some(written) = connection.in_flight.get_mut(&id).filter(|w| w.attempt == Some(attempt)) else {
             return false;
         };
         written.attempt = None;
-        connection.live -= 1;
-        let (node, since) = (connection.node, written.at);
-        connection.say_abort(number, id, effects);
-        if waited_for && connection.answered <= since {
+        connection.awaited -= 1;
+        let (node, since) = (connection.node, written.written_at);
+        connection.write_abort(number, id, effects);
+        if waited_for && connection.last_answer_at <= since {
             self.retire(node, since, effects);
         }
         self.close_if_spent(number, effects);
--- a/crates/dispatcher/src/nodes/connection.rs
+++ b/crates/dispatcher/src/nodes/connection.rs
@@ -1,146 +1,153 @@
-//! One connection to a node, and what is on it.
+//! One connection to a node and the attempts on it: those that wait to be written, and those in flight. Positions count
+//! the bytes ever given to the connection, from 0.
 
 use super::*;
 
-/// An attempt that was written, by the request's id.
+/// An attempt that was written to the connection.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Written {
-    /// Whose it is; nobody's once it was given up.
+pub(super) struct WrittenAttempt {
+    /// The attempt; `None` once it was answered or given up.
     pub(super) attempt: Option<AttemptId>,
-    /// When it was written.
-    pub(super) at: Nanos,
-    /// Its first place in the connection's bytes, and the place behind its last.
-    pub(super) begin: u64,
+    /// When it was handed to the connection.
+    pub(super) written_at: Nanos,
+    /// The position of its first byte, and the position after its last byte (`end`).
+    pub(super) start: u64,
     pub(super) end: u64,
-    /// Its request may not simply run again.
-    pub(super) once: bool,
-    /// It was answered.
+    /// The request must not run twice.
+    pub(super) run_once: bool,
+    /// The attempt was answered.
     pub(super) answered: bool,
-    /// How many attempts of the request this connection has carried.
-    pub(super) uses: u8,
-    /// When its request expires: after that its id does not come again.
-    pub(super) expires: Nanos,
+    /// The number of attempts of the request that were written to this connection.
+    pub(super) attempt_count: u8,
+    /// When the request expires; after that its id is not used again.
+    pub(super) expires_at: Nanos,
 }
 
 /// One connection to a node.
 #[derive(Debug)]
 pub(super) struct Connection {
     pub(super) node: NodeId,
-    /// The connection has come up.
-    pub(super) up: bool,
-    /// It takes no further attempts.
+    /// The connection is established.
+    pub(super) is_up: bool,
+    /// The connection takes no further attempts.
     pub(super) retired: bool,
     pub(super) decoder: Decoder,
-    /// Attempts not yet written.
+    /// Attempts that are not written yet.
     pub(super) waiting: VecDeque<AttemptId>,
-    /// Attempts written and not yet answered, by the requests' ids.
-    pub(super) out: HashMap<Hex, Written>,
-    /// Words that give attempts up and may not have left yet: where they begin, and of which id.
+    /// Attempts that were written, by the ids of their requests. An answered attempt stays until its request expires.
+    pub(super) in_flight: HashMap<Hex, WrittenAttempt>,
+    /// Abort messages that may not have been sent yet: the position of each, and the request's id.
     pub(super) aborts: VecDeque<(u64, Hex)>,
-    /// How many of the attempts written and not yet answered still are somebody's.
-    pub(super) live: usize,
-    /// Bytes given to the connection, and those that have left.
-    pub(super) queued: u64,
-    pub(super) written: u64,
-    /// When the node last finished an answer on it; before that, when it came up. Half an answer and then
-    /// silence would hold up all that is asked for behind it.
-    pub(super) answered: Nanos,
-    /// It had rested when it was last written to, and nothing has come since.
-    pub(super) after_rest: bool,
-    /// Nothing has come on it yet.
-    pub(super) unheard: bool,
-    /// When it last carried anything, and when bytes last came.
-    pub(super) used: Nanos,
-    pub(super) heard: Nanos,
+    /// The number of written attempts whose answer is still awaited.
+    pub(super) awaited: usize,
+    /// Bytes given to the connection, and bytes that the socket has taken (`bytes_written`).
+    pub(super) bytes_queued: u64,
+    pub(super) bytes_written: u64,
+    /// When the node last completed an answer on this connection; before that, when it was established. An incomplete
+    /// answer does not count, as it delays all attempts behind it.
+    pub(super) last_answer_at: Nanos,
+    /// The connection was idle when it was last written to, and nothing has arrived since.
+    pub(super) reused_after_idle: bool,
+    /// Nothing has ever arrived on this connection.
+    pub(super) nothing_received: bool,
+    /// When bytes were last written or received, and when bytes were last received (`last_received`).
+    pub(super) last_used: Nanos,
+    pub(super) last_received: Nanos,
 }
 
 impl Connection {
     pub(super) fn new(node: NodeId, now: Nanos) -> Self {
         Connection {
             node,
-            up: false,
+            is_up: false,
             retired: false,
             decoder: Decoder::default(),
             waiting: VecDeque::new(),
-            out: HashMap::new(),
+            in_flight: HashMap::new(),
             aborts: VecDeque::new(),
-            live: 0,
-            queued: 0,
-            written: 0,
-            answered: Nanos::ZERO,
-            after_rest: false,
-            unheard: true,
-            used: now,
-            heard: now,
+            awaited: 0,
+            bytes_queued: 0,
+            bytes_written: 0,
+            last_answer_at: Nanos::ZERO,
+            reused_after_idle: false,
+            nothing_received: true,
+            last_used: now,
+            last_received: now,
         }
     }
 
-    /// Retracts what has not begun to leave, from the first attempt that is meant on. Returns the attempts that were meant; those
-    /// that were not wait again. Of bytes given to the connection only their number is known here, so what is to be
-    /// said all the same is said anew.
-    pub(super) fn retract(
+    /// Takes back the output from the first selected attempt on of which the socket has taken nothing. Returns the
+    /// selected attempts, the last first; the others wait to be written again. Only positions are known here, not
+    /// the bytes, so aborts that are still needed are encoded again.
+    pub(super) fn truncate_unsent(
         &mut self,
         number: u32,
-        meant: &impl Fn(&AttemptId) -> bool,
+        selected: &impl Fn(&AttemptId) -> bool,
         effects: &mut Vec<Effect>,
     ) -> Vec<AttemptId> {
-        if self.queued <= self.written {
+        if self.bytes_queued <= self.bytes_written {
             return Vec::new();
         }
-        let unbegun = |w: &Written| w.begin >= self.written && w.end > self.written;
-        let is_meant = |w: &Written| unbegun(w) && w.attempt.is_some_and(|attempt| meant(&attempt));
-        let Some(from) = self.out.values().filter(|w| is_meant(w)).map(|w| w.begin).min() else {
+        let is_unsent = |w: &WrittenAttempt| w.start >= self.bytes_written && w.end > self.bytes_written;
+        let is_selected =
+            |w: &WrittenAttempt| is_unsent(w) && w.attempt.is_some_and(|attempt| selected(&attempt));
+        let Some(from) = self.in_flight.values().filter(|w| is_selected(w)).map(|w| w.start).min() else {
             return Vec::new();
         };
-        let mut behind: Vec<_> = self
-            .out
+        let mut truncated: Vec<_> = self
+            .in_flight
             .iter()
-            .filter(|(_, w)| w.begin >= from)
-            .map(|(id, w)| (w.begin, *id, w.attempt))
+            .filter(|(_, w)| w.start >= from)
+            .map(|(id, w)| (w.start, *id, w.attempt))
             .collect();
-        behind.sort_by_key(|(begin, ..)| *begin);
-        let mut back = Vec::new();
-        for (_, id, attempt) in behind.into_iter().rev() {
-            self.out.remove(&id);
+        truncated.sort_by_key(|(start, ..)| *start);
+        let mut taken_back = Vec::new();
+        for (_, id, attempt) in truncated.into_iter().rev() {
+            self.in_flight.remove(&id);
             let Some(attempt) = attempt else { continue };
-            self.live -= 1;
-            match meant(&attempt) {
-                true => back.push(attempt),
+            self.awaited -= 1;
+            match selected(&attempt) {
+                true => taken_back.push(attempt),
                 false => self.waiting.push_front(attempt),
             }
         }
-        self.queued = from;
+        self.bytes_queued = from;
         effects.push(Effect::TruncateOutput(Peer::Node(number), from));
-        let (kept, retracted): (Vec<_>, Vec<_>) = self.aborts.drain(..).partition(|(begin, _)| *begin < from);
+        let (kept, truncated): (Vec<_>, Vec<_>) = self.aborts.drain(..).partition(|(start, _)| *start < from);
         self.aborts.extend(kept);
-        for (_, id) in retracted.into_iter().filter(|(_, id)| self.out.contains_key(id)).collect::<Vec<_>>() {
-            self.say_abort(number, id, effects);
+        for (_, id) in
+            truncated.into_iter().filter(|(_, id)| self.in_flight.contains_key(id)).collect::<Vec<_>>()
+        {
+            self.write_abort(number, id, effects);
         }
-        back
+        taken_back
     }
 
-    /// Tells the node that what was asked under an id is given up.
-    pub(super) fn say_abort(&mut self, number: u32, id: Hex, effects: &mut Vec<Effect>) {
+    /// Sends the node an abort for the attempt under a request's id.
+    pub(super) fn write_abort(&mut self, number: u32, id: Hex, effects: &mut Vec<Effect>) {
         let mut bytes = Vec::new();
         encode_abort(id, &mut bytes);
-        self.aborts.push_back((self.queued, id));
-        self.queued += bytes.len() as u64;
+        self.aborts.push_back((self.bytes_queued, id));
+        self.bytes_queued += bytes.len() as u64;
         effects.push(Effect::Write(Peer::Node(number), bytes));
     }
 
-    /// Whether an attempt of this request may be written here. A node may answer twice, so that one attempt's answer is taken for
-    /// the next one's: what may run once only is written once, and nothing a third time.
+    /// Whether an attempt of this request may be written to this connection. A node may answer twice, so that a second
+    /// answer to one attempt is taken for the answer to the next. Therefore a request that must not run twice is
+    /// written once, and no request is written a third time.
     pub(super) fn may_carry(&self, id: &Hex) -> bool {
-        self.out.get(id).is_none_or(|written| written.answered && !written.once && written.uses < MOST_USES)
+        self.in_flight.get(id).is_none_or(|written| {
+            written.answered && !written.run_once && written.attempt_count < MAX_ATTEMPTS_PER_ID
+        })
     }
 
-    /// The attempts that it carries or will carry.
+    /// The number of attempts that wait or are in flight.
     pub(super) fn load(&self) -> usize {
-        self.waiting.len() + self.live
+        self.waiting.len() + self.awaited
     }
 
-    /// It carries nothing, and has not for a while.
-    pub(super) fn has_rested(&self, now: Nanos) -> bool {
-        self.up && self.load() == 0 && now.since(self.used) > RESTED
+    /// Whether the connection has carried nothing for [`IDLE_AFTER`].
+    pub(super) fn is_idle(&self, now: Nanos) -> bool {
+        self.is_up && self.load() == 0 && now.since(self.last_used) > IDLE_AFTER
     }
 }
--- a/crates/dispatcher/src/nodes/connections.rs
+++ b/crates/dispatcher/src/nodes/connections.rs
@@ -1,52 +1,53 @@
-//! Connections that come up, bring answers, and end.
+//! Events of connections to nodes: established, written, received, ended; and the periodic checks of them.
 
 use super::*;
 
 impl Nodes {
-    /// A connection has come up.
+    /// A connection is established.
     pub fn connection_opened(&mut self, number: u32, now: Nanos, effects: &mut Vec<Effect>) {
         let Some(connection) = self.connections.get_mut(&number) else { return };
-        connection.up = true;
-        connection.answered = now;
-        if self.held_back {
+        connection.is_up = true;
+        connection.last_answer_at = now;
+        if self.reads_paused {
             effects.push(Effect::SetReading(Peer::Node(number), false));
         }
     }
 
-    /// The node that a connection goes to.
+    /// The node of a connection.
     pub fn node_of(&self, number: u32) -> Option<NodeId> {
         self.connections.get(&number).map(|connection| connection.node)
     }
 
-    /// Whether a connection is still being made.
+    /// Whether a connection is not established yet.
     pub fn is_connecting(&self, number: u32) -> bool {
-        self.connections.get(&number).is_some_and(|connection| !connection.up)
+        self.connections.get(&number).is_some_and(|connection| !connection.is_up)
     }
 
-    /// Bytes for a node have left, so many in all.
+    /// The socket has taken this many bytes in total.
     pub fn written(&mut self, number: u32, total: u64) {
         if let Some(connection) = self.connections.get_mut(&number) {
-            connection.written = total;
+            connection.bytes_written = total;
             while connection.aborts.front().is_some_and(|(begin, _)| *begin < total) {
                 connection.aborts.pop_front();
             }
         }
     }
 
-    /// A node has sent bytes.
+    /// Bytes have arrived from a node.
     pub fn received(&mut self, number: u32, bytes: &[u8], now: Nanos) {
         if let Some(connection) = self.connections.get_mut(&number) {
-            (connection.used, connection.heard, connection.after_rest) = (now, now, false);
+            (connection.last_used, connection.last_received, connection.reused_after_idle) =
+                (now, now, false);
             connection.decoder.feed(bytes);
-            if std::mem::take(&mut connection.unheard) {
+            if std::mem::take(&mut connection.nothing_received) {
                 let pool = self.pools.get_mut(connection.node.0);
                 pool.into_iter().for_each(|pool| pool.back_off.accepted());
             }
         }
     }
 
-    /// The next whole answer of a node, and whose attempt it ends, if it still is somebody's. Where no more can
-    /// be read, the connection is to be closed.
+    /// Decodes the next message from a node. An answer comes with the attempt that it ends, if that attempt is still
+    /// awaited.
     pub fn next_message(&mut self, number: u32, now: Nanos) -> NextMessage {
         let Some(connection) = self.connections.get_mut(&number) else { return NextMessage::Incomplete };
         match connection.decoder.next_message() {
@@ -57,141 +58,163 @@
             Ok(Some(Message::ProbeAnswer { tag, takes_work })) => {
                 let node = connection.node;
                 match tag.and_then(|tag| self.probes.answered(tag, node, takes_work)) {
-                    Some(asked) => NextMessage::ProbeAnswer(node, asked, takes_work),
+                    Some(sent_at) => NextMessage::ProbeAnswer(node, sent_at, takes_work),
                     None => NextMessage::Unmatched,
                 }
             }
             Ok(Some(Message::Answer(answer))) => {
-                connection.answered = now;
-                // A second answer may follow: before a later attempt of the same request has left whole, it can't be that
-                // one's. The id stays until its request expires, see `may_carry`.
-                let has_left = |w: &&mut Written| w.end <= connection.written;
-                let asked = answer.id.and_then(|id| connection.out.get_mut(&id)).filter(has_left);
-                let attempt = asked.and_then(|written| {
+                connection.last_answer_at = now;
+                // An answer that arrives before a later attempt of the same request was written in full can't belong to
+                // that attempt: it is a second answer to the earlier one. The id stays until its request expires, see
+                // `may_carry`.
+                let is_sent = |w: &&mut WrittenAttempt| w.end <= connection.bytes_written;
+                let in_flight = answer.id.and_then(|id| connection.in_flight.get_mut(&id)).filter(is_sent);
+                let attempt = in_flight.and_then(|written| {
                     written.answered |= written.attempt.is_some();
                     written.attempt.take()
                 });
-                connection.live -= usize::from(attempt.is_some());
+                connection.awaited -= usize::from(attempt.is_some());
                 attempt.map_or(NextMessage::Unmatched, |attempt| NextMessage::Answer(attempt, answer))
             }
             Err(fault) => {
-                self.complaints.warn(now, format_args!("node {}: {fault}", self.ids.key(connection.node.0)));
+                self.log_limiter.warn(now, format_args!("node {}: {fault}", self.ids.key(connection.node.0)));
                 NextMessage::Unreadable
             }
         }
     }
 
-    /// Whether an attempt has begun to leave on a connection and is not whole.
+    /// Whether the socket has taken part of an attempt, but not all of it.
     pub fn is_partly_written(&self, number: u32, attempt: AttemptId) -> bool {
         let Some(connection) = self.connections.get(&number) else { return false };
-        let mut out = connection.out.values();
-        out.any(|w| w.attempt == Some(attempt) && w.begin < connection.written && connection.written < w.end)
+        let mut out = connection.in_flight.values();
+        out.any(|w| {
+            w.attempt == Some(attempt)
+                && w.start < connection.bytes_written
+                && connection.bytes_written < w.end
+        })
     }
 
-    /// A connection is over, or never came up; one that came up and brought nothing was turned away. Returns as
-    /// `close`.
+    /// A connection has ended or could not be established. If it was established and brought nothing, the node has
+    /// refused it. Returns the same as `close`.
     pub fn connection_ended(
         &mut self,
         number: u32,
         now: Nanos,
         effects: &mut Vec<Effect>,
     ) -> Vec<(AttemptId, Outcome)> {
-        let turned_away = |c: &&Connection| c.up && c.unheard && c.load() > 0;
-        let node = self.connections.get(&number).filter(turned_away).map(|connection| connection.node);
+        let is_refused = |c: &&Connection| c.is_up && c.nothing_received && c.load() > 0;
+        let node = self.connections.get(&number).filter(is_refused).map(|connection| connection.node);
         let attempts = self.close(number, effects);
         if let Some(node) = node
             && let Some(pool) = self.pools.get_mut(node.0)
         {
-            let until = self.openings.refused(now, &mut pool.back_off);
-            self.full.extend(until.filter(|_| pool.connections.is_empty()).map(|until| (node, until)));
+            let until = self.back_off.refused(now, &mut pool.back_off);
+            self.refusing.extend(until.filter(|_| pool.connections.is_empty()).map(|until| (node, until)));
         }
         attempts
     }
 
-    /// Lets go of a connection. Returns the attempts on it in their order, and how each ended: one
-    /// whose last byte had not left never ran, and a connection that had come up says nothing of the node.
+    /// Closes a connection. Returns the attempts on it in order, with their outcomes. An attempt whose last byte was
+    /// not written has not run: it counts as not sent if the connection was established, which says nothing about the
+    /// node, and else as unreachable.
     pub(super) fn close(&mut self, number: u32, effects: &mut Vec<Effect>) -> Vec<(AttemptId, Outcome)> {
         let Some(connection) = self.connections.remove(&number) else { return Vec::new() };
-        if connection.after_rest && connection.live > 0 {
-            self.doubt = connection.used.after(DOUBT);
+        if connection.reused_after_idle && connection.awaited > 0 {
+            self.avoid_idle_until = connection.last_used.after(IDLE_REUSE_PAUSE);
         }
         effects.push(Effect::Close(Peer::Node(number)));
         if let Some(pool) = self.pools.get_mut(connection.node.0) {
             pool.connections.retain(|other| *other != number);
         }
-        let mut out: Vec<_> = connection.out.values().collect();
+        let mut out: Vec<_> = connection.in_flight.values().collect();
         out.sort_by_key(|written| written.end);
-        let unsent = if connection.up { Outcome::NotSent } else { Outcome::Unreachable };
-        let end = |w: &Written| if w.end <= connection.written { Outcome::Broken } else { unsent };
-        let out = out.into_iter().filter_map(|w| w.attempt.map(|attempt| (attempt, end(w))));
+        let unsent = if connection.is_up { Outcome::NotSent } else { Outcome::Unreachable };
+        let outcome =
+            |w: &WrittenAttempt| if w.end <= connection.bytes_written { Outcome::Broken } else { unsent };
+        let out = out.into_iter().filter_map(|w| w.attempt.map(|attempt| (attempt, outcome(w))));
         out.chain(connection.waiting.iter().map(|attempt| (*attempt, unsent))).collect()
     }
 
-    /// Closes a connection that takes no further attempts once it carries none.
+    /// Closes a retired connection that carries no attempts.
     pub fn close_if_spent(&mut self, number: u32, effects: &mut Vec<Effect>) {
         if self.connections.get(&number).is_some_and(|c| c.retired && c.load() == 0) {
             self.close(number, effects);
         }
     }
 
-    /// The connections to a node that have finished no answer since then take no further attempts.
+    /// Retires the connections to a node that have completed no answer after `since`: they take no further attempts.
     pub(super) fn retire(&mut self, node: NodeId, since: Nanos, effects: &mut Vec<Effect>) {
         let numbers = self.pools.get(node.0).map(|pool| pool.connections.clone()).unwrap_or_default();
         for number in numbers {
             if let Some(connection) = self.connections.get_mut(&number) {
-                connection.retired |= connection.answered <= since;
+                connection.retired |= connection.last_answer_at <= since;
             }
             self.close_if_spent(number, effects);
         }
     }
 
-    /// The connections on which an answer has begun and does not go on: they are of no further use.
+    /// The connections on which an answer has begun and has not continued for [`STALL_TIMEOUT`]; the caller closes
+    /// them.
     pub fn stalled(&mut self, now: Nanos) -> Vec<u32> {
-        let stuck =
-            |c: &Connection| !self.held_back && c.decoder.has_partial_message() && now.since(c.heard) > STUCK;
-        let mut stuck: Vec<_> = self.connections.iter().filter(|(_, c)| stuck(c)).map(|(n, _)| *n).collect();
-        stuck.sort();
-        for connection in stuck.iter().filter_map(|number| self.connections.get(number)) {
+        let stalled = |c: &Connection| {
+            !self.reads_paused
+                && c.decoder.has_partial_message()
+                && now.since(c.last_received) > STALL_TIMEOUT
+        };
+        let mut stalled: Vec<_> =
+            self.connections.iter().filter(|(_, c)| stalled(c)).map(|(n, _)| *n).collect();
+        stalled.sort();
+        for connection in stalled.iter().filter_map(|number| self.connections.get(number)) {
             let id = self.ids.key(connection.node.0);
-            self.complaints.warn(now, format_args!("node {id}: an answer does not go on"));
+            self.log_limiter.warn(
+                now,
+                format_args!(
+                    "node {id}: incomplete answer, nothing received for {} ms",
+                    STALL_TIMEOUT.0 / 1_000_000
+                ),
+            );
         }
-        stuck
+        stalled
     }
 
-    /// Closes connections that carry nothing before the node does, so that no attempt crosses its close, and
-    /// forgets the ids of attempts that were given up once they can't come again.
+    /// Closes idle connections before the node's idle timeout does, so that no attempt is written while the node
+    /// closes. Also forgets the ids of attempts that are no longer awaited once their requests have expired.
     pub fn close_idle(&mut self, now: Nanos, effects: &mut Vec<Effect>) {
+        // Three quarters of the node's timeout.
         let idle = Nanos(self.limits.peer_idle_timeout.0 / 4 * 3);
         for connection in self.connections.values_mut() {
-            connection.out.retain(|_, written| written.attempt.is_some() || written.expires > now);
+            connection.in_flight.retain(|_, written| written.attempt.is_some() || written.expires_at > now);
         }
-        let old = |c: &Connection| c.load() == 0 && idle > Nanos::ZERO && now.since(c.used) > idle;
-        // While connections are spared, others need those that carry nothing beside another.
-        let spared = self.openings.limits_to_one(now);
+        let is_idle = |c: &Connection| c.load() == 0 && idle > Nanos::ZERO && now.since(c.last_used) > idle;
+        // While connections are limited, a second connection to a node is closed as soon as it carries nothing.
+        let limited = self.back_off.limits_to_one(now);
         let first = |c: &Connection| self.pools.get(c.node.0).and_then(|pool| pool.connections.first());
-        let beside = |number: &u32, c: &Connection| spared && c.load() == 0 && first(c) != Some(number);
-        let spent = self.connections.iter().filter(|(number, c)| old(c) || beside(number, c));
-        let mut spent: Vec<_> = spent.map(|(number, _)| *number).collect();
-        spent.sort();
-        for number in spent {
+        let is_surplus = |number: &u32, c: &Connection| limited && c.load() == 0 && first(c) != Some(number);
+        let closable = self.connections.iter().filter(|(number, c)| is_idle(c) || is_surplus(number, c));
+        let mut closable: Vec<_> = closable.map(|(number, _)| *number).collect();
+        closable.sort();
+        for number in closable {
             self.close(number, effects);
         }
     }
 
-    /// Nodes are read from, or left alone for now.
-    pub fn pause_reads(&mut self, held_back: bool, effects: &mut Vec<Effect>) {
-        if self.held_back == held_back {
+    /// Pauses or resumes reading from all nodes.
+    pub fn pause_reads(&mut self, paused: bool, effects: &mut Vec<Effect>) {
+        if self.reads_paused == paused {
             return;
         }
-        self.held_back = held_back;
-        log::warn!("clients take too little: nodes are {}read from", if held_back { "not " } else { "" });
+        self.reads_paused = paused;
+        log::warn!(
+            "clients read too slowly: reading from nodes {}",
+            if paused { "paused" } else { "resumed" }
+        );
         let mut numbers: Vec<_> = self.connections.keys().copied().collect();
         numbers.sort();
-        effects.extend(numbers.into_iter().map(|number| Effect::SetReading(Peer::Node(number), !held_back)));
+        effects.extend(numbers.into_iter().map(|number| Effect::SetReading(Peer::Node(number), !paused)));
     }
 
-    /// Whether nodes are left alone for now.
+    /// Whether reading from nodes is paused.
     pub fn reads_paused(&self) -> bool {
-        self.held_back
+        self.reads_paused
     }
 }
--- a/crates/dispatcher/src/nodes/list.rs
+++ b/crates/dispatcher/src/nodes/list.rs
@@ -1,15 +1,16 @@
-//! Which nodes are listed, and where.
+//! The listed nodes: their ids, addresses, starts and readiness.
 
 use super::*;
 
 impl Nodes {
-    /// A node's id.
+    /// The id of a node.
     pub fn id(&self, node: NodeId) -> &str {
         self.ids.key(node.0)
     }
 
-    /// The index of a listed node, new or known; and the nodes that are not where they were: it itself, if it is listed
-    /// anew, and another that was at its address, which must have gone whether that is told yet or not.
+    /// Adds or updates a listed node. Returns its index and the nodes whose connections and state are obsolete: the
+    /// node itself if it has restarted or moved, and another node that had its address, which must be gone even if the
+    /// change log has not reported that yet.
     pub fn add_or_update(
         &mut self,
         id: &str,
@@ -22,12 +23,12 @@
         log::info!("node {}: {id} at {address}, {:?}", node.0, pool.readiness);
         let mut moved = Vec::new();
         if let Some(address) = pool.address.filter(|_| pool.readiness != Readiness::Gone) {
-            moved.extend(self.at(address).filter(|other| *other != node));
+            moved.extend(self.nodes_at(address).filter(|other| *other != node));
         }
         for other in &moved {
             self.set_address(*other, None);
             self.retire(*other, now, effects);
-            self.full.push((*other, now.after(TOLD_AFTER)));
+            self.refusing.push((*other, now.after(REPLACED_NODE_EXCLUSION)));
         }
         let Some(known) = self.pools.get_mut(node.0) else {
             let address = pool.address;
@@ -35,21 +36,21 @@
             self.set_address(node, address);
             return (node, moved);
         };
-        let anew =
-            later(pool.start, known.start) || (pool.address.is_some() && pool.address != known.address);
+        let is_replaced =
+            is_later(pool.start, known.start) || (pool.address.is_some() && pool.address != known.address);
         let (connections, back_off) = (std::mem::take(&mut known.connections), known.back_off);
         let (before, address) = (known.address, pool.address.or(known.address));
         *known = NodePool { address: before, connections, back_off, ..pool };
         self.set_address(node, address);
-        if anew {
+        if is_replaced {
             self.retire(node, now, effects);
             moved.push(node);
         }
         (node, moved)
     }
 
-    /// The nodes at an address, in the order of their indices.
-    fn at(&self, address: SocketAddr) -> impl Iterator<Item = NodeId> {
+    /// The nodes at an address, in order of their indices.
+    fn nodes_at(&self, address: SocketAddr) -> impl Iterator<Item = NodeId> {
         self.addresses.range((address, 0)..=(address, u32::MAX)).map(|(_, node)| NodeId(*node))
     }
 
@@ -61,12 +62,12 @@
         self.addresses.extend(address.map(|address| (address, node.0)));
     }
 
-    /// The start that a node is listed with, where one is told.
+    /// The start with which a node is listed, if any.
     pub fn start(&self, id: &str) -> Option<NodeStart> {
         self.pools.get(self.ids.get(&id.to_string())?)?.start
     }
 
-    /// Moves starts back to where `moved` says; tells which nodes, and where to.
+    /// Moves starts to the time that `moved` returns for them. Returns the nodes with their new start.
     pub fn move_starts(&mut self, moved: impl Fn(&NodeStart) -> Option<Nanos>) -> Vec<(NodeId, Nanos)> {
         let mut nodes = Vec::new();
         for node in 0..self.ids.slot_count() {
@@ -79,39 +80,39 @@
         nodes
     }
 
-    /// Whether any node that takes work is listed.
+    /// Whether any node is listed that takes work and has an address.
     pub fn any_ready(&self) -> bool {
         self.pools.iter().any(|pool| pool.readiness == Readiness::Ready && pool.address.is_some())
     }
 
-    /// The nodes that a whole list does not name.
+    /// The listed nodes that a snapshot of the list does not name.
     pub fn missing_from(&self, named: &[NodeId]) -> Vec<NodeId> {
         let listed = |node: &NodeId| self.pools.get(node.0).is_some_and(|p| p.readiness != Readiness::Gone);
         let all = (0..self.ids.slot_count()).map(NodeId);
         all.filter(|node| listed(node) && !named.contains(node)).collect()
     }
 
-    /// How many nodes there is a place for.
+    /// The number of slots for nodes, used or not.
     pub fn slot_count(&self) -> u32 {
         self.ids.slot_count()
     }
 
-    /// Lets go of the nodes that left the list before `span`, and tells which: all that met them has ended.
+    /// Removes and returns the nodes that left the list more than `span` ago and have no connections.
     pub fn remove_gone(&mut self, now: Nanos, span: Nanos) -> Vec<NodeId> {
         let old = |p: &NodePool| {
             p.readiness == Readiness::Gone && p.connections.is_empty() && now.since(p.listed_at) > span
         };
-        let forgotten: Vec<_> =
+        let removed: Vec<_> =
             (0..self.ids.slot_count()).filter(|at| self.pools.get(*at).is_some_and(old)).collect();
-        for at in &forgotten {
+        for at in &removed {
             self.set_address(NodeId(*at), None);
             self.pools.remove(*at);
             self.ids.release(*at);
         }
-        forgotten.into_iter().map(NodeId).collect()
+        removed.into_iter().map(NodeId).collect()
     }
 
-    /// A node takes no new work: its connections take no further attempts.
+    /// Sets the readiness of a node that takes no new work, and retires its connections.
     pub fn withdraw(&mut self, node: NodeId, readiness: Readiness, now: Nanos, effects: &mut Vec<Effect>) {
         if let Some(pool) = self.pools.get_mut(node.0) {
             (pool.readiness, pool.listed_at) = (readiness, now);
@@ -120,7 +121,7 @@
     }
 }
 
-/// Whether a start is later than the one before.
-fn later(start: Option<NodeStart>, before: Option<NodeStart>) -> bool {
+/// Whether a start is later than the previous one.
+fn is_later(start: Option<NodeStart>, before: Option<NodeStart>) -> bool {
     start.map(|start| start.at) > before.map(|start| start.at)
 }
--- a/crates/dispatcher/src/nodes/mod.rs
+++ b/crates/dispatcher/src/nodes/mod.rs
@@ -1,4 +1,7 @@
-//! Node connections: a few for each node, shared by its attempts.
+//! Connections to nodes: which nodes are listed, a few connections for each of them, and the attempts and probes on
+//! those connections. Inputs are the node list, ordered attempts, and what the event loop reports of connections;
+//! outputs are effects for the event loop and decoded messages. `request_table` calls this module. No I/O; each call is
+//! given the time.
 
 pub use crate::attempt::AttemptId;
 use crate::effects::{Effect, Peer, TimerKind};
@@ -13,20 +16,23 @@
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::net::SocketAddr;
 
-/// Bytes of attempts handed to a connection at once; what waits longer can still be dropped unsent.
-const GATHERED: usize = 16 * 1024;
-/// An answer of which nothing more comes for so long holds up all that is out behind it.
-const STUCK: Nanos = Nanos(400_000_000);
+/// Bytes of attempts that are written to a connection at once. Attempts beyond that wait here, where they can still be
+/// dropped unsent.
+const MAX_BATCH_BYTES: usize = 16 * 1024;
+/// A connection on which an answer has begun and nothing arrives for this long is closed: it would delay every attempt
+/// behind that answer.
+const STALL_TIMEOUT: Nanos = Nanos(400_000_000);
 
-/// A connection that carried nothing for so long may be closed by its node just as the next attempt is written,
-/// which may then have run.
-const RESTED: Nanos = Nanos(20_000_000);
-/// Attempts of one request on one connection, the second after the first was answered.
-const MOST_USES: u8 = 2;
-/// That a node has gone is told so long after another is at its address, at the latest; until then it is left out.
-const TOLD_AFTER: Nanos = Nanos(10_000_000_000);
-/// After that has happened, connections that rested are not used for so long.
-const DOUBT: Nanos = Nanos(10_000_000_000);
+/// A connection that carried nothing for this long counts as idle. Its node may close it just as the next attempt is
+/// written, and then it is unknown whether the attempt has run.
+const IDLE_AFTER: Nanos = Nanos(20_000_000);
+/// Limit on attempts of one request on one connection; the second is written only after the first was answered.
+const MAX_ATTEMPTS_PER_ID: u8 = 2;
+/// A node whose address now belongs to another node is excluded for this long. By then the change log has reported that
+/// it has gone.
+const REPLACED_NODE_EXCLUSION: Nanos = Nanos(10_000_000_000);
+/// After an idle connection was closed under an attempt, idle connections are not reused for this long.
+const IDLE_REUSE_PAUSE: Nanos = Nanos(10_000_000_000);
 
 mod attempts;
 mod connection;
@@ -34,103 +40,103 @@
 mod list;
 mod probes;
 
-use connection::{Connection, Written};
+use connection::{Connection, WrittenAttempt};
 pub use probes::ProbeCounts;
 use probes::Probes;
 
-/// A node's start, as the change log told it.
+/// The start of a node, as the change log reports it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct NodeStart {
-    /// Its Unix millisecond.
+    /// The Unix time of the start, in milliseconds.
     pub unix_ms: u64,
-    /// When it was on the dispatcher's clock, as far as is known: no earlier than that for sure.
+    /// The start on the dispatcher's clock, as far as it is known. It moves back as more is known of the external time.
     pub at: Nanos,
-    /// Its number can't be right: the start was heard of live, so `at` is when that was.
+    /// `unix_ms` can't be right. The start was reported live, so `at` is the time at which the report arrived.
     pub is_doubted: bool,
 }
 
-/// A node's place in the list, and its connections.
+/// A node's entry in the node list, and its connections.
 #[derive(Debug)]
 pub struct NodePool {
-    /// Where it listens.
+    /// The address on which the node listens.
     pub address: Option<SocketAddr>,
-    /// Its start, by which a later one under its id is told apart; none for long ago.
+    /// The node's start, which distinguishes a later start under the same id; `None` if it was long ago.
     pub start: Option<NodeStart>,
-    /// Whether it takes work.
+    /// Whether the node takes work.
     pub readiness: Readiness,
-    /// Its connections.
+    /// The numbers of its connections.
     pub connections: Vec<u32>,
-    /// When it was last listed; once it has gone, since when.
+    /// When the node was last listed; once it is gone, when it left the list.
     pub listed_at: Nanos,
-    /// Whether it takes connections.
+    /// The backoff for new connections to the node.
     pub back_off: NodeBackOff,
 }
 
-/// The nodes listed, those that left not long ago, and the connections to them.
+/// The listed nodes, those that left the list recently, and the connections to them.
 #[derive(Debug)]
 pub struct Nodes {
     limits: ConnectionLimits,
-    /// With more connections than this in all, nodes get no second one.
-    most: usize,
+    /// With more connections than this in total, no node gets a second one.
+    max_connections: usize,
     ids: Ids<String>,
     pools: Slots<NodePool>,
-    /// The nodes at each address, so that a line of the list is not compared with those of all others.
+    /// The nodes by address, so that an entry of the list need not be compared with all others.
     addresses: BTreeSet<(SocketAddr, u32)>,
     connections: HashMap<u32, Connection>,
-    last: u32,
-    /// Nothing is read from them for now.
-    held_back: bool,
-    /// Connections that rested are not to be trusted until then.
-    doubt: Nanos,
-    complaints: LogRateLimiter,
-    openings: ConnectionBackOff,
-    /// Nodes that turned connections away, and until when none is opened there; not handed on yet.
-    full: Vec<(NodeId, Nanos)>,
+    last_number: u32,
+    /// Reading from nodes is paused.
+    reads_paused: bool,
+    /// Idle connections are not reused until then.
+    avoid_idle_until: Nanos,
+    log_limiter: LogRateLimiter,
+    back_off: ConnectionBackOff,
+    /// Nodes that refused connections, and until when none is opened to them; not yet reported.
+    refusing: Vec<(NodeId, Nanos)>,
     probes: Probes,
 }
 
 impl Nodes {
     /// No nodes yet.
-    pub fn new(limits: ConnectionLimits, most: usize, seed: u64) -> Self {
+    pub fn new(limits: ConnectionLimits, max_connections: usize, seed: u64) -> Self {
         Nodes {
             limits,
-            most,
+            max_connections,
             ids: Ids::default(),
             pools: Slots::default(),
             addresses: BTreeSet::new(),
             connections: HashMap::new(),
-            last: 0,
-            held_back: false,
-            doubt: Nanos::ZERO,
-            complaints: LogRateLimiter::default(),
-            openings: ConnectionBackOff::new(seed),
-            full: Vec::new(),
+            last_number: 0,
+            reads_paused: false,
+            avoid_idle_until: Nanos::ZERO,
+            log_limiter: LogRateLimiter::default(),
+            back_off: ConnectionBackOff::new(seed),
+            refusing: Vec::new(),
             probes: Probes::default(),
         }
     }
 
-    /// Nodes that have turned connections away since this was asked, and until when none is opened there.
+    /// Returns the nodes that have refused connections since the last call, and until when none is opened to them.
     pub fn take_refusing_nodes(&mut self) -> Vec<(NodeId, Nanos)> {
-        std::mem::take(&mut self.full)
+        std::mem::take(&mut self.refusing)
     }
 
-    /// Takes new limits.
-    pub fn set_limits(&mut self, limits: ConnectionLimits, most: usize) {
-        (self.limits, self.most) = (limits, most);
+    /// Sets new limits.
+    pub fn set_limits(&mut self, limits: ConnectionLimits, max_connections: usize) {
+        (self.limits, self.max_connections) = (limits, max_connections);
     }
 }
 
-/// What a node's bytes come to next.
+/// The next message of a node.
 #[derive(Debug)]
 pub enum NextMessage {
-    /// No whole answer yet.
+    /// No whole message has arrived yet.
     Incomplete,
     /// An answer, and the attempt that it ends.
     Answer(AttemptId, copperroute_protocol::nodes::Answer),
-    /// A message that nobody waits for.
+    /// A message for no open attempt or probe.
     Unmatched,
-    /// A node says whether it takes work, as it was asked at this time.
+    /// Whether the node takes work, and when the probe that it answers was sent.
     ProbeAnswer(NodeId, Nanos, bool),
-    /// What can't be read.
+    /// The bytes can't be decoded; the connection must be closed.
     Unreadable,
 }
