--- a/crates/dispatcher/src/clock.rs
+++ b/crates/dispatcher/src/clock.rs
@@ -1,15 +1,17 @@
-//! The one clock: it only goes forward, and Unix times are turned into it here alone.
+//! The monotonic clock of the dispatcher, and the only conversion between it and Unix times. The event loop reads the
+//! clock and passes the time to the reducer with each event.
 
 use copperroute_routing::interface::Nanos;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// What the clock shows at the start, so that there is room for times before it.
-const EPOCH: Nanos = Nanos(86_400_000_000_000);
+/// The clock's reading when the program starts: one day, so that times before the start can be expressed.
+const START_READING: Nanos = Nanos(86_400_000_000_000);
 
-/// The module's clock, tied to Unix time at the start.
+/// A monotonic clock that is related to Unix time once, at the start.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     started: Instant,
+    /// The Unix time at the start, in nanoseconds.
     unix_start: u64,
 }
 
@@ -22,16 +24,16 @@
 
     /// The present time.
     pub fn now(&self) -> Nanos {
-        EPOCH.after(Nanos(self.started.elapsed().as_nanos() as u64))
+        START_READING.after(Nanos(self.started.elapsed().as_nanos() as u64))
     }
 
-    /// What the clock showed at a Unix time when it started; for the reducer, which has no clock.
+    /// The relation to Unix time, for the reducer, which has no clock.
     pub fn epoch(&self) -> Epoch {
         Epoch { unix_start: self.unix_start }
     }
 }
 
-/// How Unix times and the module's clock lie to each other.
+/// The relation between Unix time and the dispatcher's clock.
 #[derive(Debug, Clone, Copy)]
 pub struct Epoch {
     unix_start: u64,
@@ -43,19 +45,19 @@
         Epoch { unix_start }
     }
 
-    /// The Unix time, in nanoseconds, at which the module's clock shows zero; wraps.
+    /// The Unix time in nanoseconds at which the dispatcher's clock reads zero; wraps.
     pub fn unix_zero(&self) -> u64 {
-        self.unix_start.wrapping_sub(EPOCH.0)
+        self.unix_start.wrapping_sub(START_READING.0)
     }
 
-    /// The Unix millisecond of a time on the module's clock.
+    /// Converts a reading of the dispatcher's clock to Unix milliseconds.
     pub fn unix_ms(&self, at: Nanos) -> u64 {
-        (self.unix_start + at.since(EPOCH).0) / 1_000_000
+        (self.unix_start + at.since(START_READING).0) / 1_000_000
     }
 
-    /// A Unix millisecond on the module's clock; long ago is the clock's first moment.
+    /// Converts Unix milliseconds to a reading of the dispatcher's clock, which is at least 1 ns.
     pub fn from_unix_ms(&self, unix_ms: u64) -> Nanos {
         let unix = unix_ms.saturating_mul(1_000_000);
-        Nanos(EPOCH.0.saturating_add(unix).saturating_sub(self.unix_start).max(1))
+        Nanos(START_READING.0.saturating_add(unix).saturating_sub(self.unix_start).max(1))
     }
 }
--- a/crates/dispatcher/src/event_loop/connections.rs
+++ b/crates/dispatcher/src/event_loop/connections.rs
@@ -1,34 +1,36 @@
-//! Connections: read, written and closed.
+//! Established connections: registering, reading and closing them.
 
 use super::*;
 use copperroute_change_log_replica::socket_errors::{
     ConnectError, TransferError, classify_connect_error, classify_transfer_error,
 };
 
-/// A connection, and what it has still to write.
+/// A connection and its unwritten output.
 pub(super) struct Connection {
     pub(super) stream: Rc<TcpStream>,
     pub(super) source: Source,
     pub(super) token: RegistrationToken,
     pub(super) connecting: bool,
-    /// Its bytes are wanted.
-    pub(super) reads: bool,
-    pub(super) unwritten: Vec<u8>,
-    pub(super) at: usize,
-    /// When what is unwritten was asked for.
-    pub(super) asked_at: Nanos,
-    /// Bytes that have left in all.
-    pub(super) left: u64,
-    /// The sending side ends once all is written.
-    pub(super) shuts: bool,
+    /// The reducer wants its input.
+    pub(super) wants_input: bool,
+    pub(super) output: Vec<u8>,
+    /// The bytes of `output` before this offset are written.
+    pub(super) output_offset: usize,
+    /// When the unwritten output was requested.
+    pub(super) requested_at: Nanos,
+    /// Bytes written in total.
+    pub(super) bytes_written: u64,
+    /// The sending side is shut down once all output is written.
+    pub(super) shutdown_after_output: bool,
 }
 
-impl Carrier {
+impl Driver {
+    /// Registers a connection with the event loop; returns false, and drops it, if that fails.
     pub(super) fn insert(&mut self, peer: Peer, stream: TcpStream, connecting: bool) -> bool {
         let interest = if connecting { Interest::WRITE } else { Interest::READ };
-        // Without it answers leave later, but they leave.
+        // A failure only delays answers.
         let _ = stream.set_nodelay(true);
-        let prepared = again(|| stream.set_nonblocking(true));
+        let prepared = retry_call(|| stream.set_nonblocking(true));
         let stream = Rc::new(stream);
         let generic = Generic::new(stream.clone(), interest, Mode::Level);
         let source = Source::new(generic, move |readiness, _, inbox: &mut Inbox| {
@@ -43,12 +45,12 @@
                     source,
                     token,
                     connecting,
-                    reads: true,
-                    unwritten: Vec::new(),
-                    at: 0,
-                    asked_at: Nanos::ZERO,
-                    left: 0,
-                    shuts: false,
+                    wants_input: true,
+                    output: Vec::new(),
+                    output_offset: 0,
+                    requested_at: Nanos::ZERO,
+                    bytes_written: 0,
+                    shutdown_after_output: false,
                 };
                 self.connections.insert(peer, connection);
                 true
@@ -56,17 +58,19 @@
             (prepared, registered) => {
                 let (prepared, registered) =
                     (prepared.err(), registered.map(|token| self.handle.remove(token)).err());
-                let line = format_args!("connection: {prepared:?} {registered:?}");
-                self.complaints.warn(self.clock.now(), line);
+                let line =
+                    format_args!("connection: set nonblocking: {prepared:?}, register: {registered:?}");
+                self.log_limiter.warn(self.clock.now(), line);
                 false
             }
         }
     }
 
+    /// Closes a connection without reporting it to the reducer.
     pub(super) fn close(&mut self, peer: Peer) {
         if let Some(mut connection) = self.connections.remove(&peer) {
-            // A client's answers go out as far as they can at once. What a node was not sent by now counts as
-            // never sent, and may be on its way to another: not a byte more.
+            // A client gets as much of its answers as can be written at once. A node gets nothing more: the reducer
+            // counts unwritten attempts as not sent and may already have sent them to another node.
             if matches!(peer, Peer::Client(_)) {
                 let _ = connection.flush();
             }
@@ -74,12 +78,13 @@
         }
     }
 
-    pub(super) fn closed(&mut self, peer: Peer) {
+    /// Closes a connection and reports that to the reducer.
+    pub(super) fn close_and_report(&mut self, peer: Peer) {
         self.close(peer);
         self.reduce(Event::Closed(peer));
     }
 
-    /// Carries out what a connection is ready for; tells whether more bytes may wait.
+    /// Reads and writes a connection as it is ready for; returns whether more input may be unread.
     pub(super) fn ready(&mut self, peer: Peer, readiness: Readiness) -> bool {
         let Some(connection) = self.connections.get_mut(&peer) else { return false };
         if connection.connecting {
@@ -89,28 +94,28 @@
                     self.set_interest(peer);
                     self.reduce(Event::Connected(peer));
                 }
-                // It was accepted and reset at once: not the same as a node that is not there.
+                // The node accepted the connection and reset it at once, so it is not unreachable.
                 Ok(Some(fault)) if fault.kind() == ErrorKind::ConnectionReset => {
                     self.reduce(Event::Connected(peer));
-                    self.closed(peer);
+                    self.close_and_report(peer);
                 }
                 Ok(Some(fault)) if classify_connect_error(&fault) == ConnectError::Unreachable => {
-                    self.closed(peer)
+                    self.close_and_report(peer)
                 }
-                // Of this machine's own, or the call that asks has failed.
+                // A local failure, or `take_error` itself has failed.
                 Ok(Some(fault)) | Err(fault) => {
-                    self.complaints.warn(self.clock.now(), format_args!("connect: {fault}"));
+                    self.log_limiter.warn(self.clock.now(), format_args!("connect: {peer:?}: {fault}"));
                     self.close(peer);
                     self.reduce(Event::ConnectFailedLocally(peer));
                 }
             }
             return false;
         }
-        // Its end is all that is still heard of it: what it was ready for before is left unread.
-        if matches!(peer, Peer::Client(_)) && !connection.reads {
-            let waits_for_end = connection.waits_for_nothing();
-            match waits_for_end {
-                true => self.closed(peer),
+        // Input of this client is no longer wanted: only its end is reported, and earlier input stays unread.
+        if matches!(peer, Peer::Client(_)) && !connection.wants_input {
+            let has_ended = connection.has_no_interest();
+            match has_ended {
+                true => self.close_and_report(peer),
                 false if readiness.writable => self.flush(peer),
                 false => {}
             }
@@ -121,47 +126,48 @@
         }
         let reads = readiness.readable || readiness.error;
         match peer {
-            // Behind a request may lie its abort, or the client's end: heard in the same turn, what the request led to has
-            // not left yet and never does.
+            // A request may be followed by its abort or by the end of stream. If that is read in the same turn, the
+            // request's attempt is not written yet and is dropped.
             Peer::Client(_) => reads && self.read_client(peer),
             _ => reads && self.read(peer) > 0,
         }
     }
 
-    /// Reads all that a client may have open at once, and what lies behind it; tells whether more bytes may wait.
+    /// Reads a client until no more input is there, or up to the limits for one turn; returns whether more may be
+    /// unread.
     fn read_client(&mut self, peer: Peer) -> bool {
         let mut bytes = 0;
-        for _ in 0..READS_OF_CLIENT {
+        for _ in 0..MAX_CLIENT_READS_PER_TURN {
             match self.read(peer) {
                 0 => return false,
                 count => bytes += count,
             }
-            if bytes > BYTES_OF_CLIENT {
+            if bytes > MAX_CLIENT_BYTES_PER_TURN {
                 break;
             }
         }
         true
     }
 
-    /// Reads once; tells how many bytes came. What is behind them shows in the next turn.
+    /// Reads a connection once; returns the number of bytes. Further input is reported by the next poll.
     pub(super) fn read(&mut self, peer: Peer) -> usize {
         let Some(connection) = self.connections.get_mut(&peer) else { return 0 };
-        let mut scratch = std::mem::take(&mut self.scratch);
-        // While another read brings a connection that lacks a descriptor, there is none.
-        scratch.resize(READ_AT_ONCE, 0);
+        let mut scratch = std::mem::take(&mut self.read_buffer);
+        // The buffer is missing when `connect` reads idle clients from within another read.
+        scratch.resize(READ_BUFFER_BYTES, 0);
         let came = match connection.read(&mut scratch) {
-            // A client may still read, and is to hear what becomes of what it asked for.
+            // The client may still read the answers to its requests.
             Ok(0) if matches!(peer, Peer::Client(_)) => {
                 self.reduce(Event::EndOfStream(peer));
                 0
             }
             Ok(0) => {
-                self.closed(peer);
+                self.close_and_report(peer);
                 0
             }
             Ok(count) => {
                 if matches!(peer, Peer::Client(_)) {
-                    self.tell_unread();
+                    self.report_input_delay();
                 }
                 self.reduce(Event::Received(peer, &scratch[..count]));
                 count
@@ -169,60 +175,61 @@
             Err(fault) => {
                 match classify_transfer_error(&fault) {
                     TransferError::NotReady => {}
-                    TransferError::Interrupted | TransferError::OutOfMemory => self.wants(&fault),
-                    TransferError::Broken => self.closed(peer),
+                    TransferError::Interrupted | TransferError::OutOfMemory => self.retry_later(&fault),
+                    TransferError::Broken => self.close_and_report(peer),
                 }
                 0
             }
         };
-        self.scratch = scratch;
+        self.read_buffer = scratch;
         came
     }
 
-    /// Tells for how long what is read now may have lain unread, where that has changed.
-    fn tell_unread(&mut self) {
+    /// Reports to the reducer how long the input that is read now may have been unread, if that has changed.
+    fn report_input_delay(&mut self) {
         let unread = self.freshness.input_delay(self.clock.now());
-        if std::mem::replace(&mut self.unread, unread) != unread {
+        if std::mem::replace(&mut self.input_delay, unread) != unread {
             self.reduce(Event::InputDelay(unread));
         }
     }
 
-    /// A read or write could not be done for want of something of this machine's own, or was interrupted: it's tried again in
-    /// the next turn, which doesn't come at once.
-    pub(super) fn wants(&mut self, fault: &io::Error) {
+    /// A read or write has failed for a local reason or was interrupted too often. It is tried again in the next turn,
+    /// after a pause.
+    pub(super) fn retry_later(&mut self, fault: &io::Error) {
         if classify_transfer_error(fault) == TransferError::OutOfMemory {
-            self.complaints.warn(self.clock.now(), format_args!("connection: {fault}"));
+            self.log_limiter.warn(self.clock.now(), format_args!("connection: {fault}"));
         }
-        self.pauses = true;
+        self.needs_pause = true;
     }
 
-    /// A write has failed: what the other side had sent before is told first. An answer among it must not count as
-    /// broken off, or its request might run twice.
-    pub(super) fn broken(&mut self, peer: Peer) {
-        let reads = |c: &Connection| c.reads || !matches!(peer, Peer::Client(_));
-        for _ in 0..READS_OF_BROKEN {
-            if !self.connections.get(&peer).is_some_and(reads) || self.read(peer) == 0 {
+    /// A write has failed. What the other side had sent before is read first: if an answer in it counted as broken off,
+    /// its request might run twice.
+    pub(super) fn write_failed(&mut self, peer: Peer) {
+        let is_readable = |c: &Connection| c.wants_input || !matches!(peer, Peer::Client(_));
+        for _ in 0..MAX_FINAL_READS {
+            if !self.connections.get(&peer).is_some_and(is_readable) || self.read(peer) == 0 {
                 break;
             }
         }
         if self.connections.contains_key(&peer) {
-            self.closed(peer);
+            self.close_and_report(peer);
         }
     }
 
-    /// The end of the program: accepts what waits, listens no more, and tells all that clients have sent by now.
-    pub(super) fn read_last(&mut self) {
+    /// The final read as the program ends: accepts the waiting clients, closes the listener, and reads all that clients
+    /// have sent by now.
+    pub(super) fn read_final_input(&mut self) {
         if let Some(listener) = self.listener.take() {
             self.accept(&listener, BACKLOG as usize);
-            self.handle.remove(self.listening);
+            self.handle.remove(self.listener_token);
         }
-        let read = self.connections.iter().filter(|(_, connection)| connection.reads);
+        let readable = self.connections.iter().filter(|(_, connection)| connection.wants_input);
         let mut clients: Vec<_> =
-            read.map(|(peer, _)| *peer).filter(|peer| matches!(peer, Peer::Client(_))).collect();
+            readable.map(|(peer, _)| *peer).filter(|peer| matches!(peer, Peer::Client(_))).collect();
         clients.sort();
         for peer in clients {
             let mut reads = 0;
-            while reads < READS_OF_BROKEN && self.read(peer) > 0 {
+            while reads < MAX_FINAL_READS && self.read(peer) > 0 {
                 reads += 1;
             }
         }
@@ -230,35 +237,38 @@
     }
 }
 
-/// Bytes of a client that are read in one turn: 32 requests of 48 KB, the most that may be open on a connection, and as
-/// much again for what lies behind them, so that nothing is sent for a client whose abort or end has come.
-const BYTES_OF_CLIENT: usize = 2 * 32 * 50_000;
-/// Reads of a client's connection in one turn at most: one that sends in small pieces without end is not heard out.
-const READS_OF_CLIENT: u32 = 256;
-/// Reads of a connection that has failed, or at the end, at most: a peer that never stops is not heard out.
-const READS_OF_BROKEN: usize = 16;
-/// A call that signals interrupt is repeated so often at once.
-pub(super) const REPEATS: u32 = 8;
+/// Limit on bytes read from a client in one turn: 32 requests of 48 KB, the most that may be open on a connection, and
+/// as much again for what follows them, so that no attempt is sent for a client whose abort or end of stream has
+/// arrived.
+const MAX_CLIENT_BYTES_PER_TURN: usize = 2 * 32 * 50_000;
+/// Limit on reads of a client in one turn, against a client that sends small pieces without end.
+const MAX_CLIENT_READS_PER_TURN: u32 = 256;
+/// Limit on reads of a connection that has failed, and on final reads, against a peer that sends without end.
+const MAX_FINAL_READS: usize = 16;
+/// Limit on immediate retries of a call that signals interrupt.
+pub(super) const MAX_INTERRUPTED_RETRIES: u32 = 8;
 
-/// Makes a call again if it fails, so often at most.
-fn again(mut call: impl FnMut() -> io::Result<()>) -> io::Result<()> {
-    let tried = (1..REPEATS).any(|_| call().is_ok());
-    if tried { Ok(()) } else { call() }
+/// Makes a call until it succeeds, up to [`MAX_INTERRUPTED_RETRIES`] times.
+fn retry_call(mut call: impl FnMut() -> io::Result<()>) -> io::Result<()> {
+    let succeeded = (1..MAX_INTERRUPTED_RETRIES).any(|_| call().is_ok());
+    if succeeded { Ok(()) } else { call() }
 }
 
 impl Connection {
-    /// Whether only an end, or a fault, can show.
-    fn waits_for_nothing(&self) -> bool {
+    /// Whether it is polled for nothing, so that only its end or an error can be reported.
+    fn has_no_interest(&self) -> bool {
         let interest = self.source.as_source_ref().interest;
         !interest.readable && !interest.writable
     }
 
-    /// Reads once.
+    /// Reads once, and again after an interrupt.
     fn read(&self, to: &mut [u8]) -> io::Result<usize> {
         let mut interrupted = 0;
         loop {
             match (&*self.stream).read(to) {
-                Err(fault) if fault.kind() == ErrorKind::Interrupted && interrupted < REPEATS => {
+                Err(fault)
+                    if fault.kind() == ErrorKind::Interrupted && interrupted < MAX_INTERRUPTED_RETRIES =>
+                {
                     interrupted += 1;
                 }
                 other => return other,
--- a/crates/dispatcher/src/event_loop/mod.rs
+++ b/crates/dispatcher/src/event_loop/mod.rs
@@ -1,4 +1,5 @@
-//! The event loop: carries sockets, timers and signals to the reducer, and out what it asks for.
+//! The event loop. It turns what happens to sockets, timers, signals and files into events for the reducer, and
+//! executes the effects that the reducer returns. `main` calls [`serve`], which returns when the program ends.
 
 use crate::clock::Clock;
 use crate::config::{Config, ConfigFiles};
@@ -34,117 +35,121 @@
 mod writing;
 
 use connections::Connection;
-use startup::{listen, modified, open_disk, open_list};
+use startup::{listen, load_snapshot, modified_at, open_disk};
 
-/// Bytes read from one connection in one turn, so that none holds up the others.
-const READ_AT_ONCE: usize = 256 * 1024;
-/// Connections that may wait to be accepted.
+/// Size of the read buffer: the bytes taken by one read of a connection, so that none delays the others.
+const READ_BUFFER_BYTES: usize = 256 * 1024;
+/// Limit on connections that wait to be accepted (the backlog of `listen`).
 const BACKLOG: i32 = 1024;
-/// Connections accepted in one turn.
-const ACCEPTED_AT_ONCE: usize = 64;
-/// How often it is looked whether the operator's file has changed, where versions of rules come with it.
-const WATCHED: Duration = Duration::from_secs(1);
-/// Without a descriptor for a client that waits, the listener rests for so long.
-const REST: Nanos = Nanos(20_000_000);
-/// So long the loop stands still where this machine can't do what it's asked for, so that it doesn't ask on and on.
-const PAUSE: Duration = Duration::from_millis(1);
+/// Limit on connections accepted in one turn of the loop.
+const MAX_ACCEPTS_PER_TURN: usize = 64;
+/// Interval at which the operator's file is checked for changes, if it may bring rule versions.
+const FILE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
+/// Pause of accepting after `accept` has failed, as it does without a free descriptor.
+const ACCEPT_PAUSE: Nanos = Nanos(20_000_000);
+/// Pause of the whole loop after a call has failed for a local reason, so that the loop does not spin on the failure.
+const ERROR_PAUSE: Duration = Duration::from_millis(1);
 
 type Source = calloop::Dispatcher<'static, Generic<Rc<TcpStream>>, Inbox>;
 
-/// What one turn of the loop has found.
+/// What one turn of the loop has found to do.
 #[derive(Default)]
 struct Inbox {
     ready: Vec<(Peer, Readiness)>,
     accept: bool,
     terminate: bool,
     reload: bool,
-    disk: Vec<Told>,
+    disk: Vec<DiskMessage>,
 }
 
-/// What the disk's thread tells.
-enum Told {
-    /// A copy was read for a ticket, or none is there.
+/// A message from the disk thread.
+enum DiskMessage {
+    /// The result of the read with this ticket; `None` if there is no copy.
     Read(u64, Option<(Facts, Vec<u8>)>),
-    /// The disk is off.
+    /// The disk has failed and is off.
     Off,
-    /// It is there again, empty, under this number.
+    /// The disk works again and is empty; the number identifies this opening.
     Ready(u64),
 }
 
-/// Brings it to the loop.
-struct Bring(Sender<Told>);
+/// Sends the disk thread's messages to the event loop.
+struct DiskSender(Sender<DiskMessage>);
 
-impl Answers for Bring {
+impl Answers for DiskSender {
     fn read(&self, ticket: u64, copy: Option<(Facts, Vec<u8>)>) {
-        let _ = self.0.send(Told::Read(ticket, copy));
+        let _ = self.0.send(DiskMessage::Read(ticket, copy));
     }
 
     fn marked(&self, _seq: u64) {}
 
     fn off(&self) {
-        let _ = self.0.send(Told::Off);
+        let _ = self.0.send(DiskMessage::Off);
     }
 
     fn ready(&self, opened: u64) {
-        let _ = self.0.send(Told::Ready(opened));
+        let _ = self.0.send(DiskMessage::Ready(opened));
     }
 }
 
-struct Carrier {
+/// The state of the event loop.
+struct Driver {
     handle: LoopHandle<'static, Inbox>,
     clock: Clock,
     reducer: Reducer,
     connections: HashMap<Peer, Connection>,
-    /// Where clients connect; none at the end.
+    /// The socket on which clients connect; `None` once the program is ending.
     listener: Option<Rc<TcpListener>>,
-    listening: RegistrationToken,
-    /// The listener rests until then.
-    rests_until: Option<Nanos>,
-    /// The loop is to stand still for a moment.
-    pauses: bool,
-    /// What the reducer has asked for and is not carried out yet, in order: carrying out one thing may bring more.
+    listener_token: RegistrationToken,
+    /// Accepting is paused until then.
+    accept_paused_until: Option<Nanos>,
+    /// The loop must pause for [`ERROR_PAUSE`] after this turn.
+    needs_pause: bool,
+    /// Effects that are not executed yet, in order; executing one may add more.
     effects: VecDeque<Effect>,
-    carrying: bool,
-    /// All that the reducer has armed and is not due yet.
+    /// An effect is being executed, so `reduce` only queues new ones.
+    executing: bool,
+    /// Timers that the reducer has armed and that are not due yet.
     deadlines: Deadlines<TimerKind>,
-    /// Connections with something new to write.
-    dirty: Vec<Peer>,
-    /// Connections to nodes that are not written to before clients are looked at again.
-    held_back: Vec<Peer>,
+    /// Connections with new output.
+    has_output: Vec<Peer>,
+    /// Connections to nodes that are not written to until the clients' sockets have been polled again.
+    awaiting_poll: Vec<Peer>,
     freshness: Freshness,
-    /// When what is asked for now was asked for.
-    asked_at: Nanos,
-    /// For how long what clients have sent may have lain unread, as the reducer was told last.
-    unread: Nanos,
-    /// Room for what is read.
-    scratch: Vec<u8>,
-    /// All that clients have sent is to be told, for the last time.
-    reads_last: bool,
+    /// When the effects that are being executed were returned.
+    requested_at: Nanos,
+    /// How long input of clients may have been unread, as last reported to the reducer.
+    input_delay: Nanos,
+    read_buffer: Vec<u8>,
+    /// The reducer has asked for the final read of all clients.
+    wants_final_read: bool,
+    /// The number of the last accepted client connection.
     last_client: u32,
-    complaints: LogRateLimiter,
+    log_limiter: LogRateLimiter,
     stopped: bool,
-    /// The disk's thread, where there is one.
+    /// The disk thread, if there is a disk tier.
     disk: Option<Worker>,
-    /// The thread that keeps the last good list, where there is one.
+    /// The thread that writes the snapshot of the node list, if snapshots are configured.
     snapshot_writer: Option<SnapshotWriter>,
 }
 
-/// Serves with the configuration in these files, as it was read from them, until told to end.
+/// Runs the dispatcher until it is told to end. `config` was read from the files in `sources`, which are read again on
+/// a reload. An error is one line on what could not be opened or started.
 pub fn serve(sources: &ConfigFiles, mut config: Config) -> Result<(), String> {
-    let said = |what: &'static str| move |fault: calloop::Error| format!("{what}: {fault}");
+    let context = |what: &'static str| move |fault: calloop::Error| format!("{what}: {fault}");
     let listener = listen(config.listen).map_err(|fault| format!("{}: {fault}", config.listen))?;
-    let mut event_loop: EventLoop<'static, Inbox> = EventLoop::try_new().map_err(said("event loop"))?;
+    let mut event_loop: EventLoop<'static, Inbox> = EventLoop::try_new().map_err(context("event loop"))?;
     let handle = event_loop.handle();
     let signals =
-        Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP]).map_err(said("signals"))?;
-    // Its thread must come after the signals are kept from all threads, or they would end it and the program.
+        Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP]).map_err(context("signals"))?;
+    // `Signals::new` blocks the signals in this thread, and later threads inherit that. A log thread started before
+    // would not block them, and a signal delivered to it would end the program.
     let log = logs::start();
     handle
         .insert_source(signals, |event, _, inbox| match event.signal() {
             Signal::SIGHUP => inbox.reload = true,
             _ => inbox.terminate = true,
         })
-        .map_err(|fault| said("signals")(fault.error))?;
+        .map_err(|fault| context("signals")(fault.error))?;
     let listener = Rc::new(listener);
     let source = Generic::new(listener.clone(), Interest::READ, Mode::Level);
     let listening = handle
@@ -152,7 +157,7 @@
             inbox.accept = true;
             Ok(PostAction::Continue)
         })
-        .map_err(|fault| said("listener")(fault.error))?;
+        .map_err(|fault| context("listener")(fault.error))?;
     let limits = config.limits;
     log::info!(
         "{} listens on {}, {} MB, {} descriptors",
@@ -162,185 +167,188 @@
         limits.sockets
     );
     let clock = Clock::start();
-    let snapshot_writer = open_list(&mut config, &clock)?;
-    // What is known may have come from the last good list: the disk is judged by that.
+    let snapshot_writer = load_snapshot(&mut config, &clock)?;
+    // After the snapshot: `config.known` may come from it, and decides whether the disk's content is kept.
     let disk = open_disk(&config)?;
-    let watched = config.agreement.is_some();
+    let has_rule_versions = config.agreement.is_some();
     let reducer = Reducer::new(config, clock.epoch());
-    let mut carrier = Carrier {
+    let mut driver = Driver {
         handle,
         clock,
         reducer,
         connections: HashMap::new(),
         listener: Some(listener),
-        listening,
-        rests_until: None,
-        pauses: false,
+        listener_token: listening,
+        accept_paused_until: None,
+        needs_pause: false,
         effects: VecDeque::new(),
-        carrying: false,
+        executing: false,
         deadlines: Deadlines::default(),
-        dirty: Vec::new(),
-        held_back: Vec::new(),
+        has_output: Vec::new(),
+        awaiting_poll: Vec::new(),
         freshness: Freshness::new(clock.now()),
-        asked_at: Nanos::ZERO,
-        unread: Nanos::ZERO,
-        scratch: vec![0; READ_AT_ONCE],
-        reads_last: false,
+        requested_at: Nanos::ZERO,
+        input_delay: Nanos::ZERO,
+        read_buffer: vec![0; READ_BUFFER_BYTES],
+        wants_final_read: false,
         last_client: 0,
-        complaints: LogRateLimiter::default(),
+        log_limiter: LogRateLimiter::default(),
         stopped: false,
         disk: None,
         snapshot_writer,
     };
     let mut inbox = Inbox::default();
-    let (mut due, mut put_off) = (Vec::new(), TimerPostponement::default());
+    let (mut due, mut postponement) = (Vec::new(), TimerPostponement::default());
     if let Some((location, disk)) = disk {
-        let (tell, told) = channel();
-        carrier
+        let (sender, messages) = channel();
+        driver
             .handle
-            .insert_source(told, |event, _, inbox| {
-                if let calloop::channel::Event::Msg(told) = event {
-                    inbox.disk.push(told);
+            .insert_source(messages, |event, _, inbox| {
+                if let calloop::channel::Event::Msg(message) = event {
+                    inbox.disk.push(message);
                 }
             })
-            .map_err(|fault| said("disk")(fault.error))?;
-        let there = disk.as_ref().ok().map(|disk| (disk.prints(), disk.seq()));
-        carrier.disk = Some(Worker::start_at(location, disk, Bring(tell)));
-        if let Some((prints, marked)) = there {
-            carrier.reduce(Event::DiskReady(&prints, marked));
+            .map_err(|fault| context("disk")(fault.error))?;
+        let opened = disk.as_ref().ok().map(|disk| (disk.prints(), disk.seq()));
+        driver.disk = Some(Worker::start_at(location, disk, DiskSender(sender)));
+        if let Some((fingerprints, marked_seq)) = opened {
+            driver.reduce(Event::DiskReady(&fingerprints, marked_seq));
         }
     }
-    if let Some(path) = sources.operator.clone().filter(|_| watched) {
-        let mut seen = modified(&path);
-        let watch = Timer::from_duration(WATCHED);
-        let inserted = carrier.handle.insert_source(watch, move |_, _, inbox| {
-            let now = modified(&path);
-            inbox.reload |= std::mem::replace(&mut seen, now) != now;
-            TimeoutAction::ToDuration(WATCHED)
+    if let Some(path) = sources.operator.clone().filter(|_| has_rule_versions) {
+        let mut last_modified = modified_at(&path);
+        let watch = Timer::from_duration(FILE_CHECK_INTERVAL);
+        let inserted = driver.handle.insert_source(watch, move |_, _, inbox| {
+            let modified = modified_at(&path);
+            inbox.reload |= std::mem::replace(&mut last_modified, modified) != modified;
+            TimeoutAction::ToDuration(FILE_CHECK_INTERVAL)
         });
-        inserted.map_err(|fault| said("timer")(fault.error))?;
+        inserted.map_err(|fault| context("timer")(fault.error))?;
     }
-    carrier.reduce(Event::Started);
-    while !carrier.stopped {
-        carrier.flush_all();
-        // What was put off, or held back, waits for nothing.
-        let began = carrier.clock.now();
-        let at_once = put_off.is_active() || !carrier.dirty.is_empty();
-        let wait = if at_once { Some(Duration::ZERO) } else { carrier.until_first_deadline(began) };
+    driver.reduce(Event::Started);
+    while !driver.stopped {
+        driver.flush_all();
+        // With postponed timers or output the loop polls without waiting.
+        let poll_started = driver.clock.now();
+        let polls_at_once = postponement.is_active() || !driver.has_output.is_empty();
+        let wait =
+            if polls_at_once { Some(Duration::ZERO) } else { driver.time_to_first_deadline(poll_started) };
         let dispatched = event_loop.dispatch(wait, &mut inbox);
-        let found = carrier.clock.now();
+        let found = driver.clock.now();
         match dispatched {
-            Ok(()) => carrier.freshness.polled(began, wait, found),
-            // What it has found before it failed is in the inbox; the rest shows again.
+            Ok(()) => driver.freshness.polled(poll_started, wait, found),
+            // What was found before the failure is in the inbox; the rest is reported by the next poll.
             Err(fault) => {
-                carrier.complaints.warn(found, format_args!("event loop: {fault}"));
-                carrier.pauses = true;
+                driver.log_limiter.warn(found, format_args!("event loop: {fault}"));
+                driver.needs_pause = true;
             }
         }
-        // Due is what was so by now: what falls due while this turn reads has the next one read before it.
-        carrier.deadlines.take_due(found, &mut due);
+        // Timers that become due while this turn reads are left for the next turn, after it has read its input.
+        driver.deadlines.take_due(found, &mut due);
         if std::mem::take(&mut inbox.terminate) {
-            carrier.reduce(Event::Terminate);
+            driver.reduce(Event::Terminate);
         }
         if std::mem::take(&mut inbox.reload) {
-            carrier.reload(sources);
+            driver.reload(sources);
         }
-        // What has come is read before time is called on it: after a pause of the machine's all seems overdue.
-        // Drains and purges come first, then clients that leave, so that no node's answer leads to an attempt for who has
-        // left, or to a node that drains. Each connection is read once; what is due waits while more may lie behind.
+        // Input is read before timers fire: after the machine has stopped the program, every timer seems overdue
+        // although the input may have come in time. The change log is read first (drains, purges), then clients
+        // (aborts, closed connections), then nodes, so that an answer leads neither to an attempt for a client that
+        // has gone nor to one at a node that drains. Each connection is read once per turn; timers wait while more
+        // input may be unread.
         let mut ready = std::mem::take(&mut inbox.ready);
         ready.sort_by_key(|(peer, _)| match peer {
             Peer::ChangeLog(_) => 0,
             Peer::Client(_) => 1,
             Peer::Node(_) => 2,
         });
-        let mut more = false;
+        let mut may_have_more = false;
         for (peer, readiness) in ready {
-            more |= carrier.ready(peer, readiness);
+            may_have_more |= driver.ready(peer, readiness);
         }
-        std::mem::take(&mut inbox.disk).into_iter().for_each(|told| carrier.disk_told(told));
-        if !put_off.postpone(found, more && !due.is_empty()) {
-            due.drain(..).for_each(|due| carrier.reduce(Event::TimerFired(due)));
+        std::mem::take(&mut inbox.disk).into_iter().for_each(|message| driver.disk_reported(message));
+        if !postponement.postpone(found, may_have_more && !due.is_empty()) {
+            due.drain(..).for_each(|timer| driver.reduce(Event::TimerFired(timer)));
         }
-        carrier.listen_on(std::mem::take(&mut inbox.accept));
-        if std::mem::take(&mut carrier.reads_last) {
-            carrier.read_last();
+        driver.accept_clients(std::mem::take(&mut inbox.accept));
+        if std::mem::take(&mut driver.wants_final_read) {
+            driver.read_final_input();
         }
-        if std::mem::take(&mut carrier.pauses) {
-            std::thread::sleep(PAUSE);
+        if std::mem::take(&mut driver.needs_pause) {
+            std::thread::sleep(ERROR_PAUSE);
         }
     }
-    carrier.flush_all();
-    if let Some(disk) = carrier.disk.take() {
+    driver.flush_all();
+    if let Some(disk) = driver.disk.take() {
         disk.stop();
     }
-    if let Some(snapshot_writer) = carrier.snapshot_writer.take() {
+    if let Some(snapshot_writer) = driver.snapshot_writer.take() {
         snapshot_writer.stop();
     }
     log.finish();
     Ok(())
 }
 
-impl Carrier {
-    /// How long the loop may wait for the first deadline, to the nanosecond: a wait that ended before it would only be
-    /// followed by a further one. Nothing where none stands.
-    fn until_first_deadline(&self, now: Nanos) -> Option<Duration> {
-        let first = self.deadlines.first().into_iter().chain(self.rests_until).min()?;
+impl Driver {
+    /// How long the loop may wait for the first deadline; `None` if there is none. Exact to the nanosecond, as a wait
+    /// that ended too early would only be followed by another.
+    fn time_to_first_deadline(&self, now: Nanos) -> Option<Duration> {
+        let first = self.deadlines.first().into_iter().chain(self.accept_paused_until).min()?;
         Some(Duration::from_nanos(first.since(now).0))
     }
 
-    /// Arms a deadline. Once many stand, those of requests that have ended are forgotten.
-    fn arm(&mut self, at: Nanos, due: TimerKind) {
-        self.deadlines.arm(at, due);
+    /// Arms a timer. Once there are many, those of requests that have ended are removed.
+    fn arm(&mut self, at: Nanos, timer: TimerKind) {
+        self.deadlines.arm(at, timer);
         if self.deadlines.needs_pruning() {
-            self.deadlines.prune(|due| self.reducer.is_timer_needed(due));
+            self.deadlines.prune(|timer| self.reducer.is_timer_needed(timer));
         }
     }
 
-    /// Hands in an event. What it asks for is carried out behind what was asked for before, as carrying that out may
-    /// have brought this event.
+    /// Passes an event to the reducer and executes its effects. They are queued behind earlier effects, as executing
+    /// one of these may have caused the event.
     fn reduce(&mut self, event: Event<'_>) {
         let now = self.clock.now();
         self.effects.extend(self.reducer.reduce(now, event));
-        self.asked_at = now;
-        if std::mem::replace(&mut self.carrying, true) {
+        self.requested_at = now;
+        if std::mem::replace(&mut self.executing, true) {
             return;
         }
         while let Some(effect) = self.effects.pop_front() {
-            self.carry_out(effect);
+            self.execute(effect);
         }
-        self.carrying = false;
+        self.executing = false;
     }
 
-    fn disk_told(&mut self, told: Told) {
-        match told {
-            Told::Read(ticket, copy) => {
+    fn disk_reported(&mut self, message: DiskMessage) {
+        match message {
+            DiskMessage::Read(ticket, copy) => {
                 let copy = copy.as_ref().map(|(facts, body)| (*facts, body.as_slice()));
                 self.reduce(Event::CopyRead(ticket, copy));
             }
-            Told::Off => self.reduce(Event::DiskOff),
-            Told::Ready(opened) => {
+            DiskMessage::Off => self.reduce(Event::DiskOff),
+            DiskMessage::Ready(opened) => {
                 self.disk.iter_mut().for_each(|disk| disk.resume(opened));
                 self.reduce(Event::DiskReady(&[], 0));
             }
         }
     }
 
-    fn carry_out(&mut self, effect: Effect) {
+    fn execute(&mut self, effect: Effect) {
         match effect {
             Effect::Connect(peer, address) => self.connect(peer, address),
             Effect::Write(peer, bytes) => self.write(peer, bytes),
-            Effect::TruncateOutput(peer, from) => self.retract(peer, from),
+            Effect::TruncateOutput(peer, from) => self.truncate_output(peer, from),
             Effect::SetReading(peer, wanted) => {
                 if let Some(connection) = self.connections.get_mut(&peer) {
-                    connection.reads = wanted;
+                    connection.wants_input = wanted;
                 }
                 self.set_interest(peer);
             }
-            Effect::CloseLingering(peer, behind) => self.shut(peer, behind),
+            Effect::CloseLingering(peer, input) => self.close_lingering(peer, input),
             Effect::Close(peer) => self.close(peer),
-            Effect::FinalRead => self.reads_last = true,
-            Effect::Arm(at, due) => self.arm(at, due),
+            Effect::FinalRead => self.wants_final_read = true,
+            Effect::Arm(at, timer) => self.arm(at, timer),
             Effect::ReadCopy(key, ticket) => {
                 if !self.disk.as_ref().is_some_and(|disk| disk.read(key, ticket)) {
                     self.reduce(Event::CopyRead(ticket, None));
@@ -366,11 +374,11 @@
         }
     }
 
-    /// Reads the configuration again; one that can't be used changes nothing.
+    /// Reads the configuration again. If it can't be used, the previous one stays in force.
     fn reload(&mut self, sources: &ConfigFiles) {
         match sources.read() {
             Ok(config) => self.reduce(Event::Reload(&config)),
-            Err(fault) => log::error!("configuration: not taken: {fault}"),
+            Err(fault) => log::error!("configuration: not reloaded: {fault}"),
         }
     }
 }
--- a/crates/dispatcher/src/event_loop/opening.rs
+++ b/crates/dispatcher/src/event_loop/opening.rs
@@ -1,4 +1,4 @@
-//! Connections as they begin: clients are accepted, nodes and the change log are connected to.
+//! New connections: accepting clients, and connecting to nodes and to the change log.
 
 use super::*;
 use copperroute_change_log_replica::event_loop::begin_connecting;
@@ -6,38 +6,39 @@
     AcceptError, ConnectError, classify_accept_error, classify_connect_error,
 };
 
-impl Carrier {
-    /// Accepts those who wait, or lets the listener rest for a while, or ends its rest. What can't be done now is tried again.
-    pub(super) fn listen_on(&mut self, waits: bool) {
+impl Driver {
+    /// Accepts clients if any wait (`waits`) and accepting is not paused; pauses and resumes accepting. A failure to
+    /// pause or resume is retried.
+    pub(super) fn accept_clients(&mut self, waits: bool) {
         let now = self.clock.now();
         let Some(listener) = self.listener.clone() else {
-            self.rests_until = None;
+            self.accept_paused_until = None;
             return;
         };
-        if self.rests_until.take_if(|until| *until <= now).is_some()
-            && let Err(fault) = self.handle.enable(&self.listening)
+        if self.accept_paused_until.take_if(|until| *until <= now).is_some()
+            && let Err(fault) = self.handle.enable(&self.listener_token)
         {
-            self.complaints.warn(now, format_args!("listener: {fault}"));
-            self.rests_until = Some(now.after(REST));
+            self.log_limiter.warn(now, format_args!("listener: cannot resume accepting: {fault}"));
+            self.accept_paused_until = Some(now.after(ACCEPT_PAUSE));
         }
-        if waits && self.rests_until.is_none() && !self.accept(&listener, ACCEPTED_AT_ONCE) {
-            match self.handle.disable(&self.listening) {
-                Ok(()) => self.rests_until = Some(now.after(REST)),
+        if waits && self.accept_paused_until.is_none() && !self.accept(&listener, MAX_ACCEPTS_PER_TURN) {
+            match self.handle.disable(&self.listener_token) {
+                Ok(()) => self.accept_paused_until = Some(now.after(ACCEPT_PAUSE)),
                 Err(fault) => {
-                    self.complaints.warn(now, format_args!("listener: {fault}"));
-                    self.pauses = true;
+                    self.log_limiter.warn(now, format_args!("listener: cannot pause accepting: {fault}"));
+                    self.needs_pause = true;
                 }
             }
         }
     }
 
-    /// Accepts what waits; tells whether the listener may go on at once.
-    pub(super) fn accept(&mut self, listener: &TcpListener, most: usize) -> bool {
-        let mut goes_on = true;
-        for _ in 0..most {
+    /// Accepts up to `limit` clients; returns whether accepting may continue without a pause.
+    pub(super) fn accept(&mut self, listener: &TcpListener, limit: usize) -> bool {
+        let mut may_continue = true;
+        for _ in 0..limit {
             let fault = match listener.accept() {
                 Ok((stream, from)) => {
-                    goes_on = true;
+                    may_continue = true;
                     self.last_client += 1;
                     let peer = Peer::Client(self.last_client);
                     if self.insert(peer, stream, false) {
@@ -49,48 +50,48 @@
             };
             match classify_accept_error(&fault) {
                 AcceptError::NoneWaiting => return true,
-                // Where nothing but errors comes, it isn't asked on and on.
+                // After nothing but errors accepting is paused, so that the loop does not spin on them.
                 AcceptError::ConnectionFailed => {
-                    self.complaints.warn(self.clock.now(), format_args!("accept: {fault}"));
-                    goes_on = false;
+                    self.log_limiter.warn(self.clock.now(), format_args!("accept: {fault}"));
+                    may_continue = false;
                 }
                 AcceptError::NoDescriptors => {
-                    self.complaints.warn(self.clock.now(), format_args!("accept: {fault}"));
-                    self.look_at_resting();
+                    self.log_limiter.warn(self.clock.now(), format_args!("accept: {fault}"));
+                    self.read_idle_clients();
                     self.reduce(Event::NoDescriptors);
                     return false;
                 }
                 AcceptError::LocalError => {
-                    self.complaints.warn(self.clock.now(), format_args!("accept: {fault}"));
+                    self.log_limiter.warn(self.clock.now(), format_args!("accept: {fault}"));
                     return false;
                 }
             }
         }
-        goes_on
+        may_continue
     }
 
     pub(super) fn connect(&mut self, peer: Peer, address: SocketAddr) {
-        let begin = || -> io::Result<TcpStream> {
+        let start = || -> io::Result<TcpStream> {
             let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
             socket.set_nonblocking(true)?;
             begin_connecting(&socket, address)?;
             Ok(socket.into())
         };
-        let begun = begin().or_else(|fault| {
-            // Being out of descriptors says nothing of the other side.
+        let started = start().or_else(|fault| {
+            // A lack of descriptors says nothing about the other side: free some and try once more.
             if classify_connect_error(&fault) == ConnectError::NoDescriptors {
-                self.make_room();
-                return begin();
+                self.free_descriptors();
+                return start();
             }
             Err(fault)
         });
-        match begun {
+        match started {
             Err(fault) if classify_connect_error(&fault) == ConnectError::Unreachable => {
                 self.reduce(Event::Closed(peer))
             }
-            // Nothing was asked of the other side yet: what lacks is this machine's own.
+            // Nothing was sent to the other side yet: the failure is local.
             Err(fault) => {
-                self.complaints.warn(self.clock.now(), format_args!("connect: {fault}"));
+                self.log_limiter.warn(self.clock.now(), format_args!("connect to {address}: {fault}"));
                 self.reduce(Event::ConnectFailedLocally(peer));
             }
             Ok(stream) => {
@@ -101,9 +102,9 @@
         }
     }
 
-    /// Frees descriptors at once: what is closed for that is closed before the caller goes on.
-    fn make_room(&mut self) {
-        self.look_at_resting();
+    /// Frees descriptors: the connections that the reducer gives up are closed before this returns.
+    fn free_descriptors(&mut self) {
+        self.read_idle_clients();
         for effect in self.reducer.reduce(self.clock.now(), Event::NoDescriptors) {
             match effect {
                 Effect::Close(peer) => self.close(peer),
@@ -112,8 +113,9 @@
         }
     }
 
-    /// Reads those clients that would be closed for want of descriptors: what one has asked meanwhile is heard, and it stays.
-    fn look_at_resting(&mut self) {
+    /// Reads the idle clients that would be closed to free descriptors. One that has sent a request meanwhile is no
+    /// longer idle and stays open.
+    fn read_idle_clients(&mut self) {
         for number in self.reducer.idle_clients(self.clock.now()) {
             self.read(Peer::Client(number));
         }
--- a/crates/dispatcher/src/event_loop/startup.rs
+++ b/crates/dispatcher/src/event_loop/startup.rs
@@ -1,9 +1,10 @@
-//! What is opened before the loop runs.
+//! What is opened before the event loop runs: the listener, the disk tier and the snapshot of the node list.
 
 use super::*;
 use crate::external_time::ExternalTime;
 
-/// Listens, also at once after another process did so, with room for a burst of new connections.
+/// Opens the listener. The address can be reused at once after another process, and the backlog takes a burst of new
+/// connections.
 pub(super) fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
@@ -13,12 +14,12 @@
     Ok(socket.into())
 }
 
-/// The disk tier's place, and the disk there, or why there is none yet.
+/// The location of the disk tier, and the opened disk or the reason why it could not be opened.
 pub(super) type OpenedDisk = (Location, Result<Disk, String>);
 
-/// Opens the disk tier, where the operators want one. A folder in use ends the start; after any other failure it is
-/// tried again while the dispatcher serves. What was there is kept only if every purge that may not be marked on it is
-/// going to be heard.
+/// Opens the disk tier, if one is configured. A folder in use by another process is an error; after any other failure
+/// opening is retried while the dispatcher serves. The copies on disk are kept only if every purge that may not be
+/// recorded on the disk is going to be delivered by the change log.
 pub(super) fn open_disk(config: &Config) -> Result<Option<OpenedDisk>, String> {
     let Some(tier) = &config.disk_tier else { return Ok(None) };
     let limits = Limits {
@@ -36,46 +37,51 @@
             return Err(format!("store: {location}: {fault}"));
         }
         Err(fault) => Err(fault),
-        Ok((disk, found)) => {
-            judged(disk, found, Some(&config.known).filter(|_| tier.change_log == SequenceNumbers::Continued))
-        }
+        Ok((disk, found)) => keep_or_clear(
+            disk,
+            found,
+            Some(&config.known).filter(|_| tier.change_log == SequenceNumbers::Continued),
+        ),
     };
     Ok(Some((location, disk.map_err(|fault| fault.to_string()))))
 }
 
-/// A disk as it may be used: with what was found, or with nothing where that can't be judged.
-fn judged(mut disk: Disk, found: Found, known: Option<&KnownEvents>) -> io::Result<Disk> {
-    let trusted = known.is_some_and(|known| covers_purges_after(known, disk.seq()));
-    if !trusted && found.copies > 0 {
+/// Keeps the copies found on the disk if the known events cover all purges since; else clears the disk.
+fn keep_or_clear(mut disk: Disk, found: Found, known: Option<&KnownEvents>) -> io::Result<Disk> {
+    let is_covered = known.is_some_and(|known| covers_purges_after(known, disk.seq()));
+    if !is_covered && found.copies > 0 {
         disk.clear()?;
     }
     log::info!("store: {} copies found, {} kept, {} bytes read", found.copies, disk.sizes().0, found.scanned);
     Ok(disk)
 }
 
-/// Finds the last good list, where the operators want one kept: it stands in for what the configuration knows if it is
-/// newer. One that does not do is as if absent. A folder that can't be made ends the start.
-pub(super) fn open_list(config: &mut Config, clock: &Clock) -> Result<Option<SnapshotWriter>, String> {
-    let Some(told) = config.snapshot.clone() else { return Ok(None) };
-    let most_age_ms = (told.most_age_s * 1e3) as u64;
-    // What the configuration tells has passed: a clock before that is behind, and a list older than it seems.
-    let mut outside = ExternalTime::new(clock.epoch());
-    config.known.results.iter().for_each(|change| outside.observe_event(clock.now(), change));
-    let unix_ms = outside.latest_ms(clock.now());
-    match snapshot_writer::load(&told.folder, unix_ms, config.fingerprint(), most_age_ms, config.known.seq) {
+/// Loads the snapshot of the node list, if snapshots are configured, and starts the thread that writes it. A snapshot
+/// that is newer than the events in the configuration replaces them; one that can't be used is ignored. A folder that
+/// can't be created is an error.
+pub(super) fn load_snapshot(config: &mut Config, clock: &Clock) -> Result<Option<SnapshotWriter>, String> {
+    let Some(settings) = config.snapshot.clone() else { return Ok(None) };
+    let max_age_ms = (settings.most_age_s * 1e3) as u64;
+    // The times in the configuration have passed. If the clock is behind them, the snapshot is older than the clock
+    // says.
+    let mut external_time = ExternalTime::new(clock.epoch());
+    config.known.results.iter().for_each(|change| external_time.observe_event(clock.now(), change));
+    let unix_ms = external_time.latest_ms(clock.now());
+    match snapshot_writer::load(&settings.folder, unix_ms, config.fingerprint(), max_age_ms, config.known.seq)
+    {
         Ok(Some((known, age_ms))) => {
-            log::info!("list: of event {}, {:.1} s old, taken", known.seq, age_ms as f64 / 1e3);
+            log::info!("list: snapshot of event {}, {:.1} s old, taken", known.seq, age_ms as f64 / 1e3);
             config.known = known;
         }
-        Ok(None) => log::info!("list: {}: none kept yet", told.folder.display()),
-        Err(why) => log::warn!("list: {why}; as if absent"),
+        Ok(None) => log::info!("list: {}: no snapshot yet", settings.folder.display()),
+        Err(why) => log::warn!("list: {why}; snapshot ignored"),
     }
-    SnapshotWriter::start(told.folder.clone())
+    SnapshotWriter::start(settings.folder.clone())
         .map(Some)
-        .map_err(|fault| format!("list: {}: {fault}", told.folder.display()))
+        .map_err(|fault| format!("list: {}: {fault}", settings.folder.display()))
 }
 
-/// When a file was last changed, if it is there.
-pub(super) fn modified(path: &Path) -> Option<SystemTime> {
-    std::fs::metadata(path).and_then(|told| told.modified()).ok()
+/// When a file was last modified; `None` if it is missing.
+pub(super) fn modified_at(path: &Path) -> Option<SystemTime> {
+    std::fs::metadata(path).and_then(|metadata| metadata.modified()).ok()
 }
--- a/crates/dispatcher/src/event_loop/writing.rs
+++ b/crates/dispatcher/src/event_loop/writing.rs
@@ -1,96 +1,98 @@
-//! Bytes on their way out: given, retracted, held back, written, and the end behind them.
+//! Output of connections: queued, taken back, postponed until clients are polled, written, and the shutdown after it.
 
-use super::connections::REPEATS;
+use super::connections::MAX_INTERRUPTED_RETRIES;
 use super::*;
 use copperroute_change_log_replica::socket_errors::{TransferError, classify_transfer_error};
 
-impl Carrier {
-    /// Writes what is left, then ends the sending side.
-    pub(super) fn shut(&mut self, peer: Peer, behind: TrailingInput) {
+impl Driver {
+    /// Writes the remaining output, then shuts down the sending side. `input` says whether input is still read.
+    pub(super) fn close_lingering(&mut self, peer: Peer, input: TrailingInput) {
         if let Some(connection) = self.connections.get_mut(&peer) {
-            connection.shuts = true;
-            connection.reads = behind == TrailingInput::Discard;
-            self.dirty.push(peer);
+            connection.shutdown_after_output = true;
+            connection.wants_input = input == TrailingInput::Discard;
+            self.has_output.push(peer);
         }
     }
 
-    /// Drops bytes that have not left, from a place on.
-    pub(super) fn retract(&mut self, peer: Peer, from: u64) {
+    /// Drops unwritten output from a position on, counted from the first byte ever given to the connection.
+    pub(super) fn truncate_output(&mut self, peer: Peer, from: u64) {
         if let Some(connection) = self.connections.get_mut(&peer) {
-            let kept = from.saturating_sub(connection.left) as usize;
-            connection.unwritten.truncate(connection.at + kept);
+            let kept = from.saturating_sub(connection.bytes_written) as usize;
+            connection.output.truncate(connection.output_offset + kept);
         }
-        // With nothing left to write it must not wait to write: it would be ready for ever.
+        // A connection without output must not be polled for writing: it would always be ready.
         self.set_interest(peer);
     }
 
+    /// Queues output of a connection; it is written at the end of the turn.
     pub(super) fn write(&mut self, peer: Peer, bytes: Vec<u8>) {
         let Some(connection) = self.connections.get_mut(&peer) else { return };
-        match connection.unwritten.is_empty() {
-            true => (connection.unwritten, connection.asked_at) = (bytes, self.asked_at),
-            false => connection.unwritten.extend_from_slice(&bytes),
+        match connection.output.is_empty() {
+            true => (connection.output, connection.requested_at) = (bytes, self.requested_at),
+            false => connection.output.extend_from_slice(&bytes),
         }
-        self.dirty.push(peer);
+        self.has_output.push(peer);
     }
 
-    /// Writes what has gathered in this turn; what leaves may bring more to write.
+    /// Writes the output of this turn. Written output may cause more output, which is written too.
     pub(super) fn flush_all(&mut self) {
-        while let Some(peer) = self.dirty.pop() {
+        while let Some(peer) = self.has_output.pop() {
             self.flush(peer);
         }
-        self.freshness.turn_ended(!self.held_back.is_empty());
-        self.dirty.append(&mut self.held_back);
+        self.freshness.turn_ended(!self.awaiting_poll.is_empty());
+        self.has_output.append(&mut self.awaiting_poll);
     }
 
+    /// Writes a connection's output, as far as the socket takes it, and reports the result.
     pub(super) fn flush(&mut self, peer: Peer) {
-        if !self.has_to_write(peer) || (matches!(peer, Peer::Node(_)) && !self.may_leave(peer)) {
+        if !self.has_output_for(peer) || (matches!(peer, Peer::Node(_)) && !self.may_write_now(peer)) {
             return;
         }
         let Some(connection) = self.connections.get_mut(&peer) else { return };
-        let before = connection.left;
+        let before = connection.bytes_written;
         let flushed = connection.flush();
-        let left = connection.left;
+        let written = connection.bytes_written;
         self.set_interest(peer);
-        // First what has left: an attempt that left whole may have run, though the connection has ended.
-        if left > before {
-            self.reduce(Event::Written(peer, left));
+        // Written bytes are reported before a failure: an attempt that was written in full may have run.
+        if written > before {
+            self.reduce(Event::Written(peer, written));
         }
         match flushed {
-            Err(fault) if classify_transfer_error(&fault) == TransferError::Broken => self.broken(peer),
-            Err(fault) => self.wants(&fault),
+            Err(fault) if classify_transfer_error(&fault) == TransferError::Broken => self.write_failed(peer),
+            Err(fault) => self.retry_later(&fault),
             Ok(()) => {}
         }
     }
 
-    fn has_to_write(&self, peer: Peer) -> bool {
+    fn has_output_for(&self, peer: Peer) -> bool {
         let connection = self.connections.get(&peer);
-        connection.is_some_and(|c| !c.connecting && (!c.unwritten.is_empty() || c.shuts))
+        connection.is_some_and(|c| !c.connecting && (!c.output.is_empty() || c.shutdown_after_output))
     }
 
-    /// Whether what is unwritten may leave for a node now: else clients are looked at first, as some may have gone. What
-    /// was encoded long ago is encoded anew.
-    fn may_leave(&mut self, peer: Peer) -> bool {
+    /// Whether output to a node may be written now. If the clients' sockets were polled too long ago, they are polled
+    /// first, as clients may have gone. Output that was encoded too long ago is encoded again.
+    fn may_write_now(&mut self, peer: Peer) -> bool {
         let now = self.clock.now();
         if self.freshness.needs_poll(now) {
-            self.held_back.push(peer);
+            self.awaiting_poll.push(peer);
             return false;
         }
         if let Some(connection) = self.connections.get_mut(&peer)
-            && Freshness::is_stale(connection.asked_at, now)
+            && Freshness::is_stale(connection.requested_at, now)
         {
-            connection.asked_at = now;
+            connection.requested_at = now;
             self.reduce(Event::OutputStale(peer));
-            // That took time as well.
-            return self.has_to_write(peer) && self.may_leave(peer);
+            // Encoding took time, so the check is repeated.
+            return self.has_output_for(peer) && self.may_write_now(peer);
         }
         true
     }
 
-    /// Follows what the connection waits for.
+    /// Registers what the connection is to be polled for.
     pub(super) fn set_interest(&mut self, peer: Peer) {
         let Some(connection) = self.connections.get(&peer) else { return };
-        let writable = connection.connecting || !connection.unwritten.is_empty();
-        let interest = Interest { readable: connection.reads && !connection.connecting, writable };
+        let writable = connection.connecting || !connection.output.is_empty();
+        let interest = Interest { readable: connection.wants_input && !connection.connecting, writable };
         let mut source = connection.source.as_source_mut();
         if (source.interest.readable, source.interest.writable) == (interest.readable, interest.writable) {
             return;
@@ -98,32 +100,36 @@
         source.interest = interest;
         drop(source);
         if let Err(fault) = self.handle.update(&connection.token) {
-            self.complaints.warn(self.clock.now(), format_args!("connection: {fault}"));
+            self.log_limiter.warn(
+                self.clock.now(),
+                format_args!("connection: {peer:?}: cannot change what is polled: {fault}"),
+            );
         }
     }
 }
 
 impl Connection {
-    /// Writes as much as goes. An error that is not of a broken connection leaves the rest for later.
+    /// Writes as much as the socket takes. After an error the rest stays queued, for a retry if the connection is not
+    /// broken.
     pub(super) fn flush(&mut self) -> io::Result<()> {
         let mut interrupted = 0;
-        while self.at < self.unwritten.len() {
-            match (&*self.stream).write(&self.unwritten[self.at..]) {
+        while self.output_offset < self.output.len() {
+            match (&*self.stream).write(&self.output[self.output_offset..]) {
                 Ok(0) => return Err(ErrorKind::WriteZero.into()),
                 Ok(count) => {
-                    self.at += count;
-                    self.left += count as u64;
+                    self.output_offset += count;
+                    self.bytes_written += count as u64;
                 }
                 Err(fault) => match classify_transfer_error(&fault) {
                     TransferError::NotReady => return Ok(()),
-                    TransferError::Interrupted if interrupted < REPEATS => interrupted += 1,
+                    TransferError::Interrupted if interrupted < MAX_INTERRUPTED_RETRIES => interrupted += 1,
                     _ => return Err(fault),
                 },
             }
         }
-        self.unwritten = Vec::new();
-        self.at = 0;
-        if std::mem::take(&mut self.shuts) {
+        self.output = Vec::new();
+        self.output_offset = 0;
+        if std::mem::take(&mut self.shutdown_after_output) {
             self.stream.shutdown(Shutdown::Write)?;
         }
         Ok(())
--- a/crates/dispatcher/src/logs.rs
+++ b/crates/dispatcher/src/logs.rs
@@ -1,27 +1,27 @@
-//! The log's way out: lines go through a thread of their own, so that nobody who reads them slowly, or not at
-//! all, holds up the event loop. What the thread can't take is left out.
+//! Starts the log, which a thread writes to standard error, so that a slow reader of the log does not delay the event
+//! loop. Lines that do not fit into the queue are dropped.
 
 pub use copperroute_change_log_replica::log_rate_limiter::LogRateLimiter;
 use std::io::{self, Write};
 use std::sync::mpsc::{Receiver, SyncSender, sync_channel};
 use std::time::Duration;
 
-/// Lines that may wait.
-const WAITING: usize = 1024;
-/// How long the program's end waits for the last lines.
-const LAST_LINES: Duration = Duration::from_millis(100);
+/// Capacity of the queue to the thread, in lines.
+const QUEUED_LINES: usize = 1024;
+/// Time limit for writing the last lines when the program ends.
+const FINISH_TIMEOUT: Duration = Duration::from_millis(100);
 
-enum Out {
+enum Message {
     Line(Vec<u8>),
-    /// All before this has been written.
-    Done(SyncSender<()>),
+    /// Answered once all lines before it are written.
+    Flush(SyncSender<()>),
 }
 
-struct Lines(SyncSender<Out>);
+struct LogQueue(SyncSender<Message>);
 
-impl Write for Lines {
+impl Write for LogQueue {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
-        let _ = self.0.try_send(Out::Line(line.to_vec()));
+        let _ = self.0.try_send(Message::Line(line.to_vec()));
         Ok(line.len())
     }
 
@@ -30,42 +30,42 @@
     }
 }
 
-/// Where to ask for the last lines.
-pub struct Log(SyncSender<Out>);
+/// Handle of the log thread.
+pub struct Log(SyncSender<Message>);
 
-fn write_out(lines: Receiver<Out>) {
-    for out in lines {
-        match out {
-            Out::Line(line) => {
+fn write_lines(messages: Receiver<Message>) {
+    for message in messages {
+        match message {
+            Message::Line(line) => {
                 let _ = io::stderr().write_all(&line);
             }
-            Out::Done(tell) => {
-                let _ = tell.send(());
+            Message::Flush(done) => {
+                let _ = done.send(());
             }
         }
     }
 }
 
-/// What is written where `RUST_LOG` says nothing. The event loop's library repeats itself without bound where calls fail; our
-/// own lines tell of them.
+/// Filter used without `RUST_LOG`. calloop is off because it logs each failed call without a limit; the dispatcher logs
+/// these failures itself, at a limited rate.
 const FILTER: &str = "info,calloop=off";
 
 /// Starts the log, on standard error.
 pub fn start() -> Log {
-    let (out, lines) = sync_channel(WAITING);
-    std::thread::spawn(|| write_out(lines));
+    let (queue, messages) = sync_channel(QUEUED_LINES);
+    std::thread::spawn(|| write_lines(messages));
     env_logger::Builder::from_env(env_logger::Env::default().default_filter_or(FILTER))
-        .target(env_logger::Target::Pipe(Box::new(Lines(out.clone()))))
+        .target(env_logger::Target::Pipe(Box::new(LogQueue(queue.clone()))))
         .init();
-    Log(out)
+    Log(queue)
 }
 
 impl Log {
-    /// Gives the last lines a moment to leave.
+    /// Waits until the queued lines are written, or for a time limit.
     pub fn finish(self) {
-        let (tell, done) = sync_channel(1);
-        if self.0.try_send(Out::Done(tell)).is_ok() {
-            let _ = done.recv_timeout(LAST_LINES);
+        let (done, finished) = sync_channel(1);
+        if self.0.try_send(Message::Flush(done)).is_ok() {
+            let _ = finished.recv_timeout(FINISH_TIMEOUT);
         }
     }
 }
