--- a/crates/dispatcher/src/config.rs
+++ b/crates/dispatcher/src/config.rs
@@ -1,4 +1,5 @@
-//! The configuration file: what the operators tell one dispatcher.
+//! Reads the configuration of one dispatcher from the platform's file and the operator's file, and checks it. The
+//! output is a [`Config`]; an error is one line that names the file, the field and what was expected.
 
 use copperroute_config_rollout::faults::Faults;
 use copperroute_config_rollout::rules::RuleSet;
@@ -13,7 +14,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// The file as it stands.
+/// The platform's configuration file.
 #[derive(Deserialize)]
 struct File {
     name: String,
@@ -25,20 +26,20 @@
     #[serde(default)]
     known: KnownEvents,
     settings: serde_json::Value,
-    /// What the own link carries in bytes a second: one answer, and all.
+    /// Capacity of the dispatcher's link in bytes a second: for one answer, and for all together (`link_bytes_per_s`).
     #[serde(default)]
     flow_bytes_per_s: f64,
     #[serde(default)]
     link_bytes_per_s: f64,
 }
 
-/// What the machine gives.
+/// The resources that the dispatcher may use.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct Limits {
-    /// Memory in MB.
+    /// Memory in MB (10^6 bytes).
     pub memory_mb: u64,
-    /// Descriptors.
+    /// File descriptors.
     pub sockets: u64,
 }
 
@@ -51,74 +52,74 @@
 /// What a dispatcher is started with.
 #[derive(Debug)]
 pub struct Config {
-    /// Its name.
+    /// The dispatcher's name.
     pub name: String,
-    /// Where clients connect.
+    /// The address on which clients connect.
     pub listen: SocketAddr,
-    /// What the machine gives.
+    /// The resources that the dispatcher may use.
     pub limits: Limits,
-    /// Where the change log is.
+    /// The address of the change log.
     pub changelog: SocketAddr,
-    /// The events up to the start.
+    /// The events of the change log that are known at the start.
     pub known: KnownEvents,
-    /// What the module is told.
+    /// The settings of the routing decisions.
     pub settings: Settings,
-    /// What connections to nodes are held to.
+    /// Limits of connections to nodes.
     pub connection_limits: ConnectionLimits,
     /// The names that the protocol uses.
     pub names: Names,
-    /// What may be asked for, by content type.
+    /// Limits of requests, by content type.
     pub request_limits: Vec<RequestLimits>,
-    /// What the own link carries in bytes a second: one answer, and all; zero if not told.
+    /// Capacity of the dispatcher's link in bytes a second: for one answer, and for all; zero if not configured.
     pub link_bytes_per_s: [f64; 2],
-    /// Bytes of memory for own copies; zero for none.
+    /// Memory of the local cache in bytes; zero for no cache.
     pub copy_memory_bytes: usize,
-    /// The disk tier of own copies.
+    /// The disk tier of the local cache.
     pub disk_tier: Option<DiskTier>,
-    /// The replicas of the change log; empty where its own address is followed.
+    /// The replicas of the change log; empty if `changelog` is followed.
     pub replicas: Vec<Replica>,
-    /// What is known of the list service.
+    /// When to reconnect to the change log.
     pub reconnect: ReconnectSettings,
-    /// Where the last good list outlives a restart.
+    /// Where the snapshot of the node list is kept; `None` if it does not survive a restart.
     pub snapshot: Option<SnapshotSettings>,
-    /// How dispatchers agree on versions of their rules; `None` if they don't.
+    /// The agreement on rule versions; `None` if dispatchers do not agree on any.
     pub agreement: Option<AgreementConfig>,
 }
 
-/// How dispatchers agree.
+/// The settings of the agreement on rule versions.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AgreementConfig {
-    /// What versions are judged by.
+    /// What versions are validated against.
     pub context: ValidationContext,
-    /// The strictest that any may say.
+    /// The strictest value that any version may set, for each rule.
     pub floor: RuleSet,
-    /// Those that the operator's file brings.
+    /// The versions in the operator's file.
     pub issued_versions: Vec<IssuedVersion>,
 }
 
 /// The files that a configuration is read from.
 #[derive(Debug, Clone)]
 pub struct ConfigFiles {
-    /// The platform's.
+    /// The platform's file.
     pub config: PathBuf,
-    /// The operator's own, if there is one.
+    /// The operator's file, if there is one.
     pub operator: Option<PathBuf>,
 }
 
 impl ConfigFiles {
-    /// Reads them all, or says in one line what is wrong with one.
+    /// Reads and checks all files; an error is one line.
     pub fn read(&self) -> Result<Config, String> {
         let mut config = Config::read(&self.config)?;
         if let Some(path) = &self.operator {
             let operator = OperatorFile::read(path)?;
             config.settings.overload_control = operator.overload_settings(config.settings.max_attempts)?;
             config.copy_memory_bytes = operator.copy_memory_bytes()?;
-            let most = config.limits.memory_mb / 2;
-            if config.copy_memory_bytes as u64 > most * 1_000_000 {
-                let told = config.copy_memory_bytes / 1_000_000;
+            let max_mb = config.limits.memory_mb / 2;
+            if config.copy_memory_bytes as u64 > max_mb * 1_000_000 {
+                let memory_mb = config.copy_memory_bytes / 1_000_000;
                 let path = path.display();
                 return Err(format!(
-                    "{path}: copies.memory_mb: {told}; expected at most {most}, half of limits.memory_mb"
+                    "{path}: copies.memory_mb: {memory_mb}; expected at most {max_mb}, half of limits.memory_mb"
                 ));
             }
             config.disk_tier = operator.disk_tier()?;
@@ -135,19 +136,19 @@
 }
 
 impl Config {
-    /// Tells this dispatcher of this deployment from others, whose lists are of no use here.
+    /// Identifies this dispatcher in this deployment: snapshots with another fingerprint are not used.
     pub fn fingerprint(&self) -> u64 {
         let Names { zones, kinds, .. } = &self.names;
         stable_hash(format!("{} {zones:?} {kinds:?}", self.name).as_bytes())
     }
 
-    /// Where the change log is followed: at two replicas if there are such, else at its own address.
+    /// The addresses at which the change log is followed: two replicas if any are configured, else `changelog`.
     pub fn change_log_addresses(&self) -> Vec<SocketAddr> {
         let two = select_replicas(&self.replicas, &self.name);
         two.map_or(vec![self.changelog], |two| two.map(|replica| replica.address).to_vec())
     }
 
-    /// How dispatchers agree, as the operator's file says.
+    /// The settings of the agreement, from the operator's file.
     pub fn agreeing(&self, operator: &OperatorFile) -> Result<Option<AgreementConfig>, String> {
         let (Some(timing), Some(told)) = (operator.timing_bounds()?, &operator.agreement) else {
             return Ok(None);
@@ -164,14 +165,14 @@
         Ok(Some(AgreementConfig { context, floor, issued_versions: operator.issued_versions()? }))
     }
 
-    /// Reads a configuration; an error is one line with the file, the field and what was expected.
+    /// Reads the platform's file; an error is one line with the file, the field and what was expected.
     pub fn read(path: &Path) -> Result<Config, String> {
         let named = |what: String| format!("{}: {what}", path.display());
         let text = std::fs::read_to_string(path).map_err(|fault| named(fault.to_string()))?;
         Config::parse(&text).map_err(named)
     }
 
-    /// The same from the text of a file.
+    /// The same from the text of the file.
     pub fn parse(text: &str) -> Result<Config, String> {
         let read = &mut serde_json::Deserializer::from_str(text);
         let file: File = serde_path_to_error::deserialize(read).map_err(|fault| fault.to_string())?;
@@ -199,7 +200,7 @@
     }
 }
 
-/// What is done wrongly on purpose: nothing, but in a build for checkers.
+/// The deliberate faults: none, except in a build with the feature `faults`, which tests of the checks use.
 #[cfg(not(feature = "faults"))]
 fn faults() -> Faults {
     Faults::default()
--- a/crates/dispatcher/src/external_time.rs
+++ b/crates/dispatcher/src/external_time.rs
@@ -1,39 +1,43 @@
-//! What time it is outside, by witnesses: Unix times that others told, and this machine's wall clock.
+//! Estimates the external time, which is the Unix time on the machines that write the change log and answer for nodes.
+//! Inputs are the Unix times found in received events and answers, and this machine's wall clock; outputs are a lower
+//! and an upper bound of the external time, and ages.
 //!
-//! A Unix time that was told has passed where it was written, so the largest one heard, carried on by the monotonic clock,
-//! bounds the outside's present from below. The own wall clock counts where it lies within [`MAX_CLOCK_LEAD`] above
-//! that bound; one further ahead or behind is taken to have been stepped, and what was told stands. Spans are never
-//! read off it alone: what happened is no older than the bound says, and, whatever its number says, no younger than
-//! when it was heard of.
+//! A received Unix time had passed where it was written. The largest one received, advanced by the monotonic clock, is
+//! therefore a lower bound of the external time. The local wall clock is used if it is ahead of that bound by at most
+//! [`MAX_CLOCK_LEAD`]. If it is further ahead, or behind, it is assumed to have been stepped, and the received times
+//! are used instead. Ages never depend on the wall clock alone: an event is no older than the bound says and,
+//! whatever time it states, was written no later than it was received.
 //!
-//! Owner: the reducer. Bound: two times of each kind of witness. Forgotten: after one to two times
-//! [`OBSERVATION_WINDOW`], as soon as newer ones are heard. No I/O; time comes with each call.
+//! The reducer owns the state: two times for each kind of source. A time is forgotten after one to two times
+//! [`OBSERVATION_WINDOW`], as soon as a newer one is received. No I/O; each call is given the time.
 
 use crate::clock::Epoch;
 use copperroute_protocol::changes::Change;
 use copperroute_routing::interface::Nanos;
 
-/// A wall clock that is ahead of all that was told by no more than this agrees with it: what is told is underway for
-/// some of that, and events and answers come more than once a second.
+/// The wall clock agrees with the received times if it is ahead of all of them by at most this. A received time is
+/// already some milliseconds old, and events and answers arrive more than once a second.
 pub const MAX_CLOCK_LEAD: Nanos = Nanos(1_000_000_000);
-/// Times told are kept for one to two times as long: monotonic clocks drift by less than a second in that, and a false
-/// time is forgotten.
+/// Received times are kept for one to two times this long. Monotonic clocks drift by less than a second in that time,
+/// and a false time is forgotten.
 pub const OBSERVATION_WINDOW: Nanos = Nanos(600_000_000_000);
-/// After so long with answers the largest time told is the outside's present, whatever the wall clock says.
+/// This long after the first answer with a time, the largest received time bounds the external time from above too,
+/// whatever the wall clock shows.
 pub const SETTLING_TIME: Nanos = Nanos(10_000_000_000);
-/// No Unix millisecond past this one (the year 2200) is believed.
-const LATEST_BELIEVED_MS: u64 = 7_258_118_400_000;
+/// Unix times (in milliseconds) after this one, the year 2200, are ignored as invalid.
+const MAX_VALID_MS: u64 = 7_258_118_400_000;
 
-/// The largest Unix time told by one kind of witness, as nanoseconds by which it leads the monotonic clock.
+/// The largest Unix time received from one kind of source, as its lead over the monotonic clock in nanoseconds.
 #[derive(Debug, Clone, Copy, Default)]
-struct Leads {
+struct LargestLead {
+    /// When `current` was begun.
     began: Nanos,
     current: Option<i64>,
     previous: Option<i64>,
 }
 
-impl Leads {
-    fn heard(&mut self, now: Nanos, lead: i64) {
+impl LargestLead {
+    fn observe(&mut self, now: Nanos, lead: i64) {
         if now.since(self.began) > OBSERVATION_WINDOW {
             (self.began, self.previous, self.current) = (now, self.current, None);
         }
@@ -45,25 +49,30 @@
     }
 }
 
-/// The outside's present, as far as it is known.
+/// The estimate of the external time.
 #[derive(Debug)]
 pub struct ExternalTime {
-    own: Epoch,
-    /// By the change log: purges, starts, and versions of the rules as they were issued.
-    log: Leads,
-    /// By nodes' answers: when copies were made.
-    answers: Leads,
-    /// When the first answer told a time.
-    answered: Option<Nanos>,
+    local: Epoch,
+    /// From the change log: times of purges, of node starts, and of the issue of rule versions.
+    log: LargestLead,
+    /// From answers of nodes: when copies were made.
+    answers: LargestLead,
+    /// When the first answer with a time arrived.
+    first_answer_at: Option<Nanos>,
 }
 
 impl ExternalTime {
-    /// Nothing told yet, on a machine whose wall clock lies so to the monotonic one.
-    pub fn new(own: Epoch) -> Self {
-        ExternalTime { own, log: Leads::default(), answers: Leads::default(), answered: None }
+    /// No times received yet; `local` relates this machine's wall clock to its monotonic clock.
+    pub fn new(local: Epoch) -> Self {
+        ExternalTime {
+            local,
+            log: LargestLead::default(),
+            answers: LargestLead::default(),
+            first_answer_at: None,
+        }
     }
 
-    /// An event of the change log was heard, live or not: the times in it have passed.
+    /// Takes the times in an event of the change log, live or replayed: they have passed.
     pub fn observe_event(&mut self, now: Nanos, change: &Change) {
         let starts = change.fleet.iter().flat_map(|fleet| &fleet.servers).filter_map(|node| node.started_ms);
         let purged = change.invalidate.iter().map(|purge| purge.time);
@@ -71,73 +80,77 @@
         starts.chain(purged).chain(issued).for_each(|unix_ms| self.observe_time(now, unix_ms));
     }
 
-    /// Those who change the fleet wrote a Unix millisecond, which has passed: in the change log, or in a file.
+    /// Takes a Unix time in milliseconds, which has passed, from the change log or from the operator's file.
     pub fn observe_time(&mut self, now: Nanos, unix_ms: u64) {
-        lead(now, unix_ms).into_iter().for_each(|lead| self.log.heard(now, lead));
+        lead(now, unix_ms).into_iter().for_each(|lead| self.log.observe(now, lead));
     }
 
-    /// A copy was told of that was made at a Unix millisecond.
+    /// Takes the Unix time in milliseconds at which a copy was made, from a node's answer.
     pub fn observe_copy(&mut self, now: Nanos, made_ms: u64) {
         if let Some(lead) = lead(now, made_ms) {
-            self.answers.heard(now, lead);
-            self.answered.get_or_insert(now);
+            self.answers.observe(now, lead);
+            self.first_answer_at.get_or_insert(now);
         }
     }
 
-    /// A copy that was kept over a restart was made at a Unix millisecond, which may be long ago.
+    /// Takes the same from a copy on disk that survived a restart. The time may be long ago, so it does not count as an
+    /// answer.
     pub fn observe_restored_copy(&mut self, now: Nanos, made_ms: u64) {
-        lead(now, made_ms).into_iter().for_each(|lead| self.answers.heard(now, lead));
+        lead(now, made_ms).into_iter().for_each(|lead| self.answers.observe(now, lead));
     }
 
-    /// Whether any answer has told a time.
+    /// Whether any answer has brought a time.
     pub fn has_copy_time(&self) -> bool {
-        self.answered.is_some()
+        self.first_answer_at.is_some()
     }
 
-    /// The Unix millisecond that it is outside at the least: the own clock's where the witnesses agree, else what was
-    /// told. Where the own clock is behind, only the change log moves it: one node's false time must not make a cold
-    /// node warm, nor a version of the rules act early.
+    /// Lower bound of the external time, in Unix milliseconds: the local clock where it agrees with the received times,
+    /// else the received times. Where the local clock is behind, only times from the change log correct it, so that a
+    /// false time from one node neither ends the slow start of a node nor activates a rule version early.
     pub fn earliest_ms(&self, now: Nanos) -> u64 {
-        let own_ms = self.own.unix_ms(now);
+        let local_ms = self.local.unix_ms(now);
         let log_ms = self.log.largest().map_or(0, |lead| unix_ms(now, lead));
-        match self.told_ms(now) {
-            Some(told_ms) if own_ms > told_ms.saturating_add(MAX_CLOCK_LEAD.0 / 1_000_000) => told_ms,
-            _ => own_ms.max(log_ms),
+        match self.received_ms(now) {
+            Some(received_ms) if local_ms > received_ms.saturating_add(MAX_CLOCK_LEAD.0 / 1_000_000) => {
+                received_ms
+            }
+            _ => local_ms.max(log_ms),
         }
     }
 
-    /// The Unix millisecond that it may be outside at the most, for what must not be served too old.
+    /// Upper bound of the external time, in Unix milliseconds, for copies that must not be served too old.
     pub fn latest_ms(&self, now: Nanos) -> u64 {
-        let own_ms = self.own.unix_ms(now);
-        let Some(told_ms) = self.told_ms(now) else { return own_ms };
-        let settled = self.answered.is_some_and(|since| now.since(since) >= SETTLING_TIME);
-        let most_ms = if settled { told_ms.saturating_add(MAX_CLOCK_LEAD.0 / 1_000_000) } else { u64::MAX };
-        own_ms.clamp(told_ms, most_ms)
+        let local_ms = self.local.unix_ms(now);
+        let Some(received_ms) = self.received_ms(now) else { return local_ms };
+        let settled = self.first_answer_at.is_some_and(|since| now.since(since) >= SETTLING_TIME);
+        let max_ms =
+            if settled { received_ms.saturating_add(MAX_CLOCK_LEAD.0 / 1_000_000) } else { u64::MAX };
+        local_ms.clamp(received_ms, max_ms)
     }
 
-    /// How long ago, at the least, something happened at a Unix millisecond of the outside's.
+    /// Lower bound of the age of something that happened at this external Unix time in milliseconds.
     pub fn min_age(&self, now: Nanos, happened_ms: u64) -> Nanos {
-        let own_ms = self.own.unix_ms(now);
+        let local_ms = self.local.unix_ms(now);
         let earliest_ms = self.earliest_ms(now);
-        match earliest_ms == own_ms {
-            true => now.since(self.own.from_unix_ms(happened_ms)),
+        match earliest_ms == local_ms {
+            true => now.since(self.local.from_unix_ms(happened_ms)),
             false => Nanos(earliest_ms.saturating_sub(happened_ms).saturating_mul(1_000_000)),
         }
     }
 
-    /// The largest time told, carried on to now.
-    fn told_ms(&self, now: Nanos) -> Option<u64> {
+    /// The largest received time, advanced to now.
+    fn received_ms(&self, now: Nanos) -> Option<u64> {
         self.log.largest().max(self.answers.largest()).map(|lead| unix_ms(now, lead))
     }
 }
 
-/// By how much a Unix time leads the monotonic clock; none for what is no time, or none to be believed.
+/// The lead of a Unix time over the monotonic clock, in nanoseconds; `None` for 0 and for times that are not valid.
 fn lead(now: Nanos, unix_ms: u64) -> Option<i64> {
-    let told = (1..=LATEST_BELIEVED_MS).contains(&unix_ms);
-    told.then(|| (unix_ms * 1_000_000) as i64 - now.0.min(i64::MAX as u64) as i64)
+    let is_valid = (1..=MAX_VALID_MS).contains(&unix_ms);
+    is_valid.then(|| (unix_ms * 1_000_000) as i64 - now.0.min(i64::MAX as u64) as i64)
 }
 
-/// The Unix millisecond by a lead over the monotonic clock.
+/// The Unix time in milliseconds, from a lead over the monotonic clock.
 fn unix_ms(now: Nanos, lead: i64) -> u64 {
     now.0.saturating_add_signed(lead) / 1_000_000
 }
--- a/crates/dispatcher/src/lingering.rs
+++ b/crates/dispatcher/src/lingering.rs
@@ -1,62 +1,69 @@
-//! Decisions on lingering close: a client's connection whose sending side has ended is read on for a bounded time and
-//! number of bytes, and what comes is dropped. Closed at once over unread bytes it would be reset, and the reset can take
-//! with it answers that were written. No input or output; time comes with each call.
+//! Decides how long a closed client connection lingers. After the dispatcher has shut down its sending side, the
+//! connection is still read for a bounded time and number of bytes, and the input is dropped. Closing a socket with
+//! unread input would reset the connection, and a reset can destroy answers that were already written. No I/O; each
+//! call is given the time. `clients` calls this module and closes the connections that it returns.
 
 use copperroute_routing::interface::Nanos;
 use std::collections::VecDeque;
 
-/// A client on the other side of a slow network has read the end, and closed, by then.
-const LINGERS: Nanos = Nanos(1_000_000_000);
-/// The same at the end of the program: what was told to end is killed 0.2 s after all must be answered.
+/// Limit of the lingering. A client on a slow network has read the end of stream and closed by then.
+const LINGER_TIMEOUT: Nanos = Nanos(1_000_000_000);
+/// The same when the program ends: the process is killed 0.2 s after the last request must be answered.
 pub const EXIT_LINGER_TIMEOUT: Nanos = Nanos(100_000_000);
-/// Who sends more than this behind the end, in bytes, is a client that does not listen.
-const MOST_BYTES: u64 = 512 * 1024;
-/// Of the descriptors, one in so many may linger, and this many always may: then the oldest is closed.
-const PART: usize = 32;
-const LEAST: usize = 4;
+/// Limit of bytes read after the end of stream. A client that sends more does not read the answers.
+const MAX_BYTES: u64 = 512 * 1024;
+/// One in this many descriptors may belong to a lingering connection; above that limit the oldest is closed.
+const DESCRIPTORS_PER_LINGERING: usize = 32;
+/// This many connections may linger however few descriptors there are.
+const MIN_LINGERING: usize = 4;
 
-/// One connection that lingers.
+/// One lingering connection.
 #[derive(Debug, Clone, Copy)]
-struct Ending {
+struct LingeringConnection {
     number: u32,
     since: Nanos,
     until: Nanos,
     bytes: u64,
 }
 
-/// The connections that linger, in the order in which they began to.
+/// The lingering connections, the oldest first.
 #[derive(Debug, Default)]
 pub struct LingeringConnections {
-    endings: VecDeque<Ending>,
-    most: usize,
+    connections: VecDeque<LingeringConnection>,
+    max_count: usize,
 }
 
 impl LingeringConnections {
-    /// Takes a limit of descriptors.
+    /// Sets the process's limit of descriptors.
     pub fn set_descriptor_limit(&mut self, descriptors: usize) {
-        self.most = (descriptors / PART).max(LEAST);
+        self.max_count = (descriptors / DESCRIPTORS_PER_LINGERING).max(MIN_LINGERING);
     }
 
-    /// How many linger.
+    /// The number of lingering connections.
     pub fn count(&self) -> usize {
-        self.endings.len()
+        self.connections.len()
     }
 
-    /// A connection's sending side ends now. Returns the one that is to be closed in its place, if there are too many.
+    /// A connection begins to linger. Returns the oldest one, to be closed, if there are too many.
     pub fn begin(&mut self, now: Nanos, number: u32) -> Option<u32> {
-        self.endings.push_back(Ending { number, since: now, until: now.after(LINGERS), bytes: 0 });
-        if self.endings.len() <= self.most { None } else { self.pop_oldest() }
+        self.connections.push_back(LingeringConnection {
+            number,
+            since: now,
+            until: now.after(LINGER_TIMEOUT),
+            bytes: 0,
+        });
+        if self.connections.len() <= self.max_count { None } else { self.pop_oldest() }
     }
 
-    /// The program ends: those that linger already have no longer than the rest.
+    /// Shortens the time of the connections that already linger, as the program ends.
     pub fn shorten_for_exit(&mut self, now: Nanos) {
         let last = now.after(EXIT_LINGER_TIMEOUT);
-        self.endings.iter_mut().for_each(|ending| ending.until = ending.until.min(last));
+        self.connections.iter_mut().for_each(|connection| connection.until = connection.until.min(last));
     }
 
-    /// A connection's sending side ends now, as the program does, however many there are.
+    /// A connection begins to linger as the program ends; their number is not limited then.
     pub fn begin_at_exit(&mut self, now: Nanos, number: u32) {
-        self.endings.push_back(Ending {
+        self.connections.push_back(LingeringConnection {
             number,
             since: now,
             until: now.after(EXIT_LINGER_TIMEOUT),
@@ -64,37 +71,39 @@
         });
     }
 
-    /// The one that lingers longest lingers no more.
+    /// Removes and returns the connection that has lingered longest.
     pub fn pop_oldest(&mut self) -> Option<u32> {
-        self.endings.pop_front().map(|ending| ending.number)
+        self.connections.pop_front().map(|connection| connection.number)
     }
 
-    /// The same, if it has lingered for this span at least.
+    /// The same, if it has lingered for at least this span.
     pub fn pop_older_than(&mut self, now: Nanos, span: Nanos) -> Option<u32> {
-        let lingers = |ending: &Ending| now.since(ending.since) >= span;
-        self.endings.front().is_some_and(lingers).then(|| self.pop_oldest()).flatten()
+        let is_old = |connection: &LingeringConnection| now.since(connection.since) >= span;
+        self.connections.front().is_some_and(is_old).then(|| self.pop_oldest()).flatten()
     }
 
-    /// So many bytes came on a connection; tells whether that is enough of it.
+    /// Counts received bytes. Returns true, and forgets the connection, if it has sent more than the limit.
     pub fn received(&mut self, number: u32, bytes: usize) -> bool {
-        let Some(at) = self.endings.iter().position(|ending| ending.number == number) else { return false };
-        self.endings[at].bytes += bytes as u64;
-        let enough = self.endings[at].bytes > MOST_BYTES;
-        if enough {
-            self.endings.remove(at);
+        let Some(at) = self.connections.iter().position(|connection| connection.number == number) else {
+            return false;
+        };
+        self.connections[at].bytes += bytes as u64;
+        let is_over_limit = self.connections[at].bytes > MAX_BYTES;
+        if is_over_limit {
+            self.connections.remove(at);
         }
-        enough
+        is_over_limit
     }
 
-    /// A connection has ended.
+    /// Forgets a connection that was closed.
     pub fn remove(&mut self, number: u32) {
-        self.endings.retain(|ending| ending.number != number);
+        self.connections.retain(|connection| connection.number != number);
     }
 
-    /// The connections whose time is over.
+    /// Removes and returns the connections whose time is over.
     pub fn take_expired(&mut self, now: Nanos) -> Vec<u32> {
-        let over: Vec<_> = self.endings.iter().filter(|e| e.until <= now).map(|e| e.number).collect();
-        self.endings.retain(|ending| ending.until > now);
-        over
+        let expired: Vec<_> = self.connections.iter().filter(|e| e.until <= now).map(|e| e.number).collect();
+        self.connections.retain(|connection| connection.until > now);
+        expired
     }
 }
--- a/crates/dispatcher/src/snapshot_writer.rs
+++ b/crates/dispatcher/src/snapshot_writer.rs
@@ -1,5 +1,6 @@
-//! The file of the last good list: read at the start, written aside and renamed by a thread of its own, so that a slow
-//! disk holds up nothing. A list that could not be written is tried again, unless a newer one comes first.
+//! Reads and writes the snapshot file of the node list. The event loop loads it at the start and then hands new content
+//! to a thread, which writes a temporary file and renames it, so that a slow disk does not delay the event loop. A
+//! failed write is retried unless newer content arrives first.
 
 use crate::node_list_snapshot::{self, MAX_FILE_BYTES};
 use copperroute_cache_store::files::{FileSystem, Files, read_whole, replace};
@@ -13,30 +14,31 @@
 use std::time::{Duration, Instant};
 
 const NAME: &str = "list";
-const ASIDE: &str = "list.new";
-/// At the end the disk has so long for what waits; one that hangs must not hold up the end of the program.
-const ENDS_WITHIN: Duration = Duration::from_secs(2);
-/// How often it is looked whether the thread has ended.
-const ENDED_YET: Duration = Duration::from_millis(2);
+const TEMPORARY_NAME: &str = "list.new";
+/// Time limit for the last write when the program ends, so that a disk that hangs does not delay the end.
+const STOP_TIMEOUT: Duration = Duration::from_secs(2);
+/// Interval at which `stop` checks whether the thread has ended.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// The list that stands in a folder, and its age in milliseconds; nothing if there is none, and why one does not do.
+/// Reads the snapshot in a folder: its events and its age in milliseconds, `None` if there is no file, or an error that
+/// says why it can't be used. The parameters are those of [`node_list_snapshot::decode`].
 pub fn load(
     folder: &Path,
     unix_ms: u64,
-    of: u64,
-    most_age_ms: u64,
+    fingerprint: u64,
+    max_age_ms: u64,
     known: u64,
 ) -> Result<Option<(KnownEvents, u64)>, String> {
-    load_with(&FileSystem, folder, unix_ms, of, most_age_ms, known)
+    load_with(&FileSystem, folder, unix_ms, fingerprint, max_age_ms, known)
 }
 
-/// The same, reached by these operations.
+/// The same with the given file operations.
 pub fn load_with(
     files: &dyn Files,
     folder: &Path,
     unix_ms: u64,
-    of: u64,
-    most_age_ms: u64,
+    fingerprint: u64,
+    max_age_ms: u64,
     known: u64,
 ) -> Result<Option<(KnownEvents, u64)>, String> {
     let path = folder.join(NAME);
@@ -45,10 +47,11 @@
     else {
         return Ok(None);
     };
-    node_list_snapshot::decode(&bytes, unix_ms, of, most_age_ms, known).map(Some).map_err(named)
+    node_list_snapshot::decode(&bytes, unix_ms, fingerprint, max_age_ms, known).map(Some).map_err(named)
 }
 
-/// The thread that writes. Of lists that come faster than the disk takes them one waits; the next is tried anew.
+/// Handle of the writing thread. If snapshots come faster than the disk takes them, one is queued and further ones are
+/// dropped.
 pub struct SnapshotWriter {
     out: Option<SyncSender<Vec<u8>>>,
     thread: Option<JoinHandle<()>>,
@@ -58,8 +61,8 @@
 struct Writer<F> {
     files: F,
     folder: PathBuf,
-    /// The list that is not written yet.
-    waits: Option<Vec<u8>>,
+    /// The content that is not written yet.
+    pending: Option<Vec<u8>>,
     retries: Reopening,
     started: Instant,
 }
@@ -69,14 +72,14 @@
         Nanos(self.started.elapsed().as_nanos() as u64)
     }
 
-    fn run(mut self, lists: &Receiver<Vec<u8>>) {
+    fn run(mut self, snapshots: &Receiver<Vec<u8>>) {
         loop {
             let received = match self.retries.due() {
-                None => lists.recv().map_err(|_| RecvTimeoutError::Disconnected),
-                Some(due) => lists.recv_timeout(Duration::from_nanos(due.since(self.now()).0)),
+                None => snapshots.recv().map_err(|_| RecvTimeoutError::Disconnected),
+                Some(due) => snapshots.recv_timeout(Duration::from_nanos(due.since(self.now()).0)),
             };
             match received {
-                Ok(bytes) => self.waits = Some(bytes),
+                Ok(bytes) => self.pending = Some(bytes),
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return self.write(),
             }
@@ -87,17 +90,17 @@
     }
 
     fn write(&mut self) {
-        let Some(bytes) = &self.waits else { return };
-        match replace(&self.files, &self.folder, [NAME, ASIDE], bytes, true) {
+        let Some(bytes) = &self.pending else { return };
+        match replace(&self.files, &self.folder, [NAME, TEMPORARY_NAME], bytes, true) {
             Ok(()) => {
-                self.waits = None;
+                self.pending = None;
                 if self.retries.succeeded(self.now()).is_some() {
-                    log::info!("list: {}: kept again", self.folder.display());
+                    log::info!("list: {}: snapshot saved again", self.folder.display());
                 }
             }
             Err(fault) => {
                 if self.retries.failed(self.now()) {
-                    log::warn!("list: {}: not kept: {fault}", self.folder.display());
+                    log::warn!("list: {}: snapshot not saved: {fault}", self.folder.display());
                 }
             }
         }
@@ -105,37 +108,37 @@
 }
 
 impl SnapshotWriter {
-    /// Starts it for a folder, which is made if it is not there.
+    /// Starts the thread for a folder, which is created if it is missing.
     pub fn start(folder: PathBuf) -> io::Result<SnapshotWriter> {
         SnapshotWriter::start_with(FileSystem, folder)
     }
 
-    /// The same for one reached by these operations.
+    /// The same with the given file operations.
     pub fn start_with(files: impl Files + 'static, folder: PathBuf) -> io::Result<SnapshotWriter> {
         files.make_folder(&folder)?;
-        let (out, lists) = sync_channel(1);
+        let (out, snapshots) = sync_channel(1);
         let (retries, started) = (Reopening::default(), Instant::now());
-        let writer = Writer { files, folder, waits: None, retries, started };
-        let thread = std::thread::Builder::new().name("list".into()).spawn(move || writer.run(&lists))?;
+        let writer = Writer { files, folder, pending: None, retries, started };
+        let thread = std::thread::Builder::new().name("list".into()).spawn(move || writer.run(&snapshots))?;
         Ok(SnapshotWriter { out: Some(out), thread: Some(thread) })
     }
 
-    /// Keeps a list, unless the disk is busy with two before it.
+    /// Queues content to be written; drops it if the disk is still busy with two earlier ones.
     pub fn save(&self, bytes: Vec<u8>) {
         if let Some(Err(TrySendError::Full(_))) = self.out.as_ref().map(|out| out.try_send(bytes)) {
-            log::debug!("list: the disk is slow, one left out");
+            log::debug!("list: the disk is slow, one snapshot dropped");
         }
     }
 
-    /// Ends it once what waits is written, or the disk has had its time for that.
+    /// Ends the thread once the queued content is written, or after a time limit.
     pub fn stop(mut self) {
         self.out = None;
-        let begun = Instant::now();
+        let stop_started = Instant::now();
         while self.thread.as_ref().is_some_and(|thread| !thread.is_finished()) {
-            if begun.elapsed() > ENDS_WITHIN {
+            if stop_started.elapsed() > STOP_TIMEOUT {
                 return;
             }
-            std::thread::sleep(ENDED_YET);
+            std::thread::sleep(STOP_POLL_INTERVAL);
         }
     }
 }
