--- a/crates/protocol/src/changes.rs
+++ b/crates/protocol/src/changes.rs
@@ -1,18 +1,19 @@
-//! The change log: one JSON value a line, and the events that the configuration holds from before.
+//! The protocol of the change log: one JSON value a line, which is an event or a heartbeat. The dispatcher's
+//! configuration uses the same form for the events known at its start.
 
 use crate::incoming::{DecodeError, ReceiveBuffer};
 use copperroute_routing::interface::Readiness;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-const LONGEST_LINE: usize = 4 * 1024 * 1024;
+const MAX_LINE_BYTES: usize = 4 * 1024 * 1024;
 
-/// A node as the change log lists it.
+/// A node in the node list of the change log.
 #[derive(Debug, Clone, PartialEq, Deserialize, Serialize)]
 pub struct ListedNode {
-    /// Its id.
+    /// The node's id.
     pub id: String,
-    /// Where it listens; one that has gone may have none.
+    /// The address on which it listens; a node that is gone may have none.
     pub addr: Option<SocketAddr>,
     /// The name of its location or hub.
     #[serde(default)]
@@ -20,15 +21,15 @@
     /// The name of its machine kind.
     #[serde(default)]
     pub kind: String,
-    /// Its cell.
+    /// The node's cell, if it is in one.
     #[serde(default)]
     pub cell: Option<u32>,
     /// Whether it takes work.
     pub state: NodeState,
-    /// Its size in relation to others.
+    /// Its capacity relative to other nodes.
     #[serde(default)]
     pub weight: Option<f64>,
-    /// The Unix millisecond of a late start, or 0.
+    /// The Unix time in milliseconds of its start, if it started late; else 0.
     #[serde(default)]
     pub started_ms: Option<u64>,
 }
@@ -39,9 +40,9 @@
 pub enum NodeState {
     /// Takes work.
     Active,
-    /// Is draining.
+    /// Draining: takes no new work.
     Leaving,
-    /// Is gone.
+    /// Gone.
     Left,
 }
 
@@ -55,16 +56,16 @@
     }
 }
 
-/// News of the list of nodes.
+/// A snapshot or a delta of the node list.
 #[derive(Debug, Clone, PartialEq, Deserialize, Serialize)]
 pub struct Fleet {
-    /// The list's version; it only grows.
+    /// The version of the list, which only increases.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub version: Option<u64>,
-    /// The whole list: what is not in it has gone.
+    /// This is a snapshot: nodes that are not in it are gone.
     #[serde(default)]
     pub full: bool,
-    /// The nodes that it tells of.
+    /// The nodes of the snapshot, or those that changed.
     pub servers: Vec<ListedNode>,
 }
 
@@ -73,33 +74,33 @@
 pub struct Purge {
     /// The object, with all its parts.
     pub object: Option<String>,
-    /// The group.
+    /// The group of objects.
     pub bucket: Option<u64>,
-    /// The Unix millisecond of the purge.
+    /// The Unix time of the purge, in milliseconds.
     pub time: u64,
 }
 
-/// A numbered event. One of a kind that is not known counts and changes nothing.
+/// An event with its sequence number. An event of an unknown kind counts in the sequence and changes nothing.
 #[derive(Debug, Clone, PartialEq, Deserialize, Serialize)]
 pub struct Change {
-    /// Its number.
+    /// The sequence number.
     pub seq: u64,
-    /// News of the list of nodes.
+    /// A snapshot or delta of the node list.
     pub fleet: Option<Fleet>,
     /// A purge.
     pub invalidate: Option<Purge>,
-    /// A version of the rules, as its issuer wrote it.
+    /// A rule version, as its issuer wrote it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub rules: Option<serde_json::Value>,
-    /// With a whole list: the number of the last version of the rules by then, 0 for none.
+    /// With a snapshot: the number of the last rule version at that time, 0 for none.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub agreed: Option<u64>,
 }
 
-/// The events up to the start.
+/// The events that are known at the start.
 #[derive(Debug, Clone, Default, PartialEq, Deserialize, Serialize)]
 pub struct KnownEvents {
-    /// The number of the last.
+    /// The sequence number of the last event.
     pub seq: u64,
     /// The events.
     pub results: Vec<Change>,
@@ -108,62 +109,63 @@
 /// A line of the change log.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Line {
-    /// The last number, once a second.
+    /// A heartbeat, sent once a second, with the sequence number of the last event.
     Heartbeat(u64),
     /// An event.
     Change(Box<Change>),
-    /// The number of an event that can't be used, and why.
+    /// The sequence number of an event that can't be used, and why.
     Unusable(u64, String),
 }
 
-/// What every event has.
+/// The field that every event has.
 #[derive(Deserialize)]
-struct Numbered {
+struct AnyEvent {
     seq: u64,
 }
 
-/// A heartbeat in the form of an event: an object with the last number alone.
+/// A heartbeat in the form of an event: an object with nothing but the last sequence number.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct NumberAlone {
+struct SeqOnly {
     seq: u64,
 }
 
-/// No heartbeat is longer: an object, its one name and twenty digits, with room to spare.
-const LONGEST_HEARTBEAT: usize = 64;
+/// Limit on the length of a heartbeat: an object with one name and twenty digits, with some spare.
+const MAX_HEARTBEAT_BYTES: usize = 64;
 
-/// The number that a line names, if it is a heartbeat: the number alone, or an object that holds nothing else.
+/// The sequence number in a heartbeat, which is the number alone or an object with nothing else; `None` for other
+/// lines.
 pub fn heartbeat(line: &str) -> Option<u64> {
-    if line.len() > LONGEST_HEARTBEAT {
+    if line.len() > MAX_HEARTBEAT_BYTES {
         return None;
     }
-    let in_object = || serde_json::from_str(line).ok().map(|NumberAlone { seq }| seq);
+    let in_object = || serde_json::from_str(line).ok().map(|SeqOnly { seq }| seq);
     line.trim().parse().ok().or_else(in_object)
 }
 
-/// The line that asks for all that follows the event with this number.
+/// Encodes the request for all events after this sequence number.
 pub fn encode_since(last: u64) -> Vec<u8> {
     format!("since {last}\n").into_bytes()
 }
 
-/// Decodes the change log.
+/// Decodes the lines of the change log.
 #[derive(Debug, Default)]
 pub struct Decoder(ReceiveBuffer);
 
 impl Decoder {
-    /// Takes bytes as they came.
+    /// Appends received bytes.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.0.feed(bytes);
     }
 
-    /// Whether part of a line has come and the rest has not.
+    /// Whether an incomplete line has been received.
     pub fn has_partial_line(&self) -> bool {
         !self.0.is_empty()
     }
 
-    /// The next whole line; an error means that no more can be read here.
+    /// Decodes the next complete line; after an error the connection can't be decoded further.
     pub fn next_line(&mut self) -> Result<Option<Line>, DecodeError> {
-        let Some(line) = self.0.take_line(LONGEST_LINE)? else { return Ok(None) };
+        let Some(line) = self.0.take_line(MAX_LINE_BYTES)? else { return Ok(None) };
         if let Some(last) = heartbeat(&line) {
             return Ok(Some(Line::Heartbeat(last)));
         }
@@ -172,7 +174,7 @@
             Err(fault) => fault.to_string(),
         };
         match serde_json::from_str(&line) {
-            Ok(Numbered { seq }) => Ok(Some(Line::Unusable(seq, fault))),
+            Ok(AnyEvent { seq }) => Ok(Some(Line::Unusable(seq, fault))),
             Err(_) => Err(DecodeError(fault)),
         }
     }
--- a/crates/protocol/src/clients.rs
+++ b/crates/protocol/src/clients.rs
@@ -1,28 +1,29 @@
-//! Clients: RESP arrays of bulk strings.
+//! The protocol of clients: messages are RESP arrays of bulk strings. Decodes requests, aborts and health checks;
+//! encodes the answers.
 
 use crate::hex::Hex;
 use crate::incoming::{DecodeError, ReceiveBuffer, parse_decimal};
 
-/// The most bytes of each item of a message: verb, tag, content type, fields, body.
-const ITEMS: [usize; 5] = [16, 20, 128, 4096, 48_000];
-const LONGEST_LINE: usize = 32;
-const MOST_TAG: u64 = u64::MAX;
-const MOST_PART: u64 = u32::MAX as u64;
-const MOST_GROUP: u64 = 255;
-const LONGEST_MARK: usize = 64;
-/// Sizes are told in KB; no object has a terabyte.
-const MOST_KB: f64 = 1e9;
-
-/// A request as a client asks for it.
+/// Limits in bytes on the items of a message: verb, tag, content type, fields, body.
+const MAX_ITEM_BYTES: [usize; 5] = [16, 20, 128, 4096, 48_000];
+const MAX_LINE_BYTES: usize = 32;
+const MAX_TAG: u64 = u64::MAX;
+const MAX_PART: u64 = u32::MAX as u64;
+const MAX_GROUP: u64 = 255;
+const MAX_KEY_BYTES: usize = 64;
+/// Limit on sizes, which are in KB: one terabyte.
+const MAX_KB: f64 = 1e9;
+
+/// A request as a client sends it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Request {
     /// The name of its content type.
     pub content_type: String,
-    /// Its own id, passed on unchanged.
+    /// The request's id, passed on unchanged.
     pub id: Hex,
-    /// How long the client waits, in milliseconds.
+    /// How long the client waits for the answer, in milliseconds.
     pub timeout_ms: u64,
-    /// A client's retry.
+    /// The client marks this request as a retry.
     pub is_retry: bool,
     /// The object.
     pub object: Hex,
@@ -30,168 +31,167 @@
     pub part: u64,
     /// The group of the object.
     pub group: Option<u64>,
-    /// The size of the part, as the deployment counts it.
+    /// The size of the part in KB, as the deployment counts it.
     pub size_kb: Option<f64>,
-    /// The tag of a copy that the client holds.
+    /// The tag of the copy in the client's cache.
     pub cached_tag: Option<Hex>,
-    /// The mark by which a repeat of a deduped request is known, passed on unchanged.
+    /// The idempotency key, passed on unchanged: nodes use it to recognise a request that they have run.
     pub idempotency_key: Option<String>,
-    /// What a write brings.
+    /// The body of a write.
     pub body: Vec<u8>,
 }
 
 /// What a client sends.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Message {
-    /// Asks for a request under a tag.
+    /// A request under a tag.
     Request(u64, Box<Request>),
-    /// A framed request whose fields can't be used, and why.
+    /// A complete request whose fields can't be used, and why.
     Unusable(u64, String),
-    /// Waits no more for what it asked under a tag.
+    /// The client no longer waits for the request under a tag.
     Abort(u64),
-    /// Asks whether the dispatcher serves.
+    /// A health check: asks whether the dispatcher serves.
     Health(u64),
 }
 
-/// The word of an answer.
+/// An answer to a client.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Answer<'a> {
     /// Served, with the bytes.
     Served(&'a [u8]),
-    /// Served: the client's own copy is the one.
+    /// Served: the copy in the client's cache is current.
     NotModified,
-    /// Trying again is harmless, after so many milliseconds if given.
+    /// Rejected without having run, so a retry is safe; with the retry-after in milliseconds, if any.
     Rejected(Option<u64>),
-    /// Nothing is promised.
+    /// Failed; it is unknown whether the request has run.
     Failed,
     /// The dispatcher serves.
     Up,
-    /// It does not, or not any more.
+    /// The dispatcher does not serve yet, or no longer.
     Down,
 }
 
-/// Decodes what one client sends.
+/// Decodes the messages of one client.
 #[derive(Debug, Default)]
 pub struct Decoder {
     incoming: ReceiveBuffer,
-    /// Items still to come of the array at hand.
-    missing: usize,
-    /// The length of the item at hand.
-    length: Option<usize>,
+    /// Items of the current array that are not complete.
+    items_left: usize,
+    /// The length of the current item, once it is known.
+    item_length: Option<usize>,
     items: Vec<Vec<u8>>,
 }
 
-fn count(line: &str, mark: char, most: usize) -> Result<usize, DecodeError> {
-    let number = line.strip_prefix(mark).and_then(|number| parse_decimal(number, most as u64));
-    let expected = || DecodeError(format!("expected '{mark}' and a length up to {most}, found '{line}'"));
+fn parse_length(line: &str, mark: char, limit: usize) -> Result<usize, DecodeError> {
+    let number = line.strip_prefix(mark).and_then(|number| parse_decimal(number, limit as u64));
+    let expected = || DecodeError(format!("expected '{mark}' and a length up to {limit}, found '{line}'"));
     number.map(|number| number as usize).ok_or_else(expected)
 }
 
-/// A size as it is written: digits, with or without a fraction.
-fn size(value: &str) -> Option<f64> {
+/// Parses a size in KB: digits, with or without a fraction.
+fn parse_size(value: &str) -> Option<f64> {
     let plain = value.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
-    value.parse().ok().filter(|kb| plain && *kb > 0.0 && *kb <= MOST_KB)
+    value.parse().ok().filter(|kb| plain && *kb > 0.0 && *kb <= MAX_KB)
 }
 
-/// A mark as it may stand in a list of fields.
-fn mark(value: &str) -> Option<String> {
+/// Checks an idempotency key, which must be safe in a list of fields.
+fn parse_key(value: &str) -> Option<String> {
     let plain = value.bytes().all(|byte| byte.is_ascii_alphanumeric() || b"-_.:/+".contains(&byte));
-    (plain && (1..=LONGEST_MARK).contains(&value.len())).then(|| value.to_string())
+    (plain && (1..=MAX_KEY_BYTES).contains(&value.len())).then(|| value.to_string())
 }
 
-/// Reads a list of fields: each of those known once at most and of its form and range; others are passed over.
-fn request(content_type: &[u8], list: &[u8], body: Vec<u8>) -> Result<Request, String> {
-    let text = |bytes| std::str::from_utf8(bytes).map_err(|_| "a field that is no UTF-8".to_string());
+/// Parses the fields of a request. A known field may occur once and must be valid; unknown fields are ignored.
+fn parse_request(content_type: &[u8], list: &[u8], body: Vec<u8>) -> Result<Request, String> {
+    let text = |bytes| std::str::from_utf8(bytes).map_err(|_| "a field that is not UTF-8".to_string());
     let names = ["req", "timeout", "resent", "subject", "block", "family", "need", "cached", "opkey"];
     let mut values: [Option<&str>; 9] = [None; 9];
     for pair in text(list)?.split(',') {
-        let (name, value) = pair.split_once('=').ok_or_else(|| format!("'{pair}' is no field"))?;
+        let (name, value) =
+            pair.split_once('=').ok_or_else(|| format!("'{pair}' is not a name=value field"))?;
         if let Some(at) = names.iter().position(|known| *known == name)
             && values[at].replace(value).is_some()
         {
             return Err(format!("{name}: given twice"));
         }
     }
-    let wrong = |at: usize| format!("{}: can't be '{}'", names[at], values[at].unwrap_or_default());
-    let hex = |at: usize| values[at].map(|value| Hex::parse(value).ok_or_else(|| wrong(at))).transpose();
-    let number = |at: usize, most: u64| {
-        values[at].map(|value| parse_decimal(value, most).ok_or_else(|| wrong(at))).transpose()
+    let invalid = |at: usize| format!("{}: invalid value '{}'", names[at], values[at].unwrap_or_default());
+    let hex = |at: usize| values[at].map(|value| Hex::parse(value).ok_or_else(|| invalid(at))).transpose();
+    let number = |at: usize, limit: u64| {
+        values[at].map(|value| parse_decimal(value, limit).ok_or_else(|| invalid(at))).transpose()
     };
     Ok(Request {
         content_type: text(content_type)?.to_string(),
-        id: hex(0)?.ok_or_else(|| wrong(0))?,
-        timeout_ms: number(1, u64::MAX)?.filter(|ms| *ms > 0).ok_or_else(|| wrong(1))?,
+        id: hex(0)?.ok_or_else(|| invalid(0))?,
+        timeout_ms: number(1, u64::MAX)?.filter(|ms| *ms > 0).ok_or_else(|| invalid(1))?,
         is_retry: number(2, 1)? == Some(1),
-        object: hex(3)?.ok_or_else(|| wrong(3))?,
-        part: number(4, MOST_PART)?.unwrap_or_default(),
-        group: number(5, MOST_GROUP)?,
-        size_kb: values[6].map(|value| size(value).ok_or_else(|| wrong(6))).transpose()?,
+        object: hex(3)?.ok_or_else(|| invalid(3))?,
+        part: number(4, MAX_PART)?.unwrap_or_default(),
+        group: number(5, MAX_GROUP)?,
+        size_kb: values[6].map(|value| parse_size(value).ok_or_else(|| invalid(6))).transpose()?,
         cached_tag: hex(7)?,
-        idempotency_key: values[8].map(|value| mark(value).ok_or_else(|| wrong(8))).transpose()?,
+        idempotency_key: values[8].map(|value| parse_key(value).ok_or_else(|| invalid(8))).transpose()?,
         body,
     })
 }
 
 impl Decoder {
-    /// Takes bytes as they came.
+    /// Appends received bytes.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.incoming.feed(bytes);
     }
 
-    /// Whether part of a message has come and the rest has not.
+    /// Whether an incomplete message has been received.
     pub fn has_partial_message(&self) -> bool {
-        self.missing > 0 || !self.incoming.is_empty()
+        self.items_left > 0 || !self.incoming.is_empty()
     }
 
-    /// Lets go of room that is not needed until more comes.
+    /// Releases memory that is not needed until more bytes arrive.
     pub fn release_spare_memory(&mut self) {
         self.incoming.release_spare_memory();
     }
 
-    /// Bytes that wait for the rest of their message.
+    /// The number of buffered bytes of incomplete messages.
     pub fn buffered_bytes(&self) -> usize {
         self.incoming.len() + self.items.iter().map(Vec::len).sum::<usize>()
     }
 
-    /// The next whole message; an error means that no more can be read here.
+    /// Decodes the next complete message; after an error the connection can't be decoded further.
     pub fn next_message(&mut self) -> Result<Option<Message>, DecodeError> {
-        while self.missing > 0 || self.items.is_empty() {
-            if self.missing == 0 {
-                let Some(line) = self.incoming.take_line(LONGEST_LINE)? else { return Ok(None) };
-                self.missing = count(&line, '*', ITEMS.len())?;
-                if self.missing == 0 {
+        while self.items_left > 0 || self.items.is_empty() {
+            if self.items_left == 0 {
+                let Some(line) = self.incoming.take_line(MAX_LINE_BYTES)? else { return Ok(None) };
+                self.items_left = parse_length(&line, '*', MAX_ITEM_BYTES.len())?;
+                if self.items_left == 0 {
                     return Err(DecodeError("an empty array".into()));
                 }
             }
-            if self.length.is_none() {
-                let Some(line) = self.incoming.take_line(LONGEST_LINE)? else { return Ok(None) };
-                self.length = Some(count(&line, '$', ITEMS[self.items.len()])?);
+            if self.item_length.is_none() {
+                let Some(line) = self.incoming.take_line(MAX_LINE_BYTES)? else { return Ok(None) };
+                self.item_length = Some(parse_length(&line, '$', MAX_ITEM_BYTES[self.items.len()])?);
             }
-            let Some(item) = self.incoming.take_block(self.length.unwrap_or_default())? else {
+            let Some(item) = self.incoming.take_block(self.item_length.unwrap_or_default())? else {
                 return Ok(None);
             };
             self.items.push(item);
-            self.length = None;
-            self.missing -= 1;
+            self.item_length = None;
+            self.items_left -= 1;
         }
-        Self::message(std::mem::take(&mut self.items)).map(Some)
+        Self::parse_message(std::mem::take(&mut self.items)).map(Some)
     }
 
-    fn message(items: Vec<Vec<u8>>) -> Result<Message, DecodeError> {
+    fn parse_message(items: Vec<Vec<u8>>) -> Result<Message, DecodeError> {
         let mut items = items.into_iter();
         let verb = items.next().unwrap_or_default();
         let tag = items.next().unwrap_or_default();
-        let tag = std::str::from_utf8(&tag)
-            .ok()
-            .and_then(|tag| parse_decimal(tag, MOST_TAG))
-            .filter(|tag| *tag > 0);
+        let tag =
+            std::str::from_utf8(&tag).ok().and_then(|tag| parse_decimal(tag, MAX_TAG)).filter(|tag| *tag > 0);
         let tag = tag.ok_or_else(|| DecodeError("a message without a tag".into()))?;
         match verb.as_slice() {
             b"REQ" if items.len() < 2 => Ok(Message::Unusable(tag, "a request without its fields".into())),
             b"REQ" => {
                 let mut next = || items.next().unwrap_or_default();
                 let (content_type, list, body) = (next(), next(), next());
-                Ok(match request(&content_type, &list, body) {
+                Ok(match parse_request(&content_type, &list, body) {
                     Ok(request) => Message::Request(tag, Box::new(request)),
                     Err(why) => Message::Unusable(tag, why),
                 })
@@ -204,7 +204,7 @@
 }
 
 impl Answer<'_> {
-    /// The word that it is written with.
+    /// The word of the protocol for this answer.
     pub fn word(&self) -> &'static str {
         match self {
             Answer::Served(_) | Answer::NotModified => "OK",
@@ -216,7 +216,7 @@
     }
 }
 
-/// An answer under a tag.
+/// Encodes an answer to the request or health check under a tag.
 pub fn encode(tag: u64, answer: Answer<'_>) -> Vec<u8> {
     let (fields, body): (String, &[u8]) = match answer {
         Answer::Served(body) => (String::new(), body),
--- a/crates/protocol/src/incoming.rs
+++ b/crates/protocol/src/incoming.rs
@@ -1,11 +1,12 @@
-//! Bytes that have come and are not decoded yet.
+//! The receive buffer of the decoders: takes received bytes and returns lines and blocks of bytes from its front. Also
+//! parses decimal numbers and lists of fields.
 
 use std::fmt;
 
-/// Room that a connection keeps though nothing waits.
-const SPARE: usize = 1024;
+/// Capacity in bytes that an empty buffer keeps.
+const SPARE_CAPACITY_BYTES: usize = 1024;
 
-/// Why a connection's bytes can't be read on.
+/// Why the bytes of a connection can't be decoded.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DecodeError(pub String);
 
@@ -15,89 +16,89 @@
     }
 }
 
-/// A connection's bytes, taken from the front.
+/// The received bytes of a connection that are not decoded yet.
 #[derive(Debug, Default)]
 pub struct ReceiveBuffer {
     bytes: Vec<u8>,
-    taken: usize,
-    /// Up to here there is no line feed.
+    consumed: usize,
+    /// There is no line feed before this index.
     searched: usize,
 }
 
 impl ReceiveBuffer {
-    /// Adds bytes at the end.
+    /// Appends received bytes.
     pub fn feed(&mut self, bytes: &[u8]) {
-        if self.taken > 0 {
-            self.bytes.drain(..self.taken);
-            self.searched = self.searched.saturating_sub(self.taken);
-            self.taken = 0;
+        if self.consumed > 0 {
+            self.bytes.drain(..self.consumed);
+            self.searched = self.searched.saturating_sub(self.consumed);
+            self.consumed = 0;
         }
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// Takes a line of at most `most` bytes, without its ending.
-    pub fn take_line(&mut self, most: usize) -> Result<Option<String>, DecodeError> {
-        let from = self.searched.max(self.taken);
+    /// Takes a line of at most `limit` bytes, without its line end; `None` if it is not complete.
+    pub fn take_line(&mut self, limit: usize) -> Result<Option<String>, DecodeError> {
+        let from = self.searched.max(self.consumed);
         let Some(found) = self.bytes[from..].iter().position(|byte| *byte == b'\n') else {
             self.searched = self.bytes.len();
-            return match self.bytes.len() - self.taken > most {
-                true => Err(DecodeError(format!("a line of more than {most} bytes"))),
+            return match self.bytes.len() - self.consumed > limit {
+                true => Err(DecodeError(format!("a line of more than {limit} bytes"))),
                 false => Ok(None),
             };
         };
-        let line = &self.bytes[self.taken..from + found];
-        if line.len() > most + 1 {
-            return Err(DecodeError(format!("a line of more than {most} bytes")));
+        let line = &self.bytes[self.consumed..from + found];
+        if line.len() > limit + 1 {
+            return Err(DecodeError(format!("a line of more than {limit} bytes")));
         }
         let line = line.strip_suffix(b"\r").unwrap_or(line);
-        let line = std::str::from_utf8(line).map_err(|_| DecodeError("a line that is no UTF-8".into()));
+        let line = std::str::from_utf8(line).map_err(|_| DecodeError("a line that is not UTF-8".into()));
         let line = line.map(str::to_string);
-        self.taken = from + found + 1;
+        self.consumed = from + found + 1;
         line.map(Some)
     }
 
-    /// Lets go of what was taken, and of room that was needed for a moment only.
+    /// Releases the memory of consumed bytes, and capacity that is no longer needed.
     pub fn release_spare_memory(&mut self) {
-        self.bytes.drain(..self.taken);
-        self.searched = self.searched.saturating_sub(self.taken);
-        self.taken = 0;
-        if self.bytes.capacity() > 2 * self.bytes.len() + SPARE {
+        self.bytes.drain(..self.consumed);
+        self.searched = self.searched.saturating_sub(self.consumed);
+        self.consumed = 0;
+        if self.bytes.capacity() > 2 * self.bytes.len() + SPARE_CAPACITY_BYTES {
             self.bytes.shrink_to(self.bytes.len());
         }
     }
 
-    /// Takes `length` bytes and the line end behind them, once all are there.
+    /// Takes `length` bytes and the line end after them; `None` if they are not complete.
     pub fn take_block(&mut self, length: usize) -> Result<Option<Vec<u8>>, DecodeError> {
-        let end = self.taken + length;
+        let end = self.consumed + length;
         if self.bytes.len() < end + 2 {
             return Ok(None);
         }
         if &self.bytes[end..end + 2] != b"\r\n" {
             return Err(DecodeError(format!("no line end after {length} bytes")));
         }
-        let block = self.bytes[self.taken..end].to_vec();
-        self.taken = end + 2;
+        let block = self.bytes[self.consumed..end].to_vec();
+        self.consumed = end + 2;
         Ok(Some(block))
     }
 
-    /// How many bytes wait.
+    /// The number of bytes in the buffer.
     pub fn len(&self) -> usize {
-        self.bytes.len() - self.taken
+        self.bytes.len() - self.consumed
     }
 
-    /// Whether nothing waits.
+    /// Whether the buffer is empty.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 }
 
-/// A number in plain decimal digits, of at most this.
-pub fn parse_decimal(text: &str, most: u64) -> Option<u64> {
+/// Parses a number of plain decimal digits, without sign or leading zeros, up to `limit`.
+pub fn parse_decimal(text: &str, limit: u64) -> Option<u64> {
     let plain = text.bytes().all(|byte| byte.is_ascii_digit()) && (text == "0" || !text.starts_with('0'));
-    text.parse().ok().filter(|number| plain && *number <= most)
+    text.parse().ok().filter(|number| plain && *number <= limit)
 }
 
-/// The fields of a `name=value,name=value` list.
+/// The fields of a `name=value,name=value` list; items without `=` are ignored.
 pub fn parse_fields(list: &str) -> impl Iterator<Item = (&str, &str)> {
     list.split(',').filter_map(|pair| pair.split_once('='))
 }
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,5 +1,6 @@
-//! The protocol's three codecs. Each takes bytes as they come, in any cuts, holds no more of them than one
-//! message may have, and gives small typed values; each encodes what goes the other way. No sockets here.
+//! The codecs of the three protocols: clients, nodes and the change log. Each decoder takes received bytes, cut
+//! anywhere, buffers no more than one message, and returns typed messages; each module also encodes the messages of
+//! the other direction. No sockets here: the dispatcher and the test programs pass bytes in and out.
 
 pub mod changes;
 pub mod clients;
--- a/crates/protocol/src/nodes.rs
+++ b/crates/protocol/src/nodes.rs
@@ -1,80 +1,82 @@
-//! Nodes: lines of words; where the last word is a length, so many bytes follow.
+//! The protocol of nodes: messages are lines of words. If the last word is a length, that many bytes and a line end
+//! follow. Encodes attempts, aborts and probes; decodes the answers.
 
 use crate::hex::Hex;
 use crate::incoming::{DecodeError, ReceiveBuffer, parse_decimal, parse_fields};
 use copperroute_routing::interface::{Attempt, LoadReport, Nanos, Outcome, Remark};
 use std::fmt::Write as _;
 
-const LONGEST_LINE: usize = 1024;
-/// What an object holds at most.
-const LONGEST_BODY: u64 = 240_000;
+/// Limit on the first line of an answer.
+const MAX_LINE_BYTES: usize = 1024;
+/// Limit on the body of an answer: the largest object.
+const MAX_BODY_BYTES: u64 = 240_000;
 
-/// An attempt as it goes to a node.
+/// An attempt as it is sent to a node.
 #[derive(Debug, Clone)]
 pub struct Fetch<'a> {
-    /// The request's own id.
+    /// The request's id.
     pub id: Hex,
-    /// The name of its content type.
+    /// The name of the content type.
     pub content_type: &'a str,
     /// The object.
     pub object: Hex,
     /// The part of it.
     pub part: u64,
-    /// How long it is waited for.
+    /// How long the dispatcher waits for the answer.
     pub timeout: Nanos,
-    /// Who fills a miss; nobody if absent.
+    /// The id of the node from which a miss is filled; a miss is not filled without one.
     pub source: Option<&'a str>,
-    /// The attempt as it was ordered; its age limit is that of the moment of writing.
+    /// The attempt as routing ordered it, except that its age limit is the one that holds now.
     pub attempt: Attempt,
-    /// The tag of the client's copy.
+    /// The tag of the copy in the client's cache.
     pub cached_tag: Option<Hex>,
-    /// The mark by which a repeat is known.
+    /// The idempotency key of the request.
     pub idempotency_key: Option<&'a str>,
-    /// What a write brings.
+    /// The body of a write.
     pub body: &'a [u8],
 }
 
 /// A node's answer to an attempt.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Answer {
-    /// The id of the request; nothing if it has not the form of one.
+    /// The id of the request; `None` if it is not a valid id.
     pub id: Option<Hex>,
     /// How the attempt ended.
     pub outcome: Outcome,
-    /// The client's copy is the one.
+    /// The copy in the client's cache is current.
     pub not_modified: bool,
-    /// The tag of the copy and the Unix millisecond at which it was made, where both are told.
+    /// The tag of the copy, and the Unix time in milliseconds at which it was made, if the answer has both.
     pub copy: Option<(Hex, u64)>,
-    /// How it came about.
+    /// How the outcome came about.
     pub remark: Remark,
-    /// The time waited for the source.
+    /// How long the node waited for the first byte of the fill source.
     pub first_byte_wait: Option<Nanos>,
-    /// The load report.
+    /// The load report of the node.
     pub report: LoadReport,
-    /// The bytes.
+    /// The body.
     pub body: Vec<u8>,
 }
 
-/// What a node says.
+/// A message of a node.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Message {
     /// An attempt has ended.
     Answer(Answer),
-    /// A probe is answered.
+    /// The answer to a probe.
     ProbeAnswer {
-        /// The probe's tag; nothing if it has not the form of one.
+        /// The probe's tag; `None` if it is not a valid tag.
         tag: Option<Hex>,
         /// The node takes work.
         takes_work: bool,
     },
 }
 
-/// Whole milliseconds of a span, which never round down to 0, as that stands for none.
+/// Whole milliseconds of a span, at least 1, as 0 means no limit in the protocol.
 fn millis(span: Nanos) -> u64 {
     (span.0 / 1_000_000).max(1)
 }
 
-/// Writes an attempt to the end of `bytes`.
+/// Appends an attempt to `bytes`.
 pub fn encode_fetch(fetch: &Fetch<'_>, bytes: &mut Vec<u8>) {
     let mut line = format!(
         "fetch {} lane={},name={},piece={},ttl={}",
@@ -84,7 +86,7 @@
         fetch.part,
         millis(fetch.timeout)
     );
-    // Writing to a string cannot fail.
+    // Writing to a string can't fail.
     let _ = fetch.source.map_or(Ok(()), |source| write!(line, ",src={source}"));
     let order = &fetch.attempt;
     let _ = if order.rank > 0 { write!(line, ",keep={}", order.rank) } else { Ok(()) };
@@ -105,25 +107,25 @@
     bytes.extend_from_slice(b"\r\n");
 }
 
-/// Writes that an attempt is given up to the end of `bytes`.
+/// Appends to `bytes` that the attempt of a request is aborted.
 pub fn encode_abort(id: Hex, bytes: &mut Vec<u8>) {
     bytes.extend_from_slice(format!("abort {id}\r\n").as_bytes());
 }
 
-/// Writes a probe to the end of `bytes`: whether the node takes work.
+/// Appends a probe to `bytes`, which asks whether the node takes work.
 pub fn encode_probe(tag: Hex, bytes: &mut Vec<u8>) {
     bytes.extend_from_slice(format!("alive {tag}\r\n").as_bytes());
 }
 
-/// Decodes what one node answers.
+/// Decodes the messages of one node.
 #[derive(Debug, Default)]
 pub struct Decoder {
     incoming: ReceiveBuffer,
-    /// A message whose bytes are still to come, and how many.
-    begun: Option<(Message, usize)>,
+    /// A message whose body is not complete, and the length of the body.
+    partial: Option<(Message, usize)>,
 }
 
-fn remark(word: &str) -> Remark {
+fn parse_remark(word: &str) -> Remark {
     match word {
         "local" => Remark::Hit,
         "pulled" => Remark::FilledFromCopy,
@@ -139,8 +141,8 @@
     }
 }
 
-/// A load report; values that are not read, or are no numbers, are passed over.
-fn report(pairs: &str) -> LoadReport {
+/// Parses a load report; unknown values and invalid numbers are ignored.
+fn parse_report(pairs: &str) -> LoadReport {
     let pairs = pairs.split(';').filter_map(|pair| pair.split_once(':'));
     let value = |name: &str| {
         let found = pairs.clone().find(|pair| pair.0 == name).and_then(|pair| pair.1.parse().ok());
@@ -149,13 +151,13 @@
     LoadReport { in_flight: value("inflight"), busy: value("util") }
 }
 
-/// The head of a message and the length of its bytes.
-fn head(line: &str) -> Result<(Message, usize), DecodeError> {
+/// Parses the first line of a message; returns the message and the length of its body.
+fn parse_head(line: &str) -> Result<(Message, usize), DecodeError> {
     let shown: String = line.chars().take(80).collect();
-    let unreadable = || DecodeError(format!("expected an answer, found '{}'", shown.escape_debug()));
+    let invalid = || DecodeError(format!("expected an answer, found '{}'", shown.escape_debug()));
     let words: Vec<_> = line.split(' ').collect();
-    let [id, word, list, length] = words[..] else { return Err(unreadable()) };
-    let length = parse_decimal(length, LONGEST_BODY).ok_or_else(unreadable)? as usize;
+    let [id, word, list, length] = words[..] else { return Err(invalid()) };
+    let length = parse_decimal(length, MAX_BODY_BYTES).ok_or_else(invalid)? as usize;
     let outcome = match word {
         "yes" | "no" => {
             return Ok((Message::ProbeAnswer { tag: Hex::parse(id), takes_work: word == "yes" }, length));
@@ -165,7 +167,7 @@
         "refused" => Outcome::Refused,
         "error" => Outcome::Failed,
         "stale" => Outcome::NotSent,
-        _ => return Err(unreadable()),
+        _ => return Err(invalid()),
     };
     let mut answer = Answer {
         id: Hex::parse(id),
@@ -182,12 +184,12 @@
         match name {
             "etag" => tag = Hex::parse(value),
             "made" => made = parse_decimal(value, u64::MAX),
-            "why" => answer.remark = remark(value),
+            "why" => answer.remark = parse_remark(value),
             "ttfb" => {
                 let waited = value.parse::<f64>().ok().filter(|ms| ms.is_finite() && *ms > 0.0);
                 answer.first_byte_wait = waited.map(|ms| Nanos::from_secs(ms / 1e3));
             }
-            "rep" => answer.report = report(value),
+            "rep" => answer.report = parse_report(value),
             _ => {}
         }
     }
@@ -196,30 +198,30 @@
 }
 
 impl Decoder {
-    /// Takes bytes as they came.
+    /// Appends received bytes.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.incoming.feed(bytes);
     }
 
-    /// Lets go of room that is not needed until more comes.
+    /// Releases memory that is not needed until more bytes arrive.
     pub fn release_spare_memory(&mut self) {
         self.incoming.release_spare_memory();
     }
 
-    /// Whether part of a message has come and the rest has not.
+    /// Whether an incomplete message has been received.
     pub fn has_partial_message(&self) -> bool {
-        self.begun.is_some() || !self.incoming.is_empty()
+        self.partial.is_some() || !self.incoming.is_empty()
     }
 
-    /// The next whole message; an error means that no more can be read here.
+    /// Decodes the next complete message; after an error the connection can't be decoded further.
     pub fn next_message(&mut self) -> Result<Option<Message>, DecodeError> {
-        if self.begun.is_none() {
-            let Some(line) = self.incoming.take_line(LONGEST_LINE)? else { return Ok(None) };
-            self.begun = Some(head(&line)?);
+        if self.partial.is_none() {
+            let Some(line) = self.incoming.take_line(MAX_LINE_BYTES)? else { return Ok(None) };
+            self.partial = Some(parse_head(&line)?);
         }
-        let Some((_, length)) = &self.begun else { return Ok(None) };
+        let Some((_, length)) = &self.partial else { return Ok(None) };
         let Some(body) = self.incoming.take_block(*length)? else { return Ok(None) };
-        Ok(self.begun.take().map(|(message, _)| match message {
+        Ok(self.partial.take().map(|(message, _)| match message {
             Message::Answer(answer) => Message::Answer(Answer { body, ..answer }),
             alive @ Message::ProbeAnswer { .. } => alive,
         }))
--- a/crates/protocol/tests/codecs.rs
+++ b/crates/protocol/tests/codecs.rs
@@ -1,4 +1,5 @@
-//! The codecs, fed whole, byte by byte and in random cuts: the same messages come out.
+//! Tests of the codecs. Each input is decoded whole, byte by byte and in random cuts, which must all give the same
+//! messages.
 
 use copperroute_protocol::hex::Hex;
 use copperroute_protocol::{changes, clients, nodes};
@@ -10,7 +11,7 @@
     Hex::parse(text).expect("sixteen hex digits")
 }
 
-/// What a decoder makes of bytes in any cuts, which must be the same for all of them.
+/// The messages that a decoder returns for bytes; checks that they are the same for all cuts of the bytes.
 fn in_all_cuts(bytes: &[u8], decode: impl Fn(&mut dyn Iterator<Item = &[u8]>) -> String) -> String {
     let whole = decode(&mut [bytes].into_iter());
     assert_eq!(whole, decode(&mut bytes.chunks(1)));
@@ -46,7 +47,7 @@
 }
 
 #[test]
-fn clients_ask_for_downloads_call_them_off_and_ask_for_health() {
+fn clients_send_requests_aborts_and_health_checks() {
     let fields = "req=9b1f03aa5c7e2d41,timeout=1500,resent=1,subject=7f3a9c21e0b4d655,block=3,family=17,need=412.5,cached=4be0c1927d55a6f3,opkey=cbd3d4163e11037e316e8180a6e9f325,new=1";
     let mut bytes =
         format!("*5\r\n$3\r\nREQ\r\n$1\r\n7\r\n$7\r\nsegment\r\n${}\r\n{fields}\r\n", fields.len())
@@ -55,7 +56,7 @@
         b"$4\r\n\r\n*\xff\r\n*2\r\n$5\r\nABORT\r\n$1\r\n7\r\n*3\r\n$6\r\nHEALTH\r\n$1\r\n8\r\n$0\r\n\r\n",
     );
     expect![[r#"
-        Request(7, Request { content_type: "segment", id: 9b1f03aa5c7e2d41, timeout_ms: 1500, repeat: true, object: 7f3a9c21e0b4d655, part: 3, group: Some(17), size_kb: Some(412.5), held: Some(4be0c1927d55a6f3), mark: Some("cbd3d4163e11037e316e8180a6e9f325"), body: [13, 10, 42, 255] })
+        Request(7, Request { content_type: "segment", id: 9b1f03aa5c7e2d41, timeout_ms: 1500, is_retry: true, object: 7f3a9c21e0b4d655, part: 3, group: Some(17), size_kb: Some(412.5), cached_tag: Some(4be0c1927d55a6f3), idempotency_key: Some("cbd3d4163e11037e316e8180a6e9f325"), body: [13, 10, 42, 255] })
         Abort(7)
         Health(8)
     "#]]
@@ -90,30 +91,30 @@
         "",
     ];
     expect![[r#"
-        Unusable(7, "req: can't be ''")
-        Unusable(7, "req: can't be '9b1f 3aa5c7e2d41'")
-        Unusable(7, "req: can't be '9b1f03aa5c7e2d412'")
-        Unusable(7, "timeout: can't be ''")
-        Unusable(7, "timeout: can't be 'x'")
-        Unusable(7, "timeout: can't be '0'")
-        Unusable(7, "timeout: can't be '+5'")
-        Unusable(7, "block: can't be '-1'")
-        Unusable(7, "block: can't be '007'")
-        Unusable(7, "family: can't be '256'")
-        Unusable(7, "need: can't be 'nan'")
-        Unusable(7, "need: can't be '1e300'")
-        Unusable(7, "cached: can't be '4b'")
-        Unusable(7, "opkey: can't be ''")
-        Unusable(7, "opkey: can't be 'a b'")
+        Unusable(7, "req: invalid value ''")
+        Unusable(7, "req: invalid value '9b1f 3aa5c7e2d41'")
+        Unusable(7, "req: invalid value '9b1f03aa5c7e2d412'")
+        Unusable(7, "timeout: invalid value ''")
+        Unusable(7, "timeout: invalid value 'x'")
+        Unusable(7, "timeout: invalid value '0'")
+        Unusable(7, "timeout: invalid value '+5'")
+        Unusable(7, "block: invalid value '-1'")
+        Unusable(7, "block: invalid value '007'")
+        Unusable(7, "family: invalid value '256'")
+        Unusable(7, "need: invalid value 'nan'")
+        Unusable(7, "need: invalid value '1e300'")
+        Unusable(7, "cached: invalid value '4b'")
+        Unusable(7, "opkey: invalid value ''")
+        Unusable(7, "opkey: invalid value 'a b'")
         Unusable(7, "timeout: given twice")
-        Unusable(7, "'' is no field")
-        Unusable(7, "'' is no field")
+        Unusable(7, "'' is not a name=value field")
+        Unusable(7, "'' is not a name=value field")
     "#]]
     .assert_eq(&fields.map(message).concat());
 }
 
 #[test]
-fn what_a_client_sends_out_of_frame_is_named() {
+fn a_malformed_message_of_a_client_is_named() {
     let bytes: [&[u8]; 7] = [
         b"GET / HTTP/1.1\r\n",
         b"*0\r\n",
@@ -154,7 +155,7 @@
 }
 
 #[test]
-fn pulls_to_nodes() {
+fn attempts_to_nodes() {
     let plain = nodes::Fetch {
         id: hex("9b1f03aa5c7e2d41"),
         content_type: "segment",
@@ -182,7 +183,7 @@
         source: Some("p-1"),
         attempt: Attempt {
             rank: 3,
-            // Under a millisecond must not become 0, which stands for no limit.
+            // Less than a millisecond must not become 0, which means no limit.
             max_age: Some(Nanos(900_000)),
             join: true,
             held_only: true,
@@ -218,20 +219,20 @@
         9b2303aa5c7e2d41 error why=unheard_of,new=1,rep=inflight:nan 0\r\n\r\n9b24 stale - 0\r\n\r\n\
         0000000000000001 yes - 0\r\n\r\n0000000000000002 no - 0\r\n\r\n1 yes - 0\r\n\r\n";
     expect![[r#"
-        Answer(Answer { id: Some(9b1f03aa5c7e2d41), outcome: Served, current: false, copy: Some((4be0c1927d55a6f3, 1764)), remark: FilledFromOrigin, waited: Some(Nanos(12500000)), report: Report { in_hand: Some(7.0), busy: Some(0.61) }, body: [13, 10, 0, 255] })
-        Answer(Answer { id: Some(9b2003aa5c7e2d41), outcome: Served, current: true, copy: None, remark: Hit, waited: None, report: Report { in_hand: None, busy: None }, body: [] })
-        Answer(Answer { id: Some(9b2103aa5c7e2d41), outcome: Missed, current: false, copy: None, remark: None, waited: None, report: Report { in_hand: None, busy: None }, body: [] })
-        Answer(Answer { id: Some(9b2203aa5c7e2d41), outcome: Refused, current: false, copy: None, remark: SourceRefused, waited: None, report: Report { in_hand: None, busy: None }, body: [] })
-        Answer(Answer { id: Some(9b2303aa5c7e2d41), outcome: Failed, current: false, copy: None, remark: None, waited: None, report: Report { in_hand: None, busy: None }, body: [] })
-        Answer(Answer { id: None, outcome: NotSent, current: false, copy: None, remark: None, waited: None, report: Report { in_hand: None, busy: None }, body: [] })
-        Alive { tag: Some(0000000000000001), takes_work: true }
-        Alive { tag: Some(0000000000000002), takes_work: false }
-        Alive { tag: None, takes_work: true }
+        Answer(Answer { id: Some(9b1f03aa5c7e2d41), outcome: Served, not_modified: false, copy: Some((4be0c1927d55a6f3, 1764)), remark: FilledFromOrigin, first_byte_wait: Some(Nanos(12500000)), report: LoadReport { in_flight: Some(7.0), busy: Some(0.61) }, body: [13, 10, 0, 255] })
+        Answer(Answer { id: Some(9b2003aa5c7e2d41), outcome: Served, not_modified: true, copy: None, remark: Hit, first_byte_wait: None, report: LoadReport { in_flight: None, busy: None }, body: [] })
+        Answer(Answer { id: Some(9b2103aa5c7e2d41), outcome: Missed, not_modified: false, copy: None, remark: None, first_byte_wait: None, report: LoadReport { in_flight: None, busy: None }, body: [] })
+        Answer(Answer { id: Some(9b2203aa5c7e2d41), outcome: Refused, not_modified: false, copy: None, remark: SourceRefused, first_byte_wait: None, report: LoadReport { in_flight: None, busy: None }, body: [] })
+        Answer(Answer { id: Some(9b2303aa5c7e2d41), outcome: Failed, not_modified: false, copy: None, remark: None, first_byte_wait: None, report: LoadReport { in_flight: None, busy: None }, body: [] })
+        Answer(Answer { id: None, outcome: NotSent, not_modified: false, copy: None, remark: None, first_byte_wait: None, report: LoadReport { in_flight: None, busy: None }, body: [] })
+        ProbeAnswer { tag: Some(0000000000000001), takes_work: true }
+        ProbeAnswer { tag: Some(0000000000000002), takes_work: false }
+        ProbeAnswer { tag: None, takes_work: true }
     "#]].assert_eq(&decoded!(nodes::Decoder, next_message, bytes));
 }
 
 #[test]
-fn what_a_node_sends_out_of_frame_is_named() {
+fn a_malformed_message_of_a_node_is_named() {
     let bytes: [&[u8]; 5] = [
         b"hello\r\n",
         b"9b1f ok - 99999999\r\n",
@@ -260,8 +261,8 @@
 {"seq":46,"fleet":{"servers":[{"id":"s-1","state":"gone fishing"}]}}
 "#;
     expect![[r#"
-        Last(41)
-        Change(Change { seq: 42, fleet: Some(Fleet { version: Some(7), full: false, servers: [Listed { id: "s-1", addr: Some(10.1.0.9:5050), zone: "east", kind: "std", cell: Some(2), state: Leaving, weight: Some(4.0), started_ms: Some(0) }] }), invalidate: None, rules: None, agreed: None })
+        Heartbeat(41)
+        Change(Change { seq: 42, fleet: Some(Fleet { version: Some(7), full: false, servers: [ListedNode { id: "s-1", addr: Some(10.1.0.9:5050), zone: "east", kind: "std", cell: Some(2), state: Leaving, weight: Some(4.0), started_ms: Some(0) }] }), invalidate: None, rules: None, agreed: None })
         Change(Change { seq: 43, fleet: None, invalidate: Some(Purge { object: Some("7f3a"), bucket: None, time: 1764576000123 }), rules: None, agreed: None })
         Change(Change { seq: 44, fleet: None, invalidate: Some(Purge { object: None, bucket: Some(17), time: 1764576000480 }), rules: None, agreed: None })
         Change(Change { seq: 45, fleet: None, invalidate: None, rules: None, agreed: None })
@@ -269,8 +270,8 @@
     "#]].assert_eq(&decoded!(changes::Decoder, next_line, bytes));
 }
 
-/// Bytes made of pieces of the protocols and of noise, by a seed.
-fn nonsense(seed: u64) -> Vec<u8> {
+/// Bytes made of pieces of the protocols and of noise, from a seed.
+fn random_bytes(seed: u64) -> Vec<u8> {
     const PIECES: [&[u8]; 16] = [
         b"*2\r\n",
         b"*5\r\n",
@@ -301,10 +302,10 @@
 }
 
 #[test]
-fn nonsense_is_told_apart_the_same_in_all_cuts() {
+fn random_bytes_are_decoded_the_same_in_all_cuts() {
     let (mut read, mut unreadable) = (0, 0);
     for seed in 0..1_500 {
-        let bytes = nonsense(seed);
+        let bytes = random_bytes(seed);
         let traces = [
             decoded!(clients::Decoder, next_message, &bytes),
             decoded!(nodes::Decoder, next_message, &bytes),
