--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,5 +1,6 @@
-//! The settings that a dispatcher is started with, in the words of the interface: read from `path=value`
-//! pairs, or from nested JSON that is flattened to the same paths.
+//! The settings with which a dispatcher is started. Input is a list of `path=value` pairs, or nested JSON that is
+//! flattened to the same paths; outputs are the typed settings of the routing decisions, of connections and of
+//! requests. The dispatcher and the simulator adapter call [`Options`]; an error is one line on what was expected.
 
 pub mod operator;
 
@@ -11,71 +12,71 @@
 use std::collections::HashMap;
 use std::str::FromStr;
 
-/// Values by their paths.
+/// Values by path.
 #[derive(Debug, Clone, Default)]
 pub struct Options(HashMap<String, String>);
 
-/// What the change log has to tell counts as told after this long, whether it arrived or not; the platform's page on
-/// Sends to a node that drains must end within this, in seconds, where the settings do not say.
-const USUAL_DRAIN_GRACE_S: f64 = 1.0;
-/// its protocol says so, and the operators of another may say otherwise.
-const TOLD_AFTER: Nanos = Nanos(7_000_000_000);
+/// Default of `rules.drain_grace_s`: attempts at a draining node must end within this many seconds.
+const DEFAULT_DRAIN_GRACE_S: f64 = 1.0;
+/// Default of the delivery deadline: an event of the change log counts as delivered after this long, whether it
+/// arrived or not. The platform's protocol states this value; the operator's file may set another for other platforms.
+const DEFAULT_DELIVERY_DEADLINE: Nanos = Nanos(7_000_000_000);
 
-/// A value, or one line on what was expected.
+/// A value, or an error of one line on what was expected.
 pub type ReadResult<T> = Result<T, String>;
 
-/// What connections to nodes are held to.
+/// Limits of connections to nodes.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ConnectionLimits {
-    /// A connection not made by then never comes.
+    /// A connection that is not established within this time is given up.
     pub connect_timeout: Nanos,
-    /// Attempts that one connection carries at once.
+    /// Limit on attempts in flight on one connection.
     pub max_in_flight: usize,
-    /// The other side closes a connection that carried nothing for so long; zero if not told.
+    /// The node closes a connection that carried nothing for this long; zero if not configured.
     pub peer_idle_timeout: Nanos,
 }
 
-/// Names that the protocol uses where the module has indices.
+/// The names that the protocol uses; routing uses their indices.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Names {
     /// Content types.
     pub content_types: Vec<String>,
-    /// Locations and hubs.
+    /// Locations and hubs (`localities`).
     pub zones: Vec<String>,
-    /// Machine kinds.
+    /// Machine kinds (`flavors`).
     pub kinds: Vec<String>,
 }
 
-/// What may be asked for of a content type.
+/// Limits of requests for a content type.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RequestLimits {
-    /// The longest that a client waits for it.
+    /// The longest timeout of a request.
     pub max_timeout: Nanos,
-    /// A request may bring bytes.
+    /// A request may have a body.
     pub allows_body: bool,
 }
 
-/// The place of a name among those of the settings.
+/// The index of a name in a list of the settings.
 pub fn name_index(names: &[String], name: &str) -> Option<u32> {
-    let name = as_listed(name);
+    let name = escape_separators(name);
     names.iter().position(|known| *known == name).map(|at| at as u32)
 }
 
-/// A name as the wire writes it, where lists are set apart by commas.
-fn as_listed(name: &str) -> String {
+/// Replaces spaces and commas in a name, as lists are separated by commas.
+fn escape_separators(name: &str) -> String {
     name.replace([' ', ','], "_")
 }
 
-/// A plain value as the wire writes it.
-fn plain(value: &Value) -> String {
+/// The text of a scalar JSON value.
+fn value_text(value: &Value) -> String {
     match value {
-        Value::String(text) => as_listed(text),
+        Value::String(text) => escape_separators(text),
         other => other.to_string(),
     }
 }
 
 impl Options {
-    /// From `path=value` pairs.
+    /// Reads `path=value` pairs.
     pub fn from_pairs(fields: &[&str]) -> ReadResult<Self> {
         let mut pairs = HashMap::new();
         for field in fields {
@@ -86,7 +87,7 @@
         Ok(Options(pairs))
     }
 
-    /// From nested JSON.
+    /// Flattens nested JSON.
     pub fn from_json(value: &Value) -> Self {
         let mut options = Options::default();
         options.flatten("", value);
@@ -94,21 +95,25 @@
     }
 
     fn flatten(&mut self, path: &str, value: &Value) {
-        let below = |name: &str| if path.is_empty() { name.to_string() } else { format!("{path}.{name}") };
+        let child_path =
+            |name: &str| if path.is_empty() { name.to_string() } else { format!("{path}.{name}") };
         match value {
             Value::Object(fields) => {
-                fields.iter().for_each(|(name, value)| self.flatten(&below(name), value))
+                fields.iter().for_each(|(name, value)| self.flatten(&child_path(name), value))
             }
             Value::Array(items) if items.iter().any(|item| item.is_object() || item.is_array()) => {
-                self.0.insert(below("count"), items.len().to_string());
-                items.iter().enumerate().for_each(|(at, item)| self.flatten(&below(&at.to_string()), item));
+                self.0.insert(child_path("count"), items.len().to_string());
+                items
+                    .iter()
+                    .enumerate()
+                    .for_each(|(at, item)| self.flatten(&child_path(&at.to_string()), item));
             }
             Value::Array(items) => {
-                self.0.insert(path.to_string(), items.iter().map(plain).collect::<Vec<_>>().join(","));
+                self.0.insert(path.to_string(), items.iter().map(value_text).collect::<Vec<_>>().join(","));
             }
             Value::Null => {}
             value => {
-                self.0.insert(path.to_string(), plain(value));
+                self.0.insert(path.to_string(), value_text(value));
             }
         }
     }
@@ -134,11 +139,11 @@
         if self.raw(path).is_some() { self.number(path) } else { Ok(absent) }
     }
 
-    fn span(&self, path: &str) -> ReadResult<Nanos> {
+    fn duration(&self, path: &str) -> ReadResult<Nanos> {
         Ok(Nanos::from_secs(self.number(path)?))
     }
 
-    fn span_or_zero(&self, path: &str) -> ReadResult<Nanos> {
+    fn duration_or_zero(&self, path: &str) -> ReadResult<Nanos> {
         Ok(Nanos::from_secs(self.number_or(path, 0.0)?))
     }
 
@@ -150,13 +155,13 @@
         }
     }
 
-    /// Place `at` of a list of plain values; nothing if the list is absent or shorter.
-    fn listed(&self, path: &str, at: usize) -> Option<&str> {
+    /// Item `at` of a list of scalars; `None` if the list is missing or shorter.
+    fn list_item(&self, path: &str, at: usize) -> Option<&str> {
         self.raw(path)?.split(',').nth(at)
     }
 
-    fn listed_number<T: FromStr>(&self, path: &str, at: usize, absent: T) -> ReadResult<T> {
-        match self.listed(path, at) {
+    fn list_number<T: FromStr>(&self, path: &str, at: usize, absent: T) -> ReadResult<T> {
+        match self.list_item(path, at) {
             None | Some("") => Ok(absent),
             Some(text) => {
                 text.parse().map_err(|_| format!("options: {path}: expected numbers, found '{text}'"))
@@ -164,7 +169,7 @@
         }
     }
 
-    fn kind(&self, path: &str) -> ReadResult<Option<u32>> {
+    fn optional_index(&self, path: &str) -> ReadResult<Option<u32>> {
         Ok(u32::try_from(self.number_or(path, -1_i64)?).ok())
     }
 
@@ -177,22 +182,22 @@
         };
         let retry_safety = match self.text(&path("effect"))? {
             "safe" => RetrySafety::Retriable,
-            "keyed" => RetrySafety::Deduped { scope, window: self.span(&path("window_s"))? },
+            "keyed" => RetrySafety::Deduped { scope, window: self.duration(&path("window_s"))? },
             "unsafe" => RetrySafety::NonRetriable,
             other => return Err(format!("options: {}: unknown effect '{other}'", path("effect"))),
         };
-        let fresh: f64 = self.listed_number("family_info.fresh_for_s", at, 0.0)?;
+        let fresh_for_s: f64 = self.list_number("family_info.fresh_for_s", at, 0.0)?;
         Ok(ContentType {
-            latency_target: self.span(&path("aim_s"))?,
+            latency_target: self.duration(&path("aim_s"))?,
             latency_target_stretch: self.number_or(&path("aim_stretch"), 0.0)?,
             retry_safety,
-            fresh_for: (fresh > 0.0).then(|| Nanos::from_secs(fresh)),
-            uncacheable: matches!(self.listed("family_info.pass_on", at), Some("true" | "1")),
+            fresh_for: (fresh_for_s > 0.0).then(|| Nanos::from_secs(fresh_for_s)),
+            uncacheable: matches!(self.list_item("family_info.pass_on", at), Some("true" | "1")),
             benefit: self.number_or(&path("value"), 1.0)?,
         })
     }
 
-    /// The settings that the module reads; keys that it does not read are passed over.
+    /// The settings of the routing decisions; unknown keys are ignored.
     pub fn settings(&self, seed: u64) -> ReadResult<Settings> {
         let zone: u32 = self.number("zone")?;
         let dispatchers: u32 = self.number_or("balancers", 1)?;
@@ -201,76 +206,81 @@
             seed,
             zone: ZoneId(zone),
             dispatchers,
-            zone_dispatchers: self.listed_number("family_info.crew_by_zone", zone as usize, dispatchers)?,
+            zone_dispatchers: self.list_number("family_info.crew_by_zone", zone as usize, dispatchers)?,
             content_types: (0..types).map(|at| self.content_type(at)).collect::<ReadResult<_>>()?,
-            parent_kind: self.kind("family_info.second_tier_kind")?,
-            origin_kind: self.kind("family_info.root_kind")?,
+            parent_kind: self.optional_index("family_info.second_tier_kind")?,
+            origin_kind: self.optional_index("family_info.root_kind")?,
             direct_to_parents: self.flag("family_info.pass_through_ok")?,
             coalesces_fills: self.flag("family_info.shares_fills")?,
             fill_source_reported: self.raw("family_info.detail") == Some("all"),
             fill_from_other_locations: self.raw("family_info.sideways") == Some("any"),
             client_kb_per_s: self.number_or("family_info.client_kb_per_s", 0.0)?,
-            link_kb_per_s: self.listed_number("family_info.pipe_kb_per_s", zone as usize, 0.0)?,
-            purge_done: self.span_or_zero("family_info.purge_done_s")?,
-            purge_notice: self.span_or_zero("family_info.notice_time_s")?,
-            drain_grace: Nanos::from_secs(self.number_or("rules.drain_grace_s", USUAL_DRAIN_GRACE_S)?),
+            link_kb_per_s: self.list_number("family_info.pipe_kb_per_s", zone as usize, 0.0)?,
+            purge_done: self.duration_or_zero("family_info.purge_done_s")?,
+            purge_notice: self.duration_or_zero("family_info.notice_time_s")?,
+            drain_grace: Nanos::from_secs(self.number_or("rules.drain_grace_s", DEFAULT_DRAIN_GRACE_S)?),
             cache_cold: ColdStart {
                 share: self.number("rules.cold_share")?,
-                warm_after: self.span("rules.cold_s")?,
+                warm_after: self.duration("rules.cold_s")?,
                 overload_multiple: self.number("rules.fall_multiple")?,
             },
             parent_cold: ColdStart {
                 share: self.number_or("family_info.parent_cold_from", 1.0)?,
-                warm_after: self.span_or_zero("family_info.parent_cold_s")?,
+                warm_after: self.duration_or_zero("family_info.parent_cold_s")?,
                 overload_multiple: self.number_or("family_info.parent_breaks_at", 1.0)?,
             },
-            overload_window: self.span("rules.overload_for_s")?,
+            overload_window: self.duration("rules.overload_for_s")?,
             origin_stop_multiple: self.number_or("family_info.origin_stops_at", 0.0)?,
             list_needs_subscription: self.raw("discovery") == Some("subscribe"),
             cancel: self.flag("limits.cancel")?,
             retry_after: self.flag("limits.retry_after")?,
-            max_retry_after: self.span_or_zero("limits.max_retry_after_s")?,
+            max_retry_after: self.duration_or_zero("limits.max_retry_after_s")?,
             max_attempts: self.number("limits.max_attempts")?,
             capacities_listed: self.raw("weights") != Some("none"),
             load_probes: self.flag("limits.probing")?
-                && (0..4).any(|at| self.listed("report.fields", at) == Some("cpu_share")),
+                && (0..4).any(|at| self.list_item("report.fields", at) == Some("cpu_share")),
             readiness_probes: self.flag("limits.probing")?,
             overload_control: None,
         })
     }
 
-    /// What is known of the list service without the operators: each location has its part of a round, as large as
-    /// its part of the dispatchers.
+    /// When to reconnect to the change log, as far as the platform's settings say. Each location gets a part of the
+    /// reconnect window in proportion to its dispatchers.
     pub fn reconnect_settings(&self) -> ReadResult<ReconnectSettings> {
         let zone: usize = self.number("zone")?;
         let dispatchers: u32 = self.number_or("balancers", 1)?;
         let crews = self.names("family_info.crew_by_zone").len();
-        let crew = |at: usize| self.listed_number("family_info.crew_by_zone", at, 0.0_f64);
+        let crew = |at: usize| self.list_number("family_info.crew_by_zone", at, 0.0_f64);
         let crews = (0..crews).map(crew).collect::<ReadResult<Vec<_>>>()?;
         let sum = |crews: &[f64]| crews.iter().sum::<f64>();
         let window_range = match crews.get(zone) {
             Some(own) if *own > 0.0 => [sum(&crews[..zone]), sum(&crews[..=zone])].map(|at| at / sum(&crews)),
             _ => [0.0, 1.0],
         };
-        Ok(ReconnectSettings { dispatchers, calls_per_s: None, delivered_after: TOLD_AFTER, window_range })
+        Ok(ReconnectSettings {
+            dispatchers,
+            calls_per_s: None,
+            delivered_after: DEFAULT_DELIVERY_DEADLINE,
+            window_range,
+        })
     }
 
-    /// What connections to nodes are held to.
+    /// Limits of connections to nodes.
     pub fn connection_limits(&self) -> ReadResult<ConnectionLimits> {
         Ok(ConnectionLimits {
-            connect_timeout: self.span("limits.connect_timeout_s")?,
+            connect_timeout: self.duration("limits.connect_timeout_s")?,
             max_in_flight: self.number("limits.streams_per_conn")?,
-            peer_idle_timeout: self.span_or_zero("limits.conn_idle_s")?,
+            peer_idle_timeout: self.duration_or_zero("limits.conn_idle_s")?,
         })
     }
 
-    /// What may be asked for, by content type.
+    /// Limits of requests, by content type.
     pub fn request_limits(&self) -> ReadResult<Vec<RequestLimits>> {
         let types: usize = self.number("services.count")?;
         let offer = |at: usize| {
             Ok(RequestLimits {
-                max_timeout: self.span(&format!("services.{at}.deadline_s"))?,
-                allows_body: matches!(self.listed("family_info.pass_on", at), Some("true" | "1")),
+                max_timeout: self.duration(&format!("services.{at}.deadline_s"))?,
+                allows_body: matches!(self.list_item("family_info.pass_on", at), Some("true" | "1")),
             })
         };
         (0..types).map(offer).collect()
--- a/crates/settings/src/operator.rs
+++ b/crates/settings/src/operator.rs
@@ -1,4 +1,6 @@
-//! The operator's own file: JSON with a schema. What stands in it is off unless it is given.
+//! The operator's file: optional features of a dispatcher, as JSON with a schema. A feature that the file does not name
+//! is off. The dispatcher reads the file at its start and on a reload; an error is one line with the field, the value
+//! found and what was expected.
 
 use crate::ReadResult;
 use copperroute_config_rollout::timing::TimingBounds;
@@ -11,40 +13,43 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// The file as it stands.
+/// The content of the operator's file.
 #[derive(Debug, Clone, Default, PartialEq, Deserialize, JsonSchema)]
 #[serde(rename = "Operator", deny_unknown_fields)]
 pub struct OperatorFile {
-    /// Retry storms are recognised and damped; absent: they are not.
-    pub storms: Option<Storms>,
-    /// Copies of the dispatcher's own are kept and served; absent: none are.
-    pub copies: Option<Copies>,
-    /// What the list service (the change log) bears; absent: it is called soon, and more rarely the longer it is away.
-    pub lists: Option<Lists>,
-    /// Dispatchers agree on versions of their rules; absent: rules change with a restart, or as the files are read again.
+    /// Detects retry storms and limits admission while they last. Absent: off.
+    pub storms: Option<OverloadControl>,
+    /// The local cache of the dispatcher. Absent: none.
+    pub copies: Option<LocalCache>,
+    /// Capacity and replicas of the change log. Absent: a dispatcher reconnects at once, and less often the longer the
+    /// change log is unavailable.
+    pub lists: Option<ChangeLogAccess>,
+    /// Dispatchers agree on rule versions. Absent: rules change with a restart or a reload of the files.
     pub agreement: Option<Agreement>,
 }
 
-/// Versions of rules on which dispatchers agree. All of them must be told the same.
+/// Agreement on rule versions. All dispatchers must have the same values.
 #[derive(Debug, Clone, PartialEq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Agreement {
-    /// For so many seconds after a line of the list service that told nothing new a dispatcher is up to date.
+    /// The lease in seconds: after a heartbeat that reports no missing events, a dispatcher counts as up to date for
+    /// this long.
     #[serde(default = "lease_s")]
     #[schemars(range(min = 1, max = 3600))]
     pub lease_s: f64,
-    /// The clocks of any two of issuers and dispatchers differ by no more than so many seconds.
+    /// Bound on the clock difference between any two issuers or dispatchers, in seconds.
     #[serde(default = "clock_error_s")]
     #[schemars(range(min = 0.001, max = 3600))]
     pub clock_error_s: f64,
-    /// From issue to service, and from service to dispatcher, a version or a line takes no more than so many seconds.
+    /// Propagation bound in seconds: the longest time that a version takes from its issuer to the change log, and that
+    /// a version or heartbeat takes from there to a dispatcher.
     #[serde(default = "slack_s")]
     #[schemars(range(min = 0.01, max = 3600))]
     pub slack_s: f64,
-    /// The strictest that any version may say; what it does not name no version can tighten.
+    /// The strictest value that a version may set, by rule. No version can tighten a rule that is not named here.
     #[serde(default)]
     pub floor: serde_json::Map<String, serde_json::Value>,
-    /// Versions that come with this file; others come with the change log.
+    /// Versions that this file issues; others come with the change log.
     #[serde(default)]
     pub issued: Vec<serde_json::Value>,
 }
@@ -59,24 +64,25 @@
     0.5
 }
 
-/// The list service, how it is followed, and what is kept of it.
+/// The change log: its capacity, how it is followed, and the snapshot of the node list.
 #[derive(Debug, Clone, PartialEq, Deserialize, JsonSchema)]
-#[serde(deny_unknown_fields)]
-pub struct Lists {
-    /// Calls (new connections) a second that it bears from all dispatchers together; with replicas, that each bears.
+#[serde(rename = "Lists", deny_unknown_fields)]
+pub struct ChangeLogAccess {
+    /// Capacity of the change log in new connections a second from all dispatchers together. With replicas: of each
+    /// replica.
     #[schemars(range(min = 0.1, max = 1_000_000))]
     pub calls_per_s: f64,
-    /// How many dispatchers there are to call it; absent: as many as the platform's settings tell.
+    /// The number of dispatchers that connect to it. Absent: the number in the platform's settings.
     #[schemars(range(min = 1, max = 1_000_000))]
     pub dispatchers: Option<u32>,
-    /// What it has to tell counts as told after so many seconds, whether it was heard or not.
+    /// The delivery deadline in seconds: an event counts as delivered after this long, whether it was received or not.
     #[serde(default = "told_after_s")]
     #[schemars(range(min = 1, max = 3600))]
     pub told_after_s: f64,
-    /// The last good list outlives a restart; absent: it does not.
+    /// Keeps a snapshot of the node list over a restart. Absent: none.
     pub keep: Option<SnapshotSettings>,
-    /// Replicas of the change log, of which each dispatcher follows two; absent: the one address of the platform's
-    /// configuration is followed. All dispatchers must be told the same.
+    /// Replicas of the change log, of which each dispatcher follows two. Absent: the address in the platform's
+    /// configuration is followed. All dispatchers must have the same list.
     pub replicas: Option<Vec<Replica>>,
 }
 
@@ -84,28 +90,28 @@
 #[derive(Debug, Clone, PartialEq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Replica {
-    /// Where it listens: IP:PORT.
+    /// The address on which it listens: IP:PORT.
     pub address: String,
-    /// Its region.
+    /// The region of the replica.
     pub region: String,
-    /// Its zone, within the region: replicas of one zone fail together.
+    /// The zone within the region: replicas in one zone may fail together.
     pub zone: String,
 }
 
-/// Fewer replicas than this can't be followed by two streams; more are not meant to be.
-const REPLICAS: std::ops::RangeInclusive<usize> = 2..=64;
+/// Limits on the number of replicas: a dispatcher follows two of them, and larger deployments are not supported.
+const REPLICA_COUNT: std::ops::RangeInclusive<usize> = 2..=64;
 
 fn told_after_s() -> f64 {
     7.0
 }
 
-/// The last good list on disk.
+/// The snapshot of the node list on disk.
 #[derive(Debug, Clone, PartialEq, Deserialize, JsonSchema)]
 #[serde(rename = "LastList", deny_unknown_fields)]
 pub struct SnapshotSettings {
-    /// The folder that it is kept in; no other process may use it.
+    /// The folder of the snapshot; no other process may use it.
     pub folder: PathBuf,
-    /// One that is older than so many seconds does not do.
+    /// A snapshot that is older than this many seconds is not used.
     #[serde(default = "most_age_s")]
     #[schemars(range(min = 1, max = 31_536_000))]
     pub most_age_s: f64,
@@ -115,34 +121,34 @@
     3600.0
 }
 
-/// Copies of the dispatcher's own.
+/// The local cache of the dispatcher.
 #[derive(Debug, Clone, PartialEq, Deserialize, JsonSchema)]
-#[serde(deny_unknown_fields)]
-pub struct Copies {
-    /// Megabytes of memory that they may take, with all overhead.
+#[serde(rename = "Copies", deny_unknown_fields)]
+pub struct LocalCache {
+    /// Memory limit in megabytes, with all overhead.
     #[schemars(range(min = 1, max = 1_000_000))]
     pub memory_mb: u64,
-    /// A second tier on disk; absent: none.
+    /// A second tier on disk. Absent: none.
     pub disk: Option<DiskTier>,
 }
 
-/// Own copies on disk.
+/// The disk tier of the local cache.
 #[derive(Debug, Clone, PartialEq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct DiskTier {
-    /// The folder that they are kept in; no other process may use it.
+    /// The folder of the copies; no other process may use it.
     pub folder: PathBuf,
-    /// Megabytes that they may take.
+    /// Disk space limit in megabytes.
     #[schemars(range(min = 2, max = 1_000_000))]
     pub most_mb: u64,
-    /// Megabytes of one file of the log; at most half of all.
+    /// Size of one segment file in megabytes; at most half of `most_mb`.
     #[serde(default = "segment_mb")]
     #[schemars(range(min = 1, max = 1024))]
     pub segment_mb: u64,
-    /// When copies are on the disk for certain.
+    /// When writes are synced to the disk.
     #[serde(default)]
     pub sync: SyncPolicy,
-    /// Whether the change log's numbers outlast a restart.
+    /// Whether the event numbers of the change log continue after its restart.
     #[serde(default)]
     pub change_log: SequenceNumbers,
 }
@@ -151,79 +157,79 @@
     16
 }
 
-/// When what was written is on the disk for certain.
+/// When writes are synced to the disk.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize, JsonSchema)]
 #[serde(rename = "SyncWhen", rename_all = "lowercase")]
 pub enum SyncPolicy {
-    /// When the machine gets to it; marks of purges too.
+    /// Never explicitly; the operating system writes copies and purge records at some time.
     Never,
-    /// Copies when a file is full, marks of purges at once.
+    /// Copies when their segment is full, purge records at once.
     #[default]
     Segments,
-    /// At once.
+    /// Copies and purge records at once.
     Always,
 }
 
-/// The numbers of the change log.
+/// The event numbers of the change log.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize, JsonSchema)]
 #[serde(rename = "Numbers", rename_all = "lowercase")]
 pub enum SequenceNumbers {
-    /// They begin at 1 with each start: nothing on disk can be trusted after one, and the tier begins empty.
+    /// They begin at 1 with each start. Purges may then be missed, so the disk tier starts empty.
     #[default]
     #[serde(rename = "anew")]
     Restarted,
-    /// They go on: what was purged meanwhile is told again.
+    /// They continue: purges since the last start are delivered again, and the copies on disk are kept.
     #[serde(rename = "lasting")]
     Continued,
 }
 
-/// What retry storms are met with.
+/// Overload control: how retry storms are detected and limited.
 #[derive(Debug, Clone, PartialEq, Deserialize, JsonSchema)]
-#[serde(deny_unknown_fields, default)]
-pub struct Storms {
-    /// For how many seconds a try that failed is remembered: as long as clients may retry.
+#[serde(rename = "Storms", deny_unknown_fields, default)]
+pub struct OverloadControl {
+    /// How long a failed request is remembered, in seconds: as long as clients may retry it.
     #[schemars(range(min = 1, max = 3600))]
     pub remember_s: f64,
-    /// How many tries are remembered at most, of each kind.
+    /// Limit on remembered requests, of each kind.
     #[schemars(range(min = 100, max = 10_000_000))]
     pub most_remembered: u64,
-    /// Slots that the longest advice is divided into.
+    /// The number of reservation slots into which the longest retry-after is divided.
     #[schemars(range(min = 1, max = 1_000_000))]
     pub slots: u64,
-    /// The part of the pace that is kept for those who come without a reservation.
+    /// The share of the admission rate for requests without a reservation.
     #[schemars(range(min = 0, max = 0.9))]
     pub newcomers: f64,
-    /// Clients mark their repeats. If false, a repeat is told by what is remembered of its client.
+    /// Clients mark their retries. If false, a retry is recognised by the remembered requests of its client.
     pub clients_mark: bool,
-    /// What is done with a marked repeat that must not run twice and whose first try is not known here.
-    pub unknown_repeats: UnknownRepeats,
+    /// What happens to a marked retry that must not run twice and whose first request is not known here.
+    pub unknown_repeats: UnknownRetries,
 }
 
-/// What is done with the unknown.
+/// What happens to a retry whose first request is not known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize, JsonSchema)]
-#[serde(rename_all = "lowercase")]
-pub enum UnknownRepeats {
-    /// Pulled, except for as long as tries are remembered after a start.
+#[serde(rename = "UnknownRepeats", rename_all = "lowercase")]
+pub enum UnknownRetries {
+    /// It is attempted, except during the first `remember_s` seconds after a start.
     Pull,
-    /// Abandoned: its first try may have run at another dispatcher.
+    /// It is failed, as the first request may have run at another dispatcher.
     Abandon,
 }
 
-impl Default for Storms {
+impl Default for OverloadControl {
     fn default() -> Self {
-        Storms {
+        OverloadControl {
             remember_s: 60.0,
             most_remembered: 20_000,
             slots: 50,
             newcomers: 0.2,
             clients_mark: true,
-            unknown_repeats: UnknownRepeats::Pull,
+            unknown_repeats: UnknownRetries::Pull,
         }
     }
 }
 
-/// A value within its bounds, or one line on what was found and expected.
-fn within<T: PartialOrd + std::fmt::Display>(
+/// Returns the value if it is within its bounds, else an error with the value found and the bounds.
+fn check_range<T: PartialOrd + std::fmt::Display>(
     path: &str,
     value: T,
     what: &str,
@@ -232,21 +238,21 @@
 ) -> ReadResult<T> {
     match value >= least && value <= most {
         true => Ok(value),
-        false => Err(format!("{path}: {value} is no {what}; expected {least} to {most}")),
+        false => Err(format!("{path}: {value} is not a valid {what}; expected {least} to {most}")),
     }
 }
 
 impl Replica {
-    /// What the decisions are told of it; `path` is its place in the file.
+    /// Checks and converts the entry; `path` is its path in the file.
     fn read(&self, path: &str) -> ReadResult<change_log::Replica> {
         let address: Option<SocketAddr> = self.address.parse().ok();
         let usable = |address: &SocketAddr| address.port() != 0 && !address.ip().is_unspecified();
         let address = address.filter(usable).ok_or_else(|| {
-            format!("{path}.address: '{}' can't be connected to; expected IP:PORT", self.address)
+            format!("{path}.address: '{}' is not an address to connect to; expected IP:PORT", self.address)
         })?;
         for (field, name) in [("region", &self.region), ("zone", &self.zone)] {
             if name.is_empty() {
-                return Err(format!("{path}.{field}: '' is no name; expected one character at least"));
+                return Err(format!("{path}.{field}: is empty; expected at least one character"));
             }
         }
         Ok(change_log::Replica { address, region: self.region.clone(), zone: self.zone.clone() })
@@ -254,14 +260,14 @@
 }
 
 impl OperatorFile {
-    /// Reads the file; an error is one line with the file, the field, what was found and what was expected.
+    /// Reads and checks the file; an error is one line with the file, the field, what was found and what was expected.
     pub fn read(path: &Path) -> ReadResult<OperatorFile> {
         let named = |what: String| format!("{}: {what}", path.display());
         let text = std::fs::read_to_string(path).map_err(|fault| named(fault.to_string()))?;
         OperatorFile::parse(&text).map_err(named)
     }
 
-    /// The same from the text of a file.
+    /// The same from the text of the file.
     pub fn parse(text: &str) -> ReadResult<OperatorFile> {
         let mut read = serde_json::Deserializer::from_str(text);
         let file: OperatorFile =
@@ -270,7 +276,7 @@
         file.overload_settings(1)?;
         file.copy_memory_bytes()?;
         file.disk_tier()?;
-        // How many call is told elsewhere, unless it stands here.
+        // The number of dispatchers is not known here unless the file names it, so the check assumes one.
         let one = ReconnectSettings {
             dispatchers: 1,
             calls_per_s: None,
@@ -285,48 +291,68 @@
         Ok(file)
     }
 
-    /// What the decisions are told of storms, where a request and its repeats may take so many attempts.
+    /// The settings of overload control; a request and its retries may take `max_attempts` attempts.
     pub fn overload_settings(&self, max_attempts: u32) -> ReadResult<Option<OverloadSettings>> {
-        let Some(told) = &self.storms else { return Ok(None) };
-        let remember = within("storms.remember_s", told.remember_s, "number of seconds", 1.0, 3600.0)?;
-        let most =
-            within("storms.most_remembered", told.most_remembered, "number of tries", 100, 10_000_000)?;
-        let slots = within("storms.slots", told.slots, "number of slots", 1, 1_000_000)?;
+        let Some(section) = &self.storms else { return Ok(None) };
+        let remember =
+            check_range("storms.remember_s", section.remember_s, "number of seconds", 1.0, 3600.0)?;
+        let most = check_range(
+            "storms.most_remembered",
+            section.most_remembered,
+            "number of tries",
+            100,
+            10_000_000,
+        )?;
+        let slots = check_range("storms.slots", section.slots, "number of slots", 1, 1_000_000)?;
         Ok(Some(OverloadSettings {
             remember_for: Nanos::from_secs(remember),
             max_remembered: most as usize,
             slots: slots as usize,
-            unreserved_share: within("storms.newcomers", told.newcomers, "part of the pace", 0.0, 0.9)?,
-            clients_mark_retries: told.clients_mark,
-            unknown_retry_may_have_run: told.unknown_repeats == UnknownRepeats::Abandon,
+            unreserved_share: check_range(
+                "storms.newcomers",
+                section.newcomers,
+                "part of the pace",
+                0.0,
+                0.9,
+            )?,
+            clients_mark_retries: section.clients_mark,
+            unknown_retry_may_have_run: section.unknown_repeats == UnknownRetries::Abandon,
             max_attempts,
         }))
     }
 
-    /// Bytes of memory that own copies may take; zero for none.
+    /// The memory limit of the local cache in bytes; zero for no cache.
     pub fn copy_memory_bytes(&self) -> ReadResult<usize> {
-        let Some(told) = &self.copies else { return Ok(0) };
-        let mb = within("copies.memory_mb", told.memory_mb, "number of megabytes", 1, 1_000_000)?;
+        let Some(section) = &self.copies else { return Ok(0) };
+        let mb = check_range("copies.memory_mb", section.memory_mb, "number of megabytes", 1, 1_000_000)?;
         Ok(mb as usize * 1_000_000)
     }
 
-    /// The disk tier of own copies, checked.
+    /// The disk tier of the local cache, checked.
     pub fn disk_tier(&self) -> ReadResult<Option<DiskTier>> {
-        let Some(told) = self.copies.as_ref().and_then(|copies| copies.disk.as_ref()) else {
+        let Some(section) = self.copies.as_ref().and_then(|copies| copies.disk.as_ref()) else {
             return Ok(None);
         };
-        let most = within("copies.disk.most_mb", told.most_mb, "number of megabytes", 2, 1_000_000)?;
-        within("copies.disk.segment_mb", told.segment_mb, "number of megabytes", 1, 1024.min(most / 2))?;
-        Ok(Some(told.clone()))
+        let most = check_range("copies.disk.most_mb", section.most_mb, "number of megabytes", 2, 1_000_000)?;
+        check_range(
+            "copies.disk.segment_mb",
+            section.segment_mb,
+            "number of megabytes",
+            1,
+            1024.min(most / 2),
+        )?;
+        Ok(Some(section.clone()))
     }
 
-    /// What is known of the list service, where so much is known without the operators.
+    /// When to reconnect to the change log. `known` holds the platform's settings, used where the file says nothing.
     pub fn reconnect_settings(&self, known: ReconnectSettings) -> ReadResult<ReconnectSettings> {
-        let Some(told) = &self.lists else { return Ok(known) };
-        let bears = within("lists.calls_per_s", told.calls_per_s, "number of calls a second", 0.1, 1e6)?;
-        let after = within("lists.told_after_s", told.told_after_s, "number of seconds", 1.0, 3600.0)?;
-        let dispatchers = told.dispatchers.unwrap_or(known.dispatchers);
-        within("lists.dispatchers", dispatchers, "number of dispatchers", 1, 1_000_000)?;
+        let Some(section) = &self.lists else { return Ok(known) };
+        let calls_per_s =
+            check_range("lists.calls_per_s", section.calls_per_s, "number of calls a second", 0.1, 1e6)?;
+        let deadline_s =
+            check_range("lists.told_after_s", section.told_after_s, "number of seconds", 1.0, 3600.0)?;
+        let dispatchers = section.dispatchers.unwrap_or(known.dispatchers);
+        check_range("lists.dispatchers", dispatchers, "number of dispatchers", 1, 1_000_000)?;
         let replicas = self.replicas()?;
         let (callers, who) = match replicas.is_empty() {
             true => (dispatchers, format!("{dispatchers} dispatchers")),
@@ -337,34 +363,35 @@
         };
         let calls = ReconnectSettings {
             dispatchers: callers,
-            calls_per_s: Some(bears),
-            delivered_after: Nanos::from_secs(after),
+            calls_per_s: Some(calls_per_s),
+            delivered_after: Nanos::from_secs(deadline_s),
             window_range: known.window_range,
         };
         calls.max_wait().map(|_| calls).map_err(|least| {
             format!(
-                "lists.calls_per_s: with {bears} calls a second {who} are not all heard within {after} s; expected \
-                 {least:.1} at least"
+                "lists.calls_per_s: with {calls_per_s} calls a second {who} can't all connect within \
+                 {deadline_s} s; expected at least {least:.1}"
             )
         })
     }
 
-    /// The replicas of the change log, checked; none where its own address is followed.
+    /// The replicas of the change log, checked; empty if none are configured.
     pub fn replicas(&self) -> ReadResult<Vec<change_log::Replica>> {
-        let Some(told) = self.lists.as_ref().and_then(|lists| lists.replicas.as_ref()) else {
+        let Some(entries) = self.lists.as_ref().and_then(|lists| lists.replicas.as_ref()) else {
             return Ok(Vec::new());
         };
-        if !REPLICAS.contains(&told.len()) {
-            let (least, most) = (REPLICAS.start(), REPLICAS.end());
-            return Err(format!("lists.replicas: {} in number; expected {least} to {most}", told.len()));
+        if !REPLICA_COUNT.contains(&entries.len()) {
+            let (least, most) = (REPLICA_COUNT.start(), REPLICA_COUNT.end());
+            return Err(format!("lists.replicas: {} replicas; expected {least} to {most}", entries.len()));
         }
         let mut replicas: Vec<change_log::Replica> = Vec::new();
-        for (at, told) in told.iter().enumerate() {
-            let replica = told.read(&format!("lists.replicas.{at}"))?;
+        for (at, entry) in entries.iter().enumerate() {
+            let replica = entry.read(&format!("lists.replicas.{at}"))?;
             if let Some(same) = replicas.iter().position(|other| other.address == replica.address) {
-                let address = &told.address;
+                let address = &entry.address;
                 return Err(format!(
-                    "lists.replicas.{at}.address: '{address}' is that of lists.replicas.{same}; expected each once"
+                    "lists.replicas.{at}.address: '{address}' is also the address of lists.replicas.{same}; expected \
+                     different addresses"
                 ));
             }
             replicas.push(replica);
@@ -372,34 +399,36 @@
         Ok(replicas)
     }
 
-    /// Where the last good list is kept, checked.
+    /// The settings of the snapshot of the node list, checked.
     pub fn snapshot_settings(&self) -> ReadResult<Option<SnapshotSettings>> {
-        let Some(told) = self.lists.as_ref().and_then(|lists| lists.keep.as_ref()) else { return Ok(None) };
-        within("lists.keep.most_age_s", told.most_age_s, "number of seconds", 1.0, 31_536_000.0)?;
-        Ok(Some(told.clone()))
+        let Some(section) = self.lists.as_ref().and_then(|lists| lists.keep.as_ref()) else {
+            return Ok(None);
+        };
+        check_range("lists.keep.most_age_s", section.most_age_s, "number of seconds", 1.0, 31_536_000.0)?;
+        Ok(Some(section.clone()))
     }
 
-    /// What is stated of clocks and ways for the agreement, checked.
+    /// The timing bounds of the agreement, checked.
     pub fn timing_bounds(&self) -> ReadResult<Option<TimingBounds>> {
-        let Some(told) = &self.agreement else { return Ok(None) };
+        let Some(section) = &self.agreement else { return Ok(None) };
         let terms = TimingBounds {
-            lease: Nanos::from_secs(told.lease_s),
-            clock_error: Nanos::from_secs(told.clock_error_s),
-            propagation_bound: Nanos::from_secs(told.slack_s),
+            lease: Nanos::from_secs(section.lease_s),
+            clock_error: Nanos::from_secs(section.clock_error_s),
+            propagation_bound: Nanos::from_secs(section.slack_s),
         };
         terms.validate().map(|()| Some(terms)).map_err(|fault| format!("agreement.{fault}"))
     }
 
-    /// The versions of rules that come with the file.
+    /// The rule versions that the file issues.
     pub fn issued_versions(&self) -> ReadResult<Vec<IssuedVersion>> {
-        let told = self.agreement.iter().flat_map(|told| &told.issued).enumerate();
-        let read = |(at, told)| {
-            IssuedVersion::from_value(told).map_err(|fault| format!("agreement.issued.{at}.{fault}"))
+        let section = self.agreement.iter().flat_map(|section| &section.issued).enumerate();
+        let read = |(at, section)| {
+            IssuedVersion::from_value(section).map_err(|fault| format!("agreement.issued.{at}.{fault}"))
         };
-        told.map(read).collect()
+        section.map(read).collect()
     }
 
-    /// The schema of the file.
+    /// The JSON schema of the file.
     pub fn schema() -> serde_json::Value {
         schemars::schema_for!(OperatorFile).to_value()
     }
--- a/crates/settings/src/tests/lib.rs
+++ b/crates/settings/src/tests/lib.rs
@@ -1,10 +1,10 @@
-//! Tests of what `lib.rs` keeps to itself.
+//! Tests of the private parts of `lib.rs`.
 
 use super::{Options, name_index};
 use expect_test::expect;
 
 #[test]
-fn each_location_has_its_part_of_a_round() {
+fn each_location_has_its_part_of_a_reconnect_window() {
     let part = |zone: usize, crews: &str| {
         let zone = format!("zone={zone}");
         let options = Options::from_pairs(&["balancers=10", &zone, crews]).expect("pairs");
