--- a/crates/dispatcher/src/config.rs
+++ b/crates/dispatcher/src/config.rs
@@ -150,13 +150,13 @@
 
     /// The settings of the agreement, from the operator's file.
     pub fn agreeing(&self, operator: &OperatorFile) -> Result<Option<AgreementConfig>, String> {
-        let (Some(timing), Some(told)) = (operator.timing_bounds()?, &operator.agreement) else {
+        let (Some(timing), Some(section)) = (operator.timing_bounds()?, &operator.agreement) else {
             return Ok(None);
         };
-        let expiries: Vec<_> = self.request_limits.iter().map(|offer| offer.max_timeout).collect();
+        let expiries: Vec<_> = self.request_limits.iter().map(|limits| limits.max_timeout).collect();
         let (platform_rules, content_types) =
             (RuleSet::from_settings(&self.settings, &expiries), self.names.content_types.clone());
-        let floor = RuleSet::parse(&platform_rules, &content_types, "agreement.floor", &told.floor)?;
+        let floor = RuleSet::parse(&platform_rules, &content_types, "agreement.floor", &section.floor)?;
         if let Some(field) = floor.first_looser_field(&platform_rules) {
             let path = field.path(&content_types);
             return Err(format!("agreement.floor.{path}: looser than the platform's settings"));
--- a/crates/dispatcher/src/event_loop/connections.rs
+++ b/crates/dispatcher/src/event_loop/connections.rs
@@ -152,10 +152,10 @@
     /// Reads a connection once; returns the number of bytes. Further input is reported by the next poll.
     pub(super) fn read(&mut self, peer: Peer) -> usize {
         let Some(connection) = self.connections.get_mut(&peer) else { return 0 };
-        let mut scratch = std::mem::take(&mut self.read_buffer);
+        let mut buffer = std::mem::take(&mut self.read_buffer);
         // The buffer is missing when `connect` reads idle clients from within another read.
-        scratch.resize(READ_BUFFER_BYTES, 0);
-        let came = match connection.read(&mut scratch) {
+        buffer.resize(READ_BUFFER_BYTES, 0);
+        let received = match connection.read(&mut buffer) {
             // The client may still read the answers to its requests.
             Ok(0) if matches!(peer, Peer::Client(_)) => {
                 self.reduce(Event::EndOfStream(peer));
@@ -169,7 +169,7 @@
                 if matches!(peer, Peer::Client(_)) {
                     self.report_input_delay();
                 }
-                self.reduce(Event::Received(peer, &scratch[..count]));
+                self.reduce(Event::Received(peer, &buffer[..count]));
                 count
             }
             Err(fault) => {
@@ -181,15 +181,15 @@
                 0
             }
         };
-        self.read_buffer = scratch;
-        came
+        self.read_buffer = buffer;
+        received
     }
 
     /// Reports to the reducer how long the input that is read now may have been unread, if that has changed.
     fn report_input_delay(&mut self) {
-        let unread = self.freshness.input_delay(self.clock.now());
-        if std::mem::replace(&mut self.input_delay, unread) != unread {
-            self.reduce(Event::InputDelay(unread));
+        let delay = self.freshness.input_delay(self.clock.now());
+        if std::mem::replace(&mut self.input_delay, delay) != delay {
+            self.reduce(Event::InputDelay(delay));
         }
     }
 
@@ -197,7 +197,8 @@
     /// after a pause.
     pub(super) fn retry_later(&mut self, fault: &io::Error) {
         if classify_transfer_error(fault) == TransferError::OutOfMemory {
-            self.log_limiter.warn(self.clock.now(), format_args!("connection: {fault}"));
+            self.log_limiter
+                .warn(self.clock.now(), format_args!("connection: read or write failed: {fault}"));
         }
         self.needs_pause = true;
     }
--- a/crates/dispatcher/src/event_loop/mod.rs
+++ b/crates/dispatcher/src/event_loop/mod.rs
@@ -234,17 +234,17 @@
         let wait =
             if polls_at_once { Some(Duration::ZERO) } else { driver.time_to_first_deadline(poll_started) };
         let dispatched = event_loop.dispatch(wait, &mut inbox);
-        let found = driver.clock.now();
+        let poll_ended = driver.clock.now();
         match dispatched {
-            Ok(()) => driver.freshness.polled(poll_started, wait, found),
+            Ok(()) => driver.freshness.polled(poll_started, wait, poll_ended),
             // What was found before the failure is in the inbox; the rest is reported by the next poll.
             Err(fault) => {
-                driver.log_limiter.warn(found, format_args!("event loop: {fault}"));
+                driver.log_limiter.warn(poll_ended, format_args!("event loop: {fault}"));
                 driver.needs_pause = true;
             }
         }
         // Timers that become due while this turn reads are left for the next turn, after it has read its input.
-        driver.deadlines.take_due(found, &mut due);
+        driver.deadlines.take_due(poll_ended, &mut due);
         if std::mem::take(&mut inbox.terminate) {
             driver.reduce(Event::Terminate);
         }
@@ -254,7 +254,7 @@
         // Input is read before timers fire: after the machine has stopped the program, every timer seems overdue
         // although the input may have come in time. The change log is read first (drains, purges), then clients
         // (aborts, closed connections), then nodes, so that an answer leads neither to an attempt for a client that
-        // has gone nor to one at a node that drains. Each connection is read once per turn; timers wait while more
+        // has gone nor to one at a node that drains. Reads of a connection are limited per turn; timers wait while more
         // input may be unread.
         let mut ready = std::mem::take(&mut inbox.ready);
         ready.sort_by_key(|(peer, _)| match peer {
@@ -267,7 +267,7 @@
             may_have_more |= driver.ready(peer, readiness);
         }
         std::mem::take(&mut inbox.disk).into_iter().for_each(|message| driver.disk_reported(message));
-        if !postponement.postpone(found, may_have_more && !due.is_empty()) {
+        if !postponement.postpone(poll_ended, may_have_more && !due.is_empty()) {
             due.drain(..).for_each(|timer| driver.reduce(Event::TimerFired(timer)));
         }
         driver.accept_clients(std::mem::take(&mut inbox.accept));
--- a/crates/dispatcher/src/event_loop/opening.rs
+++ b/crates/dispatcher/src/event_loop/opening.rs
@@ -70,6 +70,8 @@
         may_continue
     }
 
+    /// Begins to connect. A failure is reported to the reducer, as a closed connection if the other side is
+    /// unreachable.
     pub(super) fn connect(&mut self, peer: Peer, address: SocketAddr) {
         let start = || -> io::Result<TcpStream> {
             let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
--- a/crates/dispatcher/src/main.rs
+++ b/crates/dispatcher/src/main.rs
@@ -1,4 +1,5 @@
-//! `copperroute`: the dispatcher on sockets.
+//! The program `copperroute`: parses the command line and runs one command. `serve` runs a dispatcher and `relay` a
+//! replica of the change log; the other commands check files or print what they contain.
 
 use clap::{Args, Parser, Subcommand};
 use copperroute_cache_store::disk::inspect;
@@ -21,39 +22,39 @@
 
 #[derive(Args)]
 struct Files {
-    /// The configuration file.
+    /// The platform's configuration file.
     #[arg(long, env = "PROXY_CONFIG")]
     config: PathBuf,
-    /// The operator's own file (`copperroute schema` tells its form); what it does not name stays off.
+    /// The operator's file (`copperroute schema` prints its schema); features that it does not name are off.
     #[arg(long, value_name = "FILE")]
     operator: Option<PathBuf>,
 }
 
 #[derive(Subcommand)]
 enum Command {
-    /// Serves clients until SIGTERM; reads its files again at SIGHUP.
+    /// Serves clients until SIGTERM; reloads its files on SIGHUP.
     Serve(Files),
-    /// Reads the files, says what is wrong with them, and ends: with 0 if all is well, with 2 if not.
+    /// Checks the files and prints a summary or the first error; exits with 0 if they are valid, else with 2.
     Check(Files),
-    /// Looks into a stopped store of own copies.
+    /// Inspects the disk tier of the local cache of a dispatcher that is not running.
     Store {
         #[command(subcommand)]
         what: StoreCommand,
     },
-    /// Looks at versions of rules on which dispatchers agree.
+    /// Inspects rule versions on which dispatchers agree.
     Rules {
         #[command(subcommand)]
         what: RulesCommand,
     },
     /// Follows the change log, or another replica, and serves it to dispatchers and replicas until SIGTERM.
     Relay {
-        /// The replica's configuration file (`copperroute schema --relay` tells its form).
+        /// The replica's configuration file (`copperroute schema --relay` prints its schema).
         #[arg(long, value_name = "FILE")]
         config: PathBuf,
     },
     /// Prints the schema of the operator's file.
     Schema {
-        /// Of a replica's configuration file instead.
+        /// Prints the schema of a replica's configuration file instead.
         #[arg(long)]
         relay: bool,
     },
@@ -63,9 +64,9 @@
 
 #[derive(Subcommand)]
 enum StoreCommand {
-    /// Reads all of it, and ends with 1 if a record is not sound.
+    /// Reads all records; exits with 1 if one is corrupt.
     Check { folder: PathBuf },
-    /// Counts records and bytes by kind.
+    /// Prints the number of records by kind, and the bytes of copies.
     Stat { folder: PathBuf },
     /// Prints a line for each record.
     Dump { folder: PathBuf },
@@ -79,16 +80,17 @@
         files: Files,
         version: PathBuf,
     },
-    /// Prints what changes from one version to another, stricter or looser, and from when.
+    /// Prints which rules change from one version to another, whether they become stricter or looser, and from when.
     Diff {
         #[command(flatten)]
         files: Files,
-        /// The first; what the platform's settings say if it is left out.
+        /// The file of the earlier version. Default: the platform's settings.
         #[arg(long)]
         from: Option<PathBuf>,
         to: PathBuf,
     },
-    /// Prints the stated time, and whether each of a row of versions would be taken; ends with 1 if one would not.
+    /// Prints the contradiction bound, and whether each version would be accepted after those before it; exits with 1
+    /// if one would not.
     Check {
         #[command(flatten)]
         files: Files,
@@ -96,41 +98,41 @@
     },
 }
 
-/// Looks at versions of rules.
+/// Runs a `rules` command.
 fn rules(what: RulesCommand) -> Result<(), (u8, String)> {
-    let bad = |fault: String| (UNUSABLE, fault);
-    let agreeing = |files: Files| -> Result<AgreementConfig, (u8, String)> {
+    let bad = |fault: String| (INVALID_INPUT, fault);
+    let agreement = |files: Files| -> Result<AgreementConfig, (u8, String)> {
         let config = ConfigFiles { config: files.config, operator: files.operator }.read().map_err(bad)?;
-        config.agreement.ok_or_else(|| bad("the operator's file names no agreement".into()))
+        config.agreement.ok_or_else(|| bad("the operator's file has no 'agreement'".into()))
     };
     let text = match what {
         RulesCommand::Show { files, version } => {
-            rules_text::show(&agreeing(files)?, &rules_text::read(&version).map_err(bad)?).map_err(bad)?
+            rules_text::show(&agreement(files)?, &rules_text::read(&version).map_err(bad)?).map_err(bad)?
         }
         RulesCommand::Diff { files, from, to } => {
             let from = from.map(|path| rules_text::read(&path)).transpose().map_err(bad)?;
-            rules_text::diff(&agreeing(files)?, from.as_ref(), &rules_text::read(&to).map_err(bad)?)
+            rules_text::diff(&agreement(files)?, from.as_ref(), &rules_text::read(&to).map_err(bad)?)
                 .map_err(bad)?
         }
         RulesCommand::Check { files, versions } => {
             let issues: Result<Vec<_>, _> = versions.iter().map(|path| rules_text::read(path)).collect();
-            rules_text::check(&agreeing(files)?, &issues.map_err(bad)?).map_err(|why| (FAILED, why))?
+            rules_text::check(&agreement(files)?, &issues.map_err(bad)?).map_err(|why| (FAILED, why))?
         }
     };
     let _ = write!(std::io::stdout(), "{text}");
     Ok(())
 }
 
-/// Reads a store's log without changing it.
-fn look(what: StoreCommand) -> Result<(), (u8, String)> {
+/// Runs a `store` command: reads the disk tier without changing it.
+fn inspect_store(what: StoreCommand) -> Result<(), (u8, String)> {
     let (folder, dump) = match &what {
         StoreCommand::Check { folder } | StoreCommand::Stat { folder } => (folder, false),
         StoreCommand::Dump { folder } => (folder, true),
     };
-    let (mut copies, mut bytes, mut marks, mut dropped) = (0, 0, 0, 0);
+    let (mut copies, mut bytes, mut purges, mut dropped) = (0, 0, 0, 0);
     let mut out = std::io::stdout().lock();
     let text = |digits: &[u8; 16]| String::from_utf8_lossy(digits).escape_debug().to_string();
-    let unsound = inspect(folder, |segment, offset, head| {
+    let corrupt = inspect(folder, |segment, offset, head| {
         let line = match head {
             Head::Copy(key, facts, body) => {
                 (copies, bytes) = (copies + 1, bytes + body.length as usize);
@@ -141,11 +143,11 @@
                 )
             }
             Head::PurgedObject { object, at_ms, seq } => {
-                marks += 1;
+                purges += 1;
                 format!("purged {} at {at_ms} event {seq}", text(object))
             }
             Head::PurgedGroup { group, at_ms, seq } => {
-                marks += 1;
+                purges += 1;
                 format!("purged group {group} at {at_ms} event {seq}")
             }
             Head::Dropped(key) => {
@@ -158,23 +160,23 @@
         }
     });
     let named = |what: String| format!("{}: {what}", folder.display());
-    let unsound = unsound.map_err(|fault| (UNUSABLE, named(fault.to_string())))?;
+    let corrupt = corrupt.map_err(|fault| (INVALID_INPUT, named(fault.to_string())))?;
     if !dump {
-        let _ = writeln!(out, "{copies} copies of {bytes} bytes, {marks} marks of purges, {dropped} dropped");
+        let _ = writeln!(out, "{copies} copies of {bytes} bytes, {purges} purge records, {dropped} dropped");
     }
-    match (unsound, &what) {
+    match (corrupt, &what) {
         (Some((segment, offset)), StoreCommand::Check { .. }) => {
-            Err((FAILED, named(format!("{segment:08x}.log: no sound record at {offset}"))))
+            Err((FAILED, named(format!("{segment:08x}.log: corrupt record at {offset}"))))
         }
         _ => Ok(()),
     }
 }
 
-/// What the operators tell of the list service, and which replicas of it this dispatcher follows.
-fn lists(config: &Config) -> Option<String> {
-    let (bears, longest) = (config.reconnect.calls_per_s?, config.reconnect.max_wait().ok()?.secs());
+/// A line on reconnects to the change log, and on the replicas that this dispatcher follows.
+fn change_log_summary(config: &Config) -> Option<String> {
+    let (calls_per_s, max_wait_s) = (config.reconnect.calls_per_s?, config.reconnect.max_wait().ok()?.secs());
     let dispatchers = config.reconnect.dispatchers;
-    let waits = format!("{bears} calls a second, none waits longer than {longest:.1} s");
+    let waits = format!("{calls_per_s} connections a second, longest wait {max_wait_s:.1} s");
     let Some(two) = change_log::select_replicas(&config.replicas, &config.name) else {
         return Some(format!("{dispatchers} dispatchers, {waits}"));
     };
@@ -187,24 +189,25 @@
     ))
 }
 
-/// Nothing was started: the command line or a file is wrong.
-const UNUSABLE: u8 = 2;
+/// Exit code: the command line or a file is invalid, and nothing was started.
+const INVALID_INPUT: u8 = 2;
+/// Exit code: the command has failed.
 const FAILED: u8 = 1;
 
 fn run(command: Command) -> Result<(), (u8, String)> {
     let read = |files: Files| {
         let sources = ConfigFiles { config: files.config, operator: files.operator };
-        sources.read().map(|config| (sources, config)).map_err(|fault| (UNUSABLE, fault))
+        sources.read().map(|config| (sources, config)).map_err(|fault| (INVALID_INPUT, fault))
     };
     match command {
         Command::Version => println!("copperroute {}", env!("CARGO_PKG_VERSION")),
-        // Who reads no further than a part of it is not told.
+        // A write error is ignored: the reader may have closed the pipe early.
         Command::Schema { relay } => {
             let schema = if relay { RelayConfig::schema() } else { OperatorFile::schema() };
             drop(writeln!(std::io::stdout(), "{schema:#}"));
         }
         Command::Relay { config } => {
-            let config = RelayConfig::read(&config).map_err(|fault| (UNUSABLE, fault))?;
+            let config = RelayConfig::read(&config).map_err(|fault| (INVALID_INPUT, fault))?;
             let mut log = None;
             let served =
                 copperroute_change_log_replica::event_loop::serve(&config, || log = Some(logs::start()));
@@ -213,7 +216,7 @@
             }
             served.map_err(|fault| (FAILED, fault))?;
         }
-        Command::Store { what } => look(what)?,
+        Command::Store { what } => inspect_store(what)?,
         Command::Rules { what } => rules(what)?,
         Command::Check(files) => {
             let (sources, config) = read(files)?;
@@ -227,13 +230,13 @@
             if let Some(path) = sources.operator {
                 let storms = if config.settings.overload_control.is_some() { "on" } else { "off" };
                 println!("{}: storms {storms}", path.display());
-                if let Some(told) = lists(&config) {
-                    println!("{}: lists: {told}", path.display());
+                if let Some(summary) = change_log_summary(&config) {
+                    println!("{}: lists: {summary}", path.display());
                 }
-                if let Some(agreeing) = &config.agreement {
-                    let stated = rules_text::check(agreeing, &agreeing.issued_versions)
-                        .map_err(|why| (UNUSABLE, why))?;
-                    print!("{}: agreement: {stated}", path.display());
+                if let Some(agreement) = &config.agreement {
+                    let summary = rules_text::check(agreement, &agreement.issued_versions)
+                        .map_err(|why| (INVALID_INPUT, why))?;
+                    print!("{}: agreement: {summary}", path.display());
                 }
             }
         }
--- a/crates/dispatcher/src/node_list_snapshot.rs
+++ b/crates/dispatcher/src/node_list_snapshot.rs
@@ -142,10 +142,11 @@
     known: u64,
 ) -> Result<(KnownEvents, u64), String> {
     let end = bytes.iter().position(|byte| *byte == b'\n').ok_or("torn: no first line")?;
-    let line = std::str::from_utf8(&bytes[..end]).map_err(|_| "no list: its first line is no text")?;
+    let line =
+        std::str::from_utf8(&bytes[..end]).map_err(|_| "not a snapshot: its first line is not text")?;
     let body = &bytes[end + 1..];
-    let (head, sum) = line.rsplit_once(' ').ok_or("no list: its first line is too short")?;
-    let rest = head.strip_prefix(MAGIC).ok_or_else(|| format!("no list of this form; expected '{MAGIC}'"))?;
+    let (head, sum) = line.rsplit_once(' ').ok_or("not a snapshot: its first line is too short")?;
+    let rest = head.strip_prefix(MAGIC).ok_or_else(|| format!("unknown format; expected '{MAGIC}'"))?;
     let fields: Vec<_> = rest.split_whitespace().collect();
     let [seq, saved, owner, length] = fields[..] else {
         return Err("torn: its first line lacks fields".into());
@@ -158,19 +159,19 @@
         ));
     }
     if u64::from_str_radix(owner, 16).ok() != Some(fingerprint) {
-        return Err("another dispatcher's or deployment's".into());
+        return Err("belongs to another dispatcher or deployment".into());
     }
     let (seq, saved): (u64, u64) =
-        (seq.parse().map_err(|_| "no number")?, saved.parse().map_err(|_| "no time")?);
+        (seq.parse().map_err(|_| "invalid event number")?, saved.parse().map_err(|_| "invalid time")?);
     if saved > unix_ms + CLOCK_ERROR_MS {
         return Err(format!("from the future, {} ms ahead of the clock", saved - unix_ms));
     }
     let age = unix_ms.saturating_sub(saved);
     if age > max_age_ms {
-        return Err(format!("{} s old; expected {} at most", age / 1000, max_age_ms / 1000));
+        return Err(format!("{} s old; expected at most {} s", age / 1000, max_age_ms / 1000));
     }
     if seq <= known {
-        return Err(format!("of event {seq}, older than the configuration's, of event {known}"));
+        return Err(format!("of event {seq}, not newer than the configuration, of event {known}"));
     }
     let known = serde_json::from_slice(body).map_err(|fault| fault.to_string())?;
     Ok((known, age))
--- a/crates/dispatcher/src/nodes/connections.rs
+++ b/crates/dispatcher/src/nodes/connections.rs
@@ -27,7 +27,7 @@
     pub fn written(&mut self, number: u32, total: u64) {
         if let Some(connection) = self.connections.get_mut(&number) {
             connection.bytes_written = total;
-            while connection.aborts.front().is_some_and(|(begin, _)| *begin < total) {
+            while connection.aborts.front().is_some_and(|(start, _)| *start < total) {
                 connection.aborts.pop_front();
             }
         }
@@ -86,16 +86,16 @@
     /// Whether the socket has taken part of an attempt, but not all of it.
     pub fn is_partly_written(&self, number: u32, attempt: AttemptId) -> bool {
         let Some(connection) = self.connections.get(&number) else { return false };
-        let mut out = connection.in_flight.values();
-        out.any(|w| {
+        let mut in_flight = connection.in_flight.values();
+        in_flight.any(|w| {
             w.attempt == Some(attempt)
                 && w.start < connection.bytes_written
                 && connection.bytes_written < w.end
         })
     }
 
-    /// A connection has ended or could not be established. If it was established and brought nothing, the node has
-    /// refused it. Returns the same as `close`.
+    /// A connection has ended or could not be established. If it was established and brought nothing although it
+    /// carried attempts, the node has refused it. Returns the same as `close`.
     pub fn connection_ended(
         &mut self,
         number: u32,
@@ -126,13 +126,13 @@
         if let Some(pool) = self.pools.get_mut(connection.node.0) {
             pool.connections.retain(|other| *other != number);
         }
-        let mut out: Vec<_> = connection.in_flight.values().collect();
-        out.sort_by_key(|written| written.end);
+        let mut written: Vec<_> = connection.in_flight.values().collect();
+        written.sort_by_key(|attempt| attempt.end);
         let unsent = if connection.is_up { Outcome::NotSent } else { Outcome::Unreachable };
         let outcome =
             |w: &WrittenAttempt| if w.end <= connection.bytes_written { Outcome::Broken } else { unsent };
-        let out = out.into_iter().filter_map(|w| w.attempt.map(|attempt| (attempt, outcome(w))));
-        out.chain(connection.waiting.iter().map(|attempt| (*attempt, unsent))).collect()
+        let ended = written.into_iter().filter_map(|w| w.attempt.map(|attempt| (attempt, outcome(w))));
+        ended.chain(connection.waiting.iter().map(|attempt| (*attempt, unsent))).collect()
     }
 
     /// Closes a retired connection that carries no attempts.
@@ -181,11 +181,12 @@
     /// closes. Also forgets the ids of attempts that are no longer awaited once their requests have expired.
     pub fn close_idle(&mut self, now: Nanos, effects: &mut Vec<Effect>) {
         // Three quarters of the node's timeout.
-        let idle = Nanos(self.limits.peer_idle_timeout.0 / 4 * 3);
+        let max_idle = Nanos(self.limits.peer_idle_timeout.0 / 4 * 3);
         for connection in self.connections.values_mut() {
             connection.in_flight.retain(|_, written| written.attempt.is_some() || written.expires_at > now);
         }
-        let is_idle = |c: &Connection| c.load() == 0 && idle > Nanos::ZERO && now.since(c.last_used) > idle;
+        let is_idle =
+            |c: &Connection| c.load() == 0 && max_idle > Nanos::ZERO && now.since(c.last_used) > max_idle;
         // While connections are limited, a second connection to a node is closed as soon as it carries nothing.
         let limited = self.back_off.limits_to_one(now);
         let first = |c: &Connection| self.pools.get(c.node.0).and_then(|pool| pool.connections.first());
--- a/crates/dispatcher/src/nodes/mod.rs
+++ b/crates/dispatcher/src/nodes/mod.rs
@@ -49,7 +49,8 @@
 pub struct NodeStart {
     /// The Unix time of the start, in milliseconds.
     pub unix_ms: u64,
-    /// The start on the dispatcher's clock, as far as it is known. It moves back as more is known of the external time.
+    /// The latest possible time of the start on the dispatcher's clock. It moves back as more is known of the external
+    /// time.
     pub at: Nanos,
     /// `unix_ms` can't be right. The start was reported live, so `at` is the time at which the report arrived.
     pub is_doubted: bool,
--- a/crates/dispatcher/src/rules_text.rs
+++ b/crates/dispatcher/src/rules_text.rs
@@ -1,5 +1,6 @@
-//! Versions of rules as staff read them: what a version says, what changes from one to the next, and which of a row of
-//! versions would be taken.
+//! Text reports on rule versions for operators: the content of a version, the changes between two versions, and whether
+//! each version of a sequence would be accepted. Inputs are the agreement's settings and version files; the output is
+//! text. The command `copperroute rules` calls this module.
 
 use crate::config::AgreementConfig;
 use copperroute_config_rollout::rules::{RuleSet, differences};
@@ -7,24 +8,25 @@
 use std::fmt::Write as _;
 use std::path::Path;
 
-/// Reads a version from a file; an error is one line with file and field.
+/// Reads a version from a file; an error is one line with the file and the field.
 pub fn read(path: &Path) -> Result<IssuedVersion, String> {
     let named = |what: String| format!("{}: {what}", path.display());
     let text = std::fs::read_to_string(path).map_err(|fault| named(fault.to_string()))?;
     IssuedVersion::parse(&text).map_err(named)
 }
 
-fn zero(agreeing: &AgreementConfig) -> Version {
-    Version::platform_default(agreeing.context.platform_rules.clone(), agreeing.floor.clone())
+/// The version 0, which is the platform's settings.
+fn platform_version(agreement: &AgreementConfig) -> Version {
+    Version::platform_default(agreement.context.platform_rules.clone(), agreement.floor.clone())
 }
 
-/// Every field: what it says, the platform's value where that is another, and the strictest that may follow.
-pub fn show(agreeing: &AgreementConfig, issue: &IssuedVersion) -> Result<String, String> {
-    let version =
-        Version::from_issued(issue, &zero(agreeing), &agreeing.context).map_err(|why| why.to_string())?;
-    let (base, types) = (&agreeing.context.platform_rules, &agreeing.context.content_types);
+/// Reports each rule: its value, the platform's value if it differs, and the floor if it differs.
+pub fn show(agreement: &AgreementConfig, issue: &IssuedVersion) -> Result<String, String> {
+    let version = Version::from_issued(issue, &platform_version(agreement), &agreement.context)
+        .map_err(|why| why.to_string())?;
+    let (base, types) = (&agreement.context.platform_rules, &agreement.context.content_types);
     let mut text = format!(
-        "version {} of '{}', digest {:016x}, issued at {} ms, acts from {} ms\n",
+        "version {} of '{}', digest {:016x}, issued at {} ms, active from {} ms\n",
         version.number,
         version.issuer.escape_default(),
         version.digest,
@@ -32,37 +34,38 @@
         issue.from_ms
     );
     for field in base.fields() {
-        let [is, was, least] =
+        let [value, platform, floor] =
             [&version.rules, base, &version.floor].map(|set| RuleSet::to_json(field, set.get(field)));
-        let _ = write!(text, "{}: {is}", field.path(types));
-        if is != was {
-            let _ = write!(text, ", platform {was}");
+        let _ = write!(text, "{}: {value}", field.path(types));
+        if value != platform {
+            let _ = write!(text, ", platform {platform}");
         }
-        if least != is {
-            let _ = write!(text, ", floor {least}");
+        if floor != value {
+            let _ = write!(text, ", floor {floor}");
         }
         text.push('\n');
     }
     Ok(text)
 }
 
-/// What changes from one version to another, field by field, and from when.
+/// Reports the rules that change from one version to another, and from when. Without `from` it compares with the
+/// platform's settings.
 pub fn diff(
-    agreeing: &AgreementConfig,
+    agreement: &AgreementConfig,
     from: Option<&IssuedVersion>,
     to: &IssuedVersion,
 ) -> Result<String, String> {
-    let first = zero(agreeing);
+    let first = platform_version(agreement);
     let read = |issue: &IssuedVersion| {
-        Version::from_issued(issue, &first, &agreeing.context).map_err(|why| why.to_string())
+        Version::from_issued(issue, &first, &agreement.context).map_err(|why| why.to_string())
     };
     let before = from.map_or_else(|| Ok(first.clone()), read)?;
     let after = read(to)?;
     let mut text = format!("from version {} to version {}\n", before.number, after.number);
-    let changes = differences(&before.rules, &after.rules, &agreeing.context.content_types);
+    let changes = differences(&before.rules, &after.rules, &agreement.context.content_types);
     for change in &changes {
         let when = match change.stricter {
-            true => "once it is heard".to_string(),
+            true => "on receipt".to_string(),
             false => format!("from {} ms", to.from_ms),
         };
         let _ = writeln!(text, "{change}, {when}");
@@ -70,27 +73,27 @@
     if changes.is_empty() {
         text.push_str("no rule changes\n");
     }
-    for change in differences(&before.floor, &after.floor, &agreeing.context.content_types) {
+    for change in differences(&before.floor, &after.floor, &agreement.context.content_types) {
         let _ = writeln!(text, "floor, {change}");
     }
     Ok(text)
 }
 
-/// Whether each of a row of versions would be taken after those before it, and what is to be done where not. The first
-/// line tells the stated time.
-pub fn check(agreeing: &AgreementConfig, issues: &[IssuedVersion]) -> Result<String, String> {
-    let terms = agreeing.context.timing;
+/// Reports whether each version of a sequence would be accepted after those before it, and how to mend the first that
+/// would not. The first line states the contradiction bound.
+pub fn check(agreement: &AgreementConfig, issues: &[IssuedVersion]) -> Result<String, String> {
+    let terms = agreement.context.timing;
     let mut text = format!(
-        "no two act on rules that contradict each other for longer than {} s: lease {} s, clocks {} s, ways {} s\n",
+        "no two dispatchers act on contradicting rules for longer than {} s: lease {} s, clock error {} s, propagation {} s\n",
         terms.contradiction_bound().secs(),
         terms.lease.secs(),
         terms.clock_error.secs(),
         terms.propagation_bound.secs()
     );
-    let mut last = zero(agreeing);
+    let mut last = platform_version(agreement);
     for issue in issues {
-        let judged = Version::from_issued(issue, &last, &agreeing.context)
-            .and_then(|version| version.check_successor(issue, &last, &agreeing.context).map(|()| version));
+        let judged = Version::from_issued(issue, &last, &agreement.context)
+            .and_then(|version| version.check_successor(issue, &last, &agreement.context).map(|()| version));
         let judged = match judged {
             Ok(version) if version.number <= last.number => {
                 Err(Refusal::Older { is: version.number, holds: last.number })
@@ -99,8 +102,11 @@
         };
         match judged {
             Ok(version) => {
-                let gap =
-                    if version.number > last.number + 1 { ", after versions that are not given" } else { "" };
+                let gap = if version.number > last.number + 1 {
+                    ", after versions that were not given"
+                } else {
+                    ""
+                };
                 let _ =
                     writeln!(text, "version {}: good, digest {:016x}{gap}", version.number, version.digest);
                 last = version;
@@ -117,7 +123,7 @@
     Ok(text)
 }
 
-/// What is to be done instead.
+/// How to mend a refused version, if there is a way.
 fn remedy(why: &Refusal, issue: &IssuedVersion, last: &Version) -> Option<String> {
     Some(match why {
         Refusal::NoticeTooShort { min_notice_ms, .. } => {
--- a/crates/dispatcher/tests/dispatcher/last_list.rs
+++ b/crates/dispatcher/tests/dispatcher/last_list.rs
@@ -96,12 +96,12 @@
     });
     expect![[r#"
         as it is: event 9, 5000 ms old
-        no newer than the configuration: of event 9, older than the configuration's, of event 9
-        another's: another dispatcher's or deployment's
-        old: 3600 s old; expected 3600 at most
+        no newer than the configuration: of event 9, not newer than the configuration, of event 9
+        another's: belongs to another dispatcher or deployment
+        old: 3600 s old; expected at most 3600 s
         a clock that is a little behind: event 9, 0 ms old
         from the future: from the future, 60000 ms ahead of the clock
-        another form: no list of this form; expected 'copperroute-list 1'
+        another form: unknown format; expected 'copperroute-list 1'
         nothing: torn: no first line
     "#]]
     .assert_eq(&said.concat());
--- a/crates/dispatcher/tests/dispatcher/last_list_clocks.rs
+++ b/crates/dispatcher/tests/dispatcher/last_list_clocks.rs
@@ -101,13 +101,13 @@
         answers true, [0, 0] h: taken, 3750 ms old, event 2; copies of 1000 ms at the most, of others any
         answers true, [1, 0] h: taken, 2750 ms old, event 2; copies of 1000 ms at the most, of others any
         answers true, [-1, 0] h: taken, 3750 ms old, event 2; copies of 1000 ms at the most, of others any
-        answers true, [0, 1] h: 3603 s old; expected 600 at most
+        answers true, [0, 1] h: 3603 s old; expected at most 600 s
         answers true, [0, -1] h: from the future, 3596250 ms ahead of the clock
-        answers true, [1, 1] h: 3602 s old; expected 600 at most
+        answers true, [1, 1] h: 3602 s old; expected at most 600 s
         answers false, [0, 0] h: taken, 3750 ms old, event 2; copies of 1000 ms at the most, of others any
         answers false, [1, 0] h: from the future, 3596250 ms ahead of the clock
         answers false, [-1, 0] h: taken, 3750 ms old, event 2; copies of 1000 ms at the most, of others any
-        answers false, [0, 1] h: 3603 s old; expected 600 at most
+        answers false, [0, 1] h: 3603 s old; expected at most 600 s
         answers false, [0, -1] h: from the future, 3596250 ms ahead of the clock
         answers false, [1, 1] h: taken, 3750 ms old, event 2; copies of 1000 ms at the most, of others any
     "#]]
--- a/crates/dispatcher/tests/dispatcher/rules_text.rs
+++ b/crates/dispatcher/tests/dispatcher/rules_text.rs
@@ -29,7 +29,7 @@
     let said =
         [show(&agreeing, &first), diff(&agreeing, None, &first), diff(&agreeing, Some(&first), &second)];
     expect![[r#"
-        version 1 of 'ops', digest 337c5a666c14f98d, issued at 1000000 ms, acts from 1004000 ms
+        version 1 of 'ops', digest 337c5a666c14f98d, issued at 1000000 ms, active from 1004000 ms
         max_pulls: 3, platform 6, floor 2
         cold_share: 0.2, floor 0.1
         cold_s: 15.0
@@ -49,11 +49,11 @@
         types.post.fresh_for_s: null
 
         from version 0 to version 1
-        max_pulls: 6 to 3, stricter, once it is heard
-        types.image.expiry_s: 5.0 to 1.0, stricter, once it is heard
+        max_pulls: 6 to 3, stricter, on receipt
+        types.image.expiry_s: 5.0 to 1.0, stricter, on receipt
 
         from version 1 to version 2
-        max_pulls: 3 to 2, stricter, once it is heard
+        max_pulls: 3 to 2, stricter, on receipt
         types.image.expiry_s: 1.0 to 5.0, looser, from 2004000 ms
     "#]]
     .assert_eq(&said.map(|said| said.unwrap_or_else(|why| why)).join("\n"));
@@ -73,31 +73,31 @@
     ];
     let said = said.map(|said| said.unwrap_or_else(|why| format!("refused: {why}\n")));
     expect![[r#"
-        no two act on rules that contradict each other for longer than 3.75 s: lease 3 s, clocks 0.25 s, ways 0.5 s
+        no two dispatchers act on contradicting rules for longer than 3.75 s: lease 3 s, clock error 0.25 s, propagation 0.5 s
         version 1: good, digest 756652ea1d3e641b
         version 2: good, digest 11e45330f81a4d47
 
-        refused: no two act on rules that contradict each other for longer than 3.75 s: lease 3 s, clocks 0.25 s, ways 0.5 s
+        refused: no two dispatchers act on contradicting rules for longer than 3.75 s: lease 3 s, clock error 0.25 s, propagation 0.5 s
         version 1: good, digest 756652ea1d3e641b
         version 2: from_ms: 3000 ms after issued_ms; expected 3750 at least
         to do: from_ms 2003750 or later
 
-        refused: no two act on rules that contradict each other for longer than 3.75 s: lease 3 s, clocks 0.25 s, ways 0.5 s
+        refused: no two dispatchers act on contradicting rules for longer than 3.75 s: lease 3 s, clock error 0.25 s, propagation 0.5 s
         version 1: good, digest 756652ea1d3e641b
         version 2: version 2 follows '', held is '756652ea1d3e641b'
         to do: after '756652ea1d3e641b'
 
-        refused: no two act on rules that contradict each other for longer than 3.75 s: lease 3 s, clocks 0.25 s, ways 0.5 s
+        refused: no two dispatchers act on contradicting rules for longer than 3.75 s: lease 3 s, clock error 0.25 s, propagation 0.5 s
         version 1: good, digest 756652ea1d3e641b
         version 2: max_pulls: stricter than the floor allows
         to do: not in one step; a floor that allows for it in the operators' file and a restart of all, then this version
 
-        refused: no two act on rules that contradict each other for longer than 3.75 s: lease 3 s, clocks 0.25 s, ways 0.5 s
+        refused: no two dispatchers act on contradicting rules for longer than 3.75 s: lease 3 s, clock error 0.25 s, propagation 0.5 s
         version 1: good, digest 756652ea1d3e641b
         version 1: from_ms: 1004000; expected more than 1004000, of the version before it
         to do: from_ms 1004001 or later
 
-        refused: no two act on rules that contradict each other for longer than 3.75 s: lease 3 s, clocks 0.25 s, ways 0.5 s
+        refused: no two dispatchers act on contradicting rules for longer than 3.75 s: lease 3 s, clock error 0.25 s, propagation 0.5 s
         version 1: max_pulls: looser than the platform's settings
         to do: the platform's settings and a restart of all, then this version
     "#]].assert_eq(&said.join("\n"));
