--- a/crates/dispatcher/src/external_time.rs
+++ b/crates/dispatcher/src/external_time.rs
@@ -16,7 +16,7 @@
 use copperroute_routing::interface::Nanos;
 
 /// The wall clock agrees with the received times if it is ahead of all of them by at most this. A received time is
-/// already some milliseconds old, and events and answers arrive more than once a second.
+/// already a little old when it arrives, and events and answers arrive more than once a second.
 pub const MAX_CLOCK_LEAD: Nanos = Nanos(1_000_000_000);
 /// Received times are kept for one to two times this long. Monotonic clocks drift by less than a second in that time,
 /// and a false time is forgotten.
