--- a/crates/config-rollout/benches/switch.rs
+++ b/crates/config-rollout/benches/switch.rs
@@ -1,4 +1,4 @@
-//! What a switch of rules takes: `cargo bench -p copperroute-agreement`.
+//! The time that a change of the rules takes: `cargo bench -p copperroute-config-rollout`.
 
 use copperroute_config_rollout::agreement::Agreement;
 use copperroute_config_rollout::faults::Faults;
@@ -16,10 +16,10 @@
     divan::main();
 }
 
-/// Nobody listens.
-struct Nobody;
+/// Actions that do nothing.
+struct NoActions;
 
-impl Actions for Nobody {
+impl Actions for NoActions {
     fn attempt(&mut self, _: RequestId, _: &Attempt) {}
     fn cancel(&mut self, _: RequestId, _: u32) {}
     fn reject(&mut self, _: RequestId, _: Option<Nanos>) {}
@@ -75,8 +75,8 @@
     }
 }
 
-/// A dispatcher in touch that has heard of a version, a moment before it acts.
-fn waits() -> Agreement {
+/// A dispatcher in touch that has received a version whose activation time has not come.
+fn with_pending_version() -> Agreement {
     let platform_rules = RuleSet::from_settings(&settings(), &[Nanos(5 * S); TYPES]);
     let content_types = (0..TYPES).map(|at| format!("type-{at}")).collect();
     let timing =
@@ -96,24 +96,24 @@
 }
 
 #[divan::bench]
-fn a_look_that_finds_nothing_new(bencher: Bencher) {
-    let mut core = waits();
+fn update_without_a_change(bencher: Bencher) {
+    let mut core = with_pending_version();
     bencher.bench_local(|| black_box(core.update(Nanos(2 * S), 2_000)));
 }
 
 #[divan::bench]
-fn a_version_begins_to_act(bencher: Bencher) {
+fn activate_a_version(bencher: Bencher) {
     let base = settings();
-    bencher.with_inputs(waits).bench_local_values(|mut core| {
+    bencher.with_inputs(with_pending_version).bench_local_values(|mut core| {
         core.update(Nanos(5 * S), 5_000);
         core.effective_rules().apply(&base, &[Nanos(5 * S); TYPES])
     });
 }
 
-/// The decisions take other rules with so many requests in hand.
+/// Changes the settings of the routing decisions while `open_requests` requests are open.
 #[divan::bench(args = [0, 100, 1_000, 10_000])]
-fn the_decisions_take_it(bencher: Bencher, in_hand: u32) {
-    let mut module = Dispatcher::new(settings());
+fn change_settings(bencher: Bencher, open_requests: u32) {
+    let mut dispatcher = Dispatcher::new(settings());
     let entry = |id: u32, kind: u32| NodeEntry {
         node: NodeId(id),
         hash: mix(u64::from(id)),
@@ -124,8 +124,12 @@
         weight: 1e6,
         started: Nanos::ZERO,
     };
-    module.node_list_replaced(Nanos(S), &[entry(0, 0), entry(1, 0), entry(2, 1), entry(3, 2)], &mut Nobody);
-    for request_id in 0..in_hand {
+    dispatcher.node_list_replaced(
+        Nanos(S),
+        &[entry(0, 0), entry(1, 0), entry(2, 1), entry(3, 2)],
+        &mut NoActions,
+    );
+    for request_id in 0..open_requests {
         let hash = mix(u64::from(request_id));
         let routing_request = RoutingRequest {
             request_id: RequestId(request_id),
@@ -140,8 +144,8 @@
             client: 0,
             body_hash: 0,
         };
-        module.request_arrived(Nanos(S), &routing_request, &mut Nobody);
+        dispatcher.request_arrived(Nanos(S), &routing_request, &mut NoActions);
     }
-    let tight = Settings { max_attempts: 2, ..settings() };
-    bencher.bench_local(|| module.settings_changed(black_box(&tight)));
+    let tightened = Settings { max_attempts: 2, ..settings() };
+    bencher.bench_local(|| dispatcher.settings_changed(black_box(&tightened)));
 }
--- a/crates/config-rollout/src/faults.rs
+++ b/crates/config-rollout/src/faults.rs
@@ -1,31 +1,31 @@
-//! Deliberate faults: switches that break the agreement, so that checkers can be shown to catch them. There are none
-//! without the feature `faults`.
+//! Deliberate faults that break the agreement, so that tests can show that the checks catch them. Without the feature
+//! `faults` none can be switched on.
 
-/// What is done wrongly.
+/// A deliberate fault: the rule that is broken.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Fault {
-    /// A lapsed lease is not looked at.
+    /// The expiry of the lease is ignored.
     SkipLease,
-    /// An older version is taken.
+    /// An older version is accepted.
     GoBack,
-    /// A version acts from when it is heard.
+    /// A version is active as soon as it is received.
     EarlyMoment,
-    /// What comes out of a queue renews the lease.
+    /// Heartbeats that may have waited in a queue renew the lease.
     TrustQueue,
-    /// Out of touch, the last version is acted on.
+    /// Out of touch, the last version applies instead of the floor.
     IgnoreFloor,
-    /// A moment that is too near is taken.
+    /// A version with too short a notice is accepted.
     SkipNotice,
-    /// A version that loosens or tightens further than the one before allowed is taken.
+    /// A version that is looser than the platform's settings or stricter than the floor is accepted.
     SkipBand,
-    /// A second content under one version is taken.
+    /// A second content under the same version number is accepted.
     TakeSecond,
-    /// A lease is renewed by lines that tell of events not yet heard.
+    /// Heartbeats that announce events not yet received renew the lease.
     RenewBehind,
 }
 
 impl Fault {
-    /// All of them, by name.
+    /// All faults with the names that the environment variable `COPPERROUTE_FAULT` takes.
     pub const NAMED: [(&'static str, Fault); 9] = [
         ("skip-lease", Fault::SkipLease),
         ("go-back", Fault::GoBack),
@@ -44,7 +44,7 @@
     }
 }
 
-/// The fault that a core has, if any.
+/// The fault that is switched on, if any.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 pub struct Faults {
     #[cfg(feature = "faults")]
@@ -52,13 +52,13 @@
 }
 
 impl Faults {
-    /// This one.
+    /// Switches one fault on.
     #[cfg(feature = "faults")]
     pub fn of(one: Fault) -> Faults {
         Faults { one: Some(one) }
     }
 
-    /// Whether it is this one.
+    /// Whether this fault is switched on.
     pub(crate) fn is(self, fault: Fault) -> bool {
         #[cfg(feature = "faults")]
         return self.one == Some(fault);
--- a/crates/config-rollout/src/lease.rs
+++ b/crates/config-rollout/src/lease.rs
@@ -1,69 +1,75 @@
-//! How long a dispatcher may believe to be up to date: on its own monotonic clock, asked at each decision. A process
-//! that was stopped finds its lease lapsed before it reads what has come meanwhile.
+//! The lease: how long a dispatcher may assume that it has received all events of the change log.
+//!
+//! Inputs: heartbeats and requests with the time on the dispatcher's monotonic clock. Output: the remaining time, which
+//! is checked at each decision, so that a process that was stopped finds its lease expired before it reads what arrived
+//! in the meantime.
 
 use crate::faults::{Fault, Faults};
 use crate::timing::TimingBounds;
 use copperroute_routing::change_log::Heartbeats;
 use copperroute_routing::interface::Nanos;
 
-/// A lease on being up to date.
+/// A lease that each heartbeat renews if it was on time and all events up to it were received.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Lease {
-    length: Nanos,
-    slack: Nanos,
+    duration: Nanos,
+    propagation_bound: Nanos,
     faults: Faults,
-    /// The service's lines: those out of a queue tell what may be as old as the silence before them.
+    /// Tells heartbeats that are on time from those that may have waited in a queue, whose content may be as old as the
+    /// silence before them.
     heartbeats: Heartbeats,
-    /// Until when it holds; zero for never.
-    until: Nanos,
+    /// When the lease expires; zero if there is none.
+    expires_at: Nanos,
 }
 
 impl Lease {
-    /// None yet.
-    pub fn new(terms: TimingBounds, faults: Faults) -> Self {
-        let (heartbeats, until) = Default::default();
-        Lease { length: terms.lease, slack: terms.propagation_bound, faults, heartbeats, until }
+    /// No lease yet.
+    pub fn new(timing: TimingBounds, faults: Faults) -> Self {
+        let (heartbeats, expires_at) = Default::default();
+        let TimingBounds { lease: duration, propagation_bound, .. } = timing;
+        Lease { duration, propagation_bound, faults, heartbeats, expires_at }
     }
 
-    /// The service is asked anew: what it answers is as it stands then or later.
-    pub fn asked(&mut self, now: Nanos) {
+    /// A request was sent to the change log: the answer is no older than the request.
+    pub fn request_sent(&mut self, now: Nanos) {
         self.heartbeats.request_sent(now);
     }
 
-    /// A whole line has come; `caught_up` tells that all that it knows of has been heard. After a silence that is too
-    /// long for a line a second, what follows at once may have waited on its way for as long.
-    pub fn line(&mut self, now: Nanos, caught_up: bool) {
+    /// A heartbeat was received; `caught_up` if all events up to its number were received too. After a silence that is
+    /// too long for one heartbeat a second, the lines that follow at once may have been delayed by as much and renew
+    /// nothing.
+    pub fn heartbeat_received(&mut self, now: Nanos, caught_up: bool) {
         if self.faults.is(Fault::TrustQueue) {
             self.heartbeats.request_sent(now);
         }
-        let in_time = self.heartbeats.received(now, self.slack);
-        if (caught_up || self.faults.is(Fault::RenewBehind)) && in_time {
-            self.until = now.after(self.length);
+        let is_on_time = self.heartbeats.received(now, self.propagation_bound);
+        if (caught_up || self.faults.is(Fault::RenewBehind)) && is_on_time {
+            self.expires_at = now.after(self.duration);
         }
     }
 
-    /// Whether lines come as they should: nothing that comes now has waited on its way for longer than `latest`.
+    /// Whether heartbeats are on time, so that nothing received now was delayed by more than [`Lease::max_delay`].
     pub fn is_live(&self, now: Nanos) -> bool {
-        self.until > now
+        self.expires_at > now
             && !self.heartbeats.may_have_been_delayed(now)
-            && self.heartbeats.are_on_time(now, self.slack)
+            && self.heartbeats.are_on_time(now, self.propagation_bound)
     }
 
-    /// The longest that something may have waited on its way while lines come as they should.
-    pub fn latest(&self) -> Nanos {
-        Heartbeats::max_interval(self.slack).after(self.slack)
+    /// The longest delay of an event while heartbeats are on time.
+    pub fn max_delay(&self) -> Nanos {
+        Heartbeats::max_interval(self.propagation_bound).after(self.propagation_bound)
     }
 
-    /// What was lost may have held anything: it holds no more.
-    pub fn end(&mut self) {
-        self.until = Nanos::ZERO;
+    /// Ends the lease at once, because events were missed that may hold new versions.
+    pub fn revoke(&mut self) {
+        self.expires_at = Nanos::ZERO;
     }
 
-    /// What is left of it.
-    pub fn left(&self, now: Nanos) -> Nanos {
-        match self.faults.is(Fault::SkipLease) && self.until > Nanos::ZERO {
-            true => self.length,
-            false => self.until.since(now),
+    /// The time until the lease expires; zero if it has.
+    pub fn remaining(&self, now: Nanos) -> Nanos {
+        match self.faults.is(Fault::SkipLease) && self.expires_at > Nanos::ZERO {
+            true => self.duration,
+            false => self.expires_at.since(now),
         }
     }
 }
--- a/crates/config-rollout/src/lib.rs
+++ b/crates/config-rollout/src/lib.rs
@@ -1,9 +1,10 @@
-//! Rules with versions on which dispatchers agree: no two act on rules that contradict each other for longer than a
-//! stated time, though none hears another. See docs/agreement.md.
+//! Rolls out versions of the rules to dispatchers that do not communicate with each other: no two dispatchers apply
+//! contradicting rules for longer than a stated time. See docs/agreement.md.
 //!
-//! No input or output here: times come with each call. [`rules`] says what a rule is and which of two values is the
-//! stricter, [`version`] what a version says and when it will do, [`lease`] how long one may believe to be up to date,
-//! [`agreement`] on which rules a dispatcher acts.
+//! The crate does no input or output and reads no clock: the caller passes the time with each call. [`rules`] defines
+//! the rules and which of two values is the stricter, [`version`] what a version contains and when it is valid,
+//! [`timing`] the stated bounds on clocks and delays, [`lease`] how long a dispatcher may assume that it is up to date,
+//! [`agreement`] which rules a dispatcher applies, and [`list_versions`] which node lists are accepted.
 
 pub mod agreement;
 pub mod faults;
--- a/crates/config-rollout/src/list_versions.rs
+++ b/crates/config-rollout/src/list_versions.rs
@@ -1,21 +1,25 @@
-//! The versions of the list of nodes: a list that is older than one that was taken would undo its drains.
+//! Accepts node lists in the order of their versions. An older list than the last accepted one is refused, because it
+//! would undo that one's drains.
+//!
+//! Input: the version and the content of each node list received. Output: whether the list is new, or why it is
+//! refused.
 
 use copperroute_routing::interface::stable_hash;
 use std::fmt;
 
-/// Why a list is not taken.
+/// Why a node list is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListRefusal {
-    /// A later one was taken.
+    /// A later version was accepted before.
     Older {
-        /// The version that came.
-        is: u64,
-        /// The version that is held.
-        holds: u64,
+        /// The version received.
+        received: u64,
+        /// The version accepted last.
+        held: u64,
     },
-    /// Another content was taken under this version.
-    TwoContents {
-        /// The version.
+    /// Another content was accepted under this version.
+    ConflictingContent {
+        /// The version that both contents bear.
         version: u64,
     },
 }
@@ -23,32 +27,34 @@
 impl fmt::Display for ListRefusal {
     fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            ListRefusal::Older { is, holds } => write!(to, "version {is} is older than {holds}"),
-            ListRefusal::TwoContents { version } => {
+            ListRefusal::Older { received, held } => {
+                write!(to, "version {received} is older than {held}")
+            }
+            ListRefusal::ConflictingContent { version } => {
                 write!(to, "version {version} has two contents, the first stands")
             }
         }
     }
 }
 
-/// The version that was last taken, and a print of its content.
+/// The last accepted version and the digest of its content.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ListVersions {
-    taken: Option<(u64, u64)>,
+    accepted: Option<(u64, u64)>,
 }
 
 impl ListVersions {
-    /// A list has come: whether it is new, or why it may not be taken. What was taken before, word for word, is known.
+    /// Accepts a node list: `Ok(true)` if it is new, `Ok(false)` if the same bytes were accepted last.
     pub fn list_received(&mut self, version: u64, content: &[u8]) -> Result<bool, ListRefusal> {
-        let print = stable_hash(content);
-        match self.taken {
-            Some((holds, _)) if version < holds => Err(ListRefusal::Older { is: version, holds }),
-            Some((holds, was)) if version == holds && print != was => {
-                Err(ListRefusal::TwoContents { version })
+        let digest = stable_hash(content);
+        match self.accepted {
+            Some((held, _)) if version < held => Err(ListRefusal::Older { received: version, held }),
+            Some((held, held_digest)) if version == held && digest != held_digest => {
+                Err(ListRefusal::ConflictingContent { version })
             }
-            Some((holds, _)) if version == holds => Ok(false),
+            Some((held, _)) if version == held => Ok(false),
             _ => {
-                self.taken = Some((version, print));
+                self.accepted = Some((version, digest));
                 Ok(true)
             }
         }
@@ -56,5 +62,5 @@
 }
 
 #[cfg(test)]
-#[path = "tests/lists.rs"]
+#[path = "tests/list_versions.rs"]
 mod tests;
--- a/crates/config-rollout/src/rules.rs
+++ b/crates/config-rollout/src/rules.rs
@@ -1,32 +1,38 @@
-//! What a rule is, and which of two values is the stricter: one table for the fleet, one by content type.
+//! The rules that versions set, and which of two values of a rule is the stricter: one table for rules of the whole
+//! fleet and one for rules of each content type.
 //!
-//! A dispatcher contradicts a set of rules if it does what one of its fields forbids. Being stricter contradicts
-//! nothing. Settings that no stand-in could see another dispatcher break are no rules (docs/agreement.md lists them):
-//! where clients and nodes are, memory, descriptors, connections, seeds, log levels, target times, benefits.
+//! [`RuleSet::from_settings`] reads the rules from the platform's settings, [`RuleSet::parse`] changes them as a
+//! document says, and [`RuleSet::apply`] writes them into settings. Durations are in seconds and shares are fractions.
+//!
+//! A dispatcher contradicts a set of rules if it does what one of the fields forbids; being stricter contradicts
+//! nothing. Settings whose violation by one dispatcher is not visible from outside are no rules (docs/agreement.md
+//! lists them): locations of clients and nodes, memory, descriptors, connections, seeds, log levels, latency targets,
+//! benefits.
 
 use copperroute_routing::interface::{Nanos, Readiness, RetrySafety, Settings};
 use serde_json::{Map, Value, json};
 use std::fmt;
 
-/// Which of two values allows less.
+/// Whether the lower or the higher of two values allows less.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Stricter {
+enum StricterValue {
     Lower,
     Higher,
 }
 
-/// A rule of the fleet.
-struct Row {
+/// A rule of the whole fleet.
+struct FleetRule {
     name: &'static str,
-    stricter: Stricter,
+    stricter: StricterValue,
     get: fn(&Settings) -> f64,
     set: fn(&mut Settings, f64),
-    form: Form,
+    form: ValueForm,
 }
 
-/// How a value is written.
+/// How a value is written in JSON. In memory every value is an `f64`; a flag is 0 or 1, a repeat is an index into
+/// [`REPEAT_NAMES`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Form {
+enum ValueForm {
     Whole,
     Number,
     Flag,
@@ -35,12 +41,12 @@
 
 macro_rules! rows {
     ($($name:literal $stricter:ident $form:ident $field:ident$(.$inner:ident)? $kind:ident;)*) => {
-        [$(Row {
+        [$(FleetRule {
             name: $name,
-            stricter: Stricter::$stricter,
+            stricter: StricterValue::$stricter,
             get: |s| rows!(@get $kind, s.$field$(.$inner)?),
             set: |s, value| s.$field$(.$inner)? = rows!(@set $kind, value),
-            form: Form::$form,
+            form: ValueForm::$form,
         }),*]
     };
     (@get span, $value:expr) => { $value.secs() };
@@ -53,8 +59,9 @@
     (@set flag, $value:expr) => { $value > 0.5 };
 }
 
-/// The rules of the fleet: name, which value is the stricter, its form, and where it is kept.
-const FLEET: [Row; 11] = rows! {
+/// The rules of the whole fleet: name, which value is the stricter, the form, the field of [`Settings`], and the
+/// conversion to `f64`.
+const FLEET_RULES: [FleetRule; 11] = rows! {
     "max_pulls" Lower Whole max_attempts count;
     "cold_share" Lower Number cache_cold.share number;
     "cold_s" Higher Number cache_cold.warm_after span;
@@ -68,56 +75,57 @@
     "purge_notice_s" Higher Number purge_notice span;
 };
 
-/// The rules of a content type: name and form. The lower value is the stricter of each.
-const BY_TYPE: [(&str, Form); 3] =
-    [("repeat", Form::Repeat), ("expiry_s", Form::Number), ("fresh_for_s", Form::Number)];
+/// The rules of a content type: name and form. For each of them the lower value is the stricter.
+const CONTENT_TYPE_RULES: [(&str, ValueForm); 3] =
+    [("repeat", ValueForm::Repeat), ("expiry_s", ValueForm::Number), ("fresh_for_s", ValueForm::Number)];
+// Indices into `CONTENT_TYPE_RULES`.
 const REPEAT: usize = 0;
 const EXPIRY: usize = 1;
 const FRESH: usize = 2;
 
-/// Repeats, from the strictest.
-const REPEATS: [&str; 3] = ["non-retriable", "deduped", "retriable"];
+/// Whether a request may be repeated, from the strictest value on.
+const REPEAT_NAMES: [&str; 3] = ["non-retriable", "deduped", "retriable"];
 
 /// A field of the rules.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Field {
-    /// Of the fleet, by its place in the table.
+    /// A rule of the whole fleet: its index in the table.
     Fleet(usize),
-    /// Of a content type.
-    Of(usize, usize),
+    /// A rule of a content type: the index of the type, and the index of the rule in the table.
+    ContentType(usize, usize),
 }
 
 impl Field {
-    /// Its path, with the names of the content types.
+    /// The field's path as documents write it; `types` holds the names of the content types.
     pub fn path(self, types: &[String]) -> String {
         match self {
-            Field::Fleet(at) => FLEET[at].name.to_string(),
-            Field::Of(of, at) => {
-                format!("types.{}.{}", types.get(of).map_or("?", String::as_str), BY_TYPE[at].0)
+            Field::Fleet(at) => FLEET_RULES[at].name.to_string(),
+            Field::ContentType(of, at) => {
+                format!("types.{}.{}", types.get(of).map_or("?", String::as_str), CONTENT_TYPE_RULES[at].0)
             }
         }
     }
 
-    fn stricter(self) -> Stricter {
+    fn stricter(self) -> StricterValue {
         match self {
-            Field::Fleet(at) => FLEET[at].stricter,
-            Field::Of(..) => Stricter::Lower,
+            Field::Fleet(at) => FLEET_RULES[at].stricter,
+            Field::ContentType(..) => StricterValue::Lower,
         }
     }
 
-    fn form(self) -> Form {
+    fn form(self) -> ValueForm {
         match self {
-            Field::Fleet(at) => FLEET[at].form,
-            Field::Of(_, at) => BY_TYPE[at].1,
+            Field::Fleet(at) => FLEET_RULES[at].form,
+            Field::ContentType(_, at) => CONTENT_TYPE_RULES[at].1,
         }
     }
 }
 
-/// A value of every field; none is NaN.
+/// A value for every field; none is NaN.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RuleSet {
-    fleet: [f64; FLEET.len()],
-    types: Vec<[f64; BY_TYPE.len()]>,
+    fleet: [f64; FLEET_RULES.len()],
+    types: Vec<[f64; CONTENT_TYPE_RULES.len()]>,
 }
 
 impl Eq for RuleSet {}
@@ -129,32 +137,33 @@
 }
 
 impl RuleSet {
-    /// What the platform's settings say, with the expiries of the content types.
+    /// The rules of the platform's settings; `expiries` holds the request expiry of each content type.
     pub fn from_settings(s: &Settings, expiries: &[Nanos]) -> RuleSet {
-        let of = |(told, expiry): (&copperroute_routing::interface::ContentType, &Nanos)| {
-            let repeat = match told.retry_safety {
+        let rules_of = |(content_type, expiry): (&copperroute_routing::interface::ContentType, &Nanos)| {
+            let repeat = match content_type.retry_safety {
                 RetrySafety::NonRetriable => 0.0,
                 RetrySafety::Deduped { .. } => 1.0,
                 RetrySafety::Retriable => 2.0,
             };
-            [repeat, expiry.secs(), told.fresh_for.map_or(f64::INFINITY, Nanos::secs)]
+            [repeat, expiry.secs(), content_type.fresh_for.map_or(f64::INFINITY, Nanos::secs)]
         };
         RuleSet {
-            fleet: std::array::from_fn(|at| (FLEET[at].get)(s)),
-            types: s.content_types.iter().zip(expiries).map(of).collect(),
+            fleet: std::array::from_fn(|at| (FLEET_RULES[at].get)(s)),
+            types: s.content_types.iter().zip(expiries).map(rules_of).collect(),
         }
     }
 
-    /// The settings and expiries under these rules, which are no looser than those of the settings.
+    /// The settings and expiries with these rules applied. The rules must be no looser than those of `base`.
     pub fn apply(&self, base: &Settings, expiries: &[Nanos]) -> (Settings, Vec<Nanos>) {
         let (mut s, mut expiries) = (base.clone(), expiries.to_vec());
-        FLEET.iter().zip(self.fleet).for_each(|(row, value)| (row.set)(&mut s, value));
-        for ((told, expiry), of) in s.content_types.iter_mut().zip(&mut expiries).zip(&self.types) {
-            if of[REPEAT] == 0.0 {
-                told.retry_safety = RetrySafety::NonRetriable;
+        FLEET_RULES.iter().zip(self.fleet).for_each(|(row, value)| (row.set)(&mut s, value));
+        for ((content_type, expiry), rules) in s.content_types.iter_mut().zip(&mut expiries).zip(&self.types)
+        {
+            if rules[REPEAT] == 0.0 {
+                content_type.retry_safety = RetrySafety::NonRetriable;
             }
-            *expiry = Nanos::from_secs(of[EXPIRY]).min(*expiry);
-            told.fresh_for = of[FRESH].is_finite().then(|| Nanos::from_secs(of[FRESH]));
+            *expiry = Nanos::from_secs(rules[EXPIRY]).min(*expiry);
+            content_type.fresh_for = rules[FRESH].is_finite().then(|| Nanos::from_secs(rules[FRESH]));
         }
         (s, expiries)
     }
@@ -162,44 +171,45 @@
     /// All fields, in the order of the tables.
     pub fn fields(&self) -> impl Iterator<Item = Field> + use<> {
         let types = self.types.len();
-        let of_types = (0..types).flat_map(|of| (0..BY_TYPE.len()).map(move |at| Field::Of(of, at)));
-        (0..FLEET.len()).map(Field::Fleet).chain(of_types)
+        let of_types =
+            (0..types).flat_map(|of| (0..CONTENT_TYPE_RULES.len()).map(move |at| Field::ContentType(of, at)));
+        (0..FLEET_RULES.len()).map(Field::Fleet).chain(of_types)
     }
 
     /// The value of a field.
     pub fn get(&self, field: Field) -> f64 {
         match field {
             Field::Fleet(at) => self.fleet[at],
-            Field::Of(of, at) => self.types[of][at],
+            Field::ContentType(of, at) => self.types[of][at],
         }
     }
 
     fn set(&mut self, field: Field, value: f64) {
         match field {
             Field::Fleet(at) => self.fleet[at] = value,
-            Field::Of(of, at) => self.types[of][at] = value,
+            Field::ContentType(of, at) => self.types[of][at] = value,
         }
     }
 
     /// Whether one value of a field allows more than another.
     pub fn is_looser(field: Field, value: f64, than: f64) -> bool {
         match field.stricter() {
-            Stricter::Lower => value > than,
-            Stricter::Higher => value < than,
+            StricterValue::Lower => value > than,
+            StricterValue::Higher => value < than,
         }
     }
 
-    /// The first field in which these allow what others forbid.
+    /// The first field in which these rules allow what `other` forbids.
     pub fn first_looser_field(&self, other: &RuleSet) -> Option<Field> {
         self.fields().find(|field| Self::is_looser(*field, self.get(*field), other.get(*field)))
     }
 
-    /// The first field in which two sets of rules contradict: one of them forbids what the other allows.
-    pub fn contradiction(&self, other: &RuleSet) -> Option<Field> {
+    /// The first field in which the two sets differ, so that one of them forbids what the other allows.
+    pub fn first_difference(&self, other: &RuleSet) -> Option<Field> {
         self.fields().find(|field| self.get(*field) != other.get(*field))
     }
 
-    /// In each field the stricter value of both.
+    /// The stricter value of both sets in each field.
     pub fn stricter(&self, other: &RuleSet) -> RuleSet {
         let mut both = self.clone();
         for field in self.fields() {
@@ -210,86 +220,87 @@
         both
     }
 
-    /// Reads the fields that a document names; the others are as in `base`.
+    /// Reads the fields that a document names; the other fields keep the value of `base`. `types` holds the names of
+    /// the content types, `path` the document's own path, with which errors begin.
     pub fn parse(
         base: &RuleSet,
         types: &[String],
         path: &str,
-        told: &Map<String, Value>,
+        document: &Map<String, Value>,
     ) -> Result<RuleSet, String> {
-        let mut read = base.clone();
-        for (name, value) in told {
+        let mut rules = base.clone();
+        for (name, value) in document {
             if name == "types" {
                 let by_type = value.as_object().ok_or_else(|| format!("{path}.types: expected an object"))?;
-                for (of, told) in by_type {
-                    let path = format!("{path}.types.{of}");
-                    let at = types.iter().position(|known| known == of);
+                for (content_type, fields) in by_type {
+                    let path = format!("{path}.types.{content_type}");
+                    let at = types.iter().position(|known| known == content_type);
                     let at = at.ok_or_else(|| {
-                        format!("{path}: no content type; expected one of {}", types.join(", "))
+                        format!("{path}: unknown content type; expected one of {}", types.join(", "))
                     })?;
-                    let told = told.as_object().ok_or_else(|| format!("{path}: expected an object"))?;
-                    for (name, value) in told {
-                        let known = BY_TYPE.iter().position(|row| row.0 == name);
-                        let field = known.map(|row| Field::Of(at, row));
-                        read.read_one(
+                    let fields = fields.as_object().ok_or_else(|| format!("{path}: expected an object"))?;
+                    for (name, value) in fields {
+                        let known = CONTENT_TYPE_RULES.iter().position(|row| row.0 == name);
+                        let field = known.map(|row| Field::ContentType(at, row));
+                        rules.parse_field(
                             field,
                             &format!("{path}.{name}"),
-                            BY_TYPE.map(|row| row.0).join(", "),
+                            CONTENT_TYPE_RULES.map(|row| row.0).join(", "),
                             value,
                         )?;
                     }
                 }
                 continue;
             }
-            let known = FLEET.iter().position(|row| row.name == name).map(Field::Fleet);
-            let names = FLEET.each_ref().map(|row| row.name).join(", ");
-            read.read_one(known, &format!("{path}.{name}"), format!("{names}, types"), value)?;
+            let known = FLEET_RULES.iter().position(|row| row.name == name).map(Field::Fleet);
+            let names = FLEET_RULES.each_ref().map(|row| row.name).join(", ");
+            rules.parse_field(known, &format!("{path}.{name}"), format!("{names}, types"), value)?;
         }
-        Ok(read)
+        Ok(rules)
     }
 
-    fn read_one(
+    fn parse_field(
         &mut self,
         field: Option<Field>,
         path: &str,
         known: String,
         value: &Value,
     ) -> Result<(), String> {
-        let field = field.ok_or_else(|| format!("{path}: no rule; expected one of {known}"))?;
+        let field = field.ok_or_else(|| format!("{path}: unknown rule; expected one of {known}"))?;
         let number = value.as_f64().filter(|number| *number >= 0.0);
         let read = match field.form() {
-            Form::Whole => number.filter(|number| number.fract() == 0.0 && *number >= 1.0),
-            Form::Number => number,
-            Form::Flag => value.as_bool().map(|flag| f64::from(u8::from(flag))),
-            Form::Repeat => value
+            ValueForm::Whole => number.filter(|number| number.fract() == 0.0 && *number >= 1.0),
+            ValueForm::Number => number,
+            ValueForm::Flag => value.as_bool().map(|flag| f64::from(u8::from(flag))),
+            ValueForm::Repeat => value
                 .as_str()
-                .and_then(|name| REPEATS.iter().position(|known| *known == name))
+                .and_then(|name| REPEAT_NAMES.iter().position(|known| *known == name))
                 .map(|at| at as f64),
         };
         let expected = match field.form() {
-            Form::Whole => "a whole number, 1 or more",
-            Form::Number => "a number, 0 or more",
-            Form::Flag => "true or false",
-            Form::Repeat => "non-retriable, deduped or retriable",
+            ValueForm::Whole => "a whole number, 1 or more",
+            ValueForm::Number => "a number, 0 or more",
+            ValueForm::Flag => "true or false",
+            ValueForm::Repeat => "non-retriable, deduped or retriable",
         };
         let read = read.ok_or_else(|| format!("{path}: {value}; expected {expected}"))?;
-        // Whether a repeat is known elsewhere is the platform's, not the operators'.
-        if field.form() == Form::Repeat && read != 0.0 && read != self.get(field) {
-            let is = REPEATS[self.get(field) as usize];
+        // Only the platform knows whether a type's requests may be repeated; a version may only forbid it.
+        if field.form() == ValueForm::Repeat && read != 0.0 && read != self.get(field) {
+            let is = REPEAT_NAMES[self.get(field) as usize];
             return Err(format!("{path}: {value}; the platform says {is}, expected that or non-retriable"));
         }
         self.set(field, read);
         Ok(())
     }
 
-    /// A value as documents write it.
+    /// A field's value as documents write it.
     pub fn to_json(field: Field, value: f64) -> Value {
         match field.form() {
-            Form::Whole => json!(value as u64),
-            Form::Number if value.is_infinite() => Value::Null,
-            Form::Number => json!(value),
-            Form::Flag => json!(value > 0.5),
-            Form::Repeat => json!(REPEATS[(value as usize).min(2)]),
+            ValueForm::Whole => json!(value as u64),
+            ValueForm::Number if value.is_infinite() => Value::Null,
+            ValueForm::Number => json!(value),
+            ValueForm::Flag => json!(value > 0.5),
+            ValueForm::Repeat => json!(REPEAT_NAMES[(value as usize).min(2)]),
         }
     }
 }
@@ -297,13 +308,13 @@
 /// A field in which two sets of rules differ.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Difference {
-    /// Which.
+    /// The field.
     pub field: Field,
     /// Its path.
     pub path: String,
-    /// Both values.
+    /// The values in the first and in the second set.
     pub values: [f64; 2],
-    /// The second allows less.
+    /// Whether the second set allows less.
     pub stricter: bool,
 }
 
@@ -317,16 +328,16 @@
 /// All fields in which two sets of rules differ.
 pub fn differences(from: &RuleSet, to: &RuleSet, types: &[String]) -> Vec<Difference> {
     let differ = from.fields().filter(|field| from.get(*field) != to.get(*field));
-    let told = |field: Field| Difference {
+    let difference = |field: Field| Difference {
         field,
         path: field.path(types),
         values: [from.get(field), to.get(field)],
         stricter: RuleSet::is_looser(field, from.get(field), to.get(field)),
     };
-    differ.map(told).collect()
+    differ.map(difference).collect()
 }
 
-/// Of two states of a node the one that allows less: what is gone takes nothing, what drains nothing new.
+/// The state that allows less: a node that is gone gets no requests, one that drains gets no new ones.
 pub fn stricter_state(a: Readiness, b: Readiness) -> Readiness {
     let strictness = |state: Readiness| match state {
         Readiness::Ready => 0,
--- a/crates/config-rollout/src/version.rs
+++ b/crates/config-rollout/src/version.rs
@@ -1,4 +1,7 @@
-//! A version of the rules as an issuer writes it, and whether it may follow another.
+//! A version of the rules as an issuer writes it, and the checks on whether it may follow another version.
+//!
+//! [`IssuedVersion`] is the JSON form, [`Version::from_issued`] reads it into a [`Version`], and
+//! [`Version::check_successor`] validates it against the version before it. Times are Unix milliseconds.
 
 use crate::faults::{Fault, Faults};
 use crate::rules::RuleSet;
@@ -8,129 +11,131 @@
 use serde_json::{Map, Value};
 use std::fmt;
 
-/// A version, as it stands in a file or in an event of the change log. What it does not name is as the platform says.
+/// A version as written in a file or in an event of the change log. Rules that it does not name have the value of the
+/// platform's settings.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct IssuedVersion {
-    /// Its number: one more than that of the version before it.
+    /// The version's number: one more than that of the version before it.
     pub version: u64,
-    /// The digest of that version; empty for the first.
+    /// The digest of the version before it, as 16 hexadecimal digits; empty for the first version.
     #[serde(default)]
     pub after: String,
     /// Who issued it.
     pub issuer: String,
     /// The Unix millisecond at which it was issued.
     pub issued_ms: u64,
-    /// The Unix millisecond from which it acts.
+    /// The activation time in Unix milliseconds.
     pub from_ms: u64,
-    /// What it says.
+    /// The rules.
     pub rules: Map<String, Value>,
-    /// The strictest that it, and any later version, may say; what it does not name stays as this version says.
-    /// Absent: as that of the version before it.
+    /// The strictest rules that this version and any later one may set; a rule that it does not name has the value that
+    /// this version sets. If absent, the floor of the version before it stays.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub floor: Option<Map<String, Value>>,
 }
 
 impl IssuedVersion {
-    /// Reads one; an error names the field.
+    /// Reads a version from JSON text; an error names the field.
     pub fn parse(text: &str) -> Result<IssuedVersion, String> {
         let read = &mut serde_json::Deserializer::from_str(text);
         serde_path_to_error::deserialize(read).map_err(|fault| fault.to_string())
     }
 
-    /// The same from a value that was read.
+    /// Reads a version from a JSON value; an error names the field.
     pub fn from_value(value: &Value) -> Result<IssuedVersion, String> {
         serde_path_to_error::deserialize(value).map_err(|fault| fault.to_string())
     }
 
-    /// Tells its content from any other.
+    /// A hash of the version's content.
     pub fn digest(&self) -> u64 {
-        // The names in it are in order, however they were written.
+        // `json!` sorts the names, so that the digest does not depend on the order in which they were written.
         stable_hash(serde_json::to_string(&serde_json::json!(self)).unwrap_or_default().as_bytes())
     }
 }
 
-/// What all versions are judged by.
+/// What versions are validated against.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct ValidationContext {
-    /// What the platform's settings say.
+    /// The rules of the platform's settings.
     pub platform_rules: RuleSet,
     /// The names of the content types.
     pub content_types: Vec<String>,
-    /// What is stated of clocks and ways.
+    /// The stated bounds on clocks and delays.
     pub timing: TimingBounds,
-    /// What is done wrongly on purpose.
+    /// The deliberate fault that is switched on, if any.
     pub faults: Faults,
 }
 
-/// A version as it was understood.
+/// A version with all of its rules.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Version {
-    /// Its number; 0 is what the platform's settings say.
+    /// The version's number; 0 is the platform's settings.
     pub number: u64,
-    /// Of its content.
+    /// The digest of its content.
     pub digest: u64,
-    /// The Unix millisecond from which it acts.
+    /// The activation time in Unix milliseconds.
     pub from_ms: u64,
     /// Who issued it.
     pub issuer: String,
-    /// What it says.
+    /// The rules.
     pub rules: RuleSet,
-    /// The strictest that it, and any later one, may say.
+    /// The strictest rules that this version and any later one may set.
     pub floor: RuleSet,
 }
 
-/// Why a version is not taken. The last good one stands.
+/// Why a version is refused. The versions accepted before stay in force.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Refusal {
-    /// It was heard before, and says the same.
+    /// It was received before with the same content.
     Duplicate,
-    /// A later one was heard.
+    /// A later version was received before.
     Older {
-        /// The number that came.
+        /// The number received.
         is: u64,
-        /// What is held.
+        /// The number of the last version held.
         holds: u64,
     },
-    /// Another content was heard under this number.
-    TwoContents {
+    /// Another content was received before under this number.
+    ConflictingContent {
         /// The number of the version.
         version: u64,
-        /// What is held.
-        holds: u64,
-        /// The number that came.
-        is: u64,
+        /// The digest of the content held.
+        held: u64,
+        /// The digest of the content received.
+        received: u64,
     },
-    /// It follows another content than the one that is held: of two issuers, or services, one was not heard here.
+    /// It follows another content than the one held here: there are two issuers or two change logs, and the versions of
+    /// one of them were not received.
     Forked {
         /// The number of the version.
         version: u64,
-        /// The content that it follows.
+        /// The digest of the version that it follows.
         after: String,
-        /// What is held.
+        /// The digest of the last version held.
         holds: String,
     },
-    /// It acts from a moment that not everybody can have heard of by then.
+    /// Its activation time is so close to its issue that a dispatcher in touch may not have received it by then.
     NoticeTooShort {
-        /// How far ahead it comes, in milliseconds.
+        /// The time from issue to activation, in milliseconds.
         notice_ms: u64,
-        /// How far ahead it has to come, in milliseconds.
+        /// The shortest allowed time from issue to activation, in milliseconds.
         min_notice_ms: u64,
     },
-    /// It acts no later than the version before it.
+    /// Its activation time is no later than that of the version before it.
     ActivationNotLater {
-        /// When it acts, as a Unix millisecond.
+        /// Its activation time in Unix milliseconds.
         from_ms: u64,
-        /// When the version before it acts, as a Unix millisecond.
+        /// The activation time of the version before it in Unix milliseconds.
         previous_from_ms: u64,
     },
-    /// A field can't be read.
+    /// A field can't be read. Holds the path, the value and what was expected.
     Unreadable(String),
-    /// A field is looser than the platform's settings.
+    /// A field is looser than the platform's settings. Holds the field's path.
     TooLoose(String),
-    /// A field is stricter than this version, or an earlier one, allowed for.
+    /// A field is stricter than the floor of this version or of the one before it. Holds the field's path.
     BelowFloor(String),
-    /// It allows for stricter rules than the version before it did.
+    /// A field's floor is stricter than in the version before it. Holds the field's path.
     FloorLowered(String),
 }
 
@@ -139,8 +144,11 @@
         match self {
             Refusal::Duplicate => write!(to, "known"),
             Refusal::Older { is, holds } => write!(to, "version {is} is older than {holds}"),
-            Refusal::TwoContents { version, holds, is } => {
-                write!(to, "version {version} has two contents: {holds:016x} stands, {is:016x} came")
+            Refusal::ConflictingContent { version, held, received } => {
+                write!(
+                    to,
+                    "version {version} has two contents: digest {held:016x} is held, {received:016x} was received"
+                )
             }
             Refusal::Forked { version, after, holds } => {
                 write!(to, "version {version} follows '{after}', held is '{holds}'")
@@ -162,18 +170,18 @@
     }
 }
 
-/// How the digest of a version is written in the one after it.
+/// The text of a version's digest, as in the field `after` of the next version: empty for version 0.
 pub fn format_digest(number: u64, digest: u64) -> String {
     if number == 0 { String::new() } else { format!("{digest:016x}") }
 }
 
 impl Version {
-    /// What the platform's settings say, with the strictest that any version may say.
+    /// Version 0: the platform's settings, with the strictest rules that any version may set.
     pub fn platform_default(rules: RuleSet, floor: RuleSet) -> Version {
         Version { number: 0, digest: 0, from_ms: 0, issuer: String::new(), rules, floor }
     }
 
-    /// An issue as a version that follows `last`.
+    /// Reads an issued version that follows `last`.
     pub fn from_issued(
         issue: &IssuedVersion,
         last: &Version,
@@ -196,7 +204,8 @@
         })
     }
 
-    /// Whether this may follow `last`, whatever else is known; nothing in it depends on when it is heard.
+    /// Checks whether this version may follow `last`. The result depends on the content of both versions only, not on
+    /// when they were received, so that all dispatchers come to the same result.
     pub fn check_successor(
         &self,
         issue: &IssuedVersion,
@@ -225,7 +234,7 @@
         if let Some(field) = self.rules.first_looser_field(platform_rules) {
             return Err(Refusal::TooLoose(field.path(content_types)));
         }
-        // The floor of the version before is the strictest that one who lost touch then acts on.
+        // A dispatcher that lost touch before this version applies the floor of the version before it.
         if let Some(field) =
             last.floor.first_looser_field(&self.rules).or(self.floor.first_looser_field(&self.rules))
         {
--- a/crates/config-rollout/tests/agreement/common.rs
+++ b/crates/config-rollout/tests/agreement/common.rs
@@ -1,4 +1,4 @@
-//! Rules of a small fleet, and versions of them.
+//! Rules of a small fleet and versions of them, for all tests.
 
 use copperroute_config_rollout::agreement::Agreement;
 use copperroute_config_rollout::faults::Faults;
@@ -8,17 +8,17 @@
 use copperroute_routing::interface::{ColdStart, ContentType, Nanos, RetrySafety, Settings, ZoneId};
 use serde_json::{Map, Value, json};
 
-/// So many milliseconds.
+/// A duration in milliseconds.
 pub(crate) fn ms(ms: u64) -> Nanos {
     Nanos(ms * 1_000_000)
 }
 
-/// The content types.
+/// The names of the content types.
 pub(crate) fn types() -> Vec<String> {
     ["image", "post"].map(str::to_string).to_vec()
 }
 
-/// What the platform says.
+/// The platform's settings.
 pub(crate) fn settings() -> Settings {
     let content_type = |retry_safety| ContentType {
         latency_target: ms(400),
@@ -62,35 +62,36 @@
     }
 }
 
-/// The same as rules.
+/// The rules of [`settings`], with an expiry of 5 s for `image` and of 3 s for `post`.
 pub(crate) fn base() -> RuleSet {
     RuleSet::from_settings(&settings(), &[ms(5_000), ms(3_000)])
 }
 
-/// An object of JSON.
+/// The JSON object in a value; empty if the value is none.
 pub(crate) fn object(value: Value) -> Map<String, Value> {
     value.as_object().cloned().unwrap_or_default()
 }
 
-/// Rules that say otherwise than the platform.
-pub(crate) fn saying(told: Value) -> RuleSet {
-    RuleSet::parse(&base(), &types(), "rules", &object(told)).expect("good rules")
+/// The platform's rules with the fields of `document` changed.
+pub(crate) fn rules_with(document: Value) -> RuleSet {
+    RuleSet::parse(&base(), &types(), "rules", &object(document)).expect("good rules")
 }
 
 /// Lease 3 s, clock error 0.25 s, slack 0.5 s.
-pub(crate) const TERMS: TimingBounds = TimingBounds {
+pub(crate) const TIMING: TimingBounds = TimingBounds {
     lease: Nanos(3_000_000_000),
     clock_error: Nanos(250_000_000),
     propagation_bound: Nanos(500_000_000),
 };
 
-/// A dispatcher of the small fleet; no version may say less than two attempts.
+/// A dispatcher of the small fleet. By the floor, no version may allow fewer than two attempts or a cold share below
+/// 0.1.
 pub(crate) fn dispatcher(timing: TimingBounds, faults: Faults) -> Agreement {
     let ground = ValidationContext { platform_rules: base(), content_types: types(), timing, faults };
-    Agreement::new(ground, &saying(json!({"max_pulls": 2, "cold_share": 0.1})))
+    Agreement::new(ground, &rules_with(json!({"max_pulls": 2, "cold_share": 0.1})))
 }
 
-/// A version.
+/// A version issued by `ops` without a floor.
 pub(crate) fn issue(version: u64, after: &str, issued_ms: u64, from_ms: u64, rules: Value) -> IssuedVersion {
     let (after, rules) = (after.to_string(), object(rules));
     IssuedVersion { version, after, issuer: "ops".into(), issued_ms, from_ms, rules, floor: None }
--- a/crates/config-rollout/tests/agreement/main.rs
+++ b/crates/config-rollout/tests/agreement/main.rs
@@ -1,5 +1,5 @@
-//! The agreement: what a rule is, what a version may say, on which rules a dispatcher acts, and every ordering in the
-//! small.
+//! Tests of the rules, of the checks on versions, of which rules a dispatcher applies, and a model checker's run
+//! through every ordering of a small system.
 
 mod common;
 mod core;
--- a/crates/config-rollout/tests/agreement/ordering_model.rs
+++ b/crates/config-rollout/tests/agreement/ordering_model.rs
@@ -1,4 +1,5 @@
-//! The model of every ordering in the small: the state of three dispatchers and a log, the steps, and the judge.
+//! The model of a small system for `every_ordering.rs`: the state of three dispatchers and a change log, the steps, and
+//! the judge.
 
 use crate::common::{dispatcher, issue, ms};
 use copperroute_config_rollout::agreement::Agreement;
@@ -10,93 +11,101 @@
 use stateright::{Model, Property};
 use std::sync::Arc;
 
-const TERMS: TimingBounds =
-    TimingBounds { lease: ms_of(2), clock_error: ms_of(1), propagation_bound: ms_of(1) };
+/// The name of the property that the judge finds no violation.
+pub(crate) const NO_VIOLATION: &str = "no violation";
+/// The name of the property that all three dispatchers come to have the third version in force.
+pub(crate) const THIRD_IN_FORCE: &str = "the third version is in force everywhere";
+
+const BOUNDS: TimingBounds =
+    TimingBounds { lease: seconds(2), clock_error: seconds(1), propagation_bound: seconds(1) };
+/// The seconds from issue to activation of a valid version: the least that the bounds allow.
 const NOTICE: u64 = 4;
-const PULLS: Field = Field::Fleet(0);
-const BASE: u64 = 6;
+const MAX_PULLS: Field = Field::Fleet(0);
+/// Attempts that the platform's settings allow.
+const PLATFORM: u64 = 6;
+/// Attempts that the floor allows.
 const FLOOR: u64 = 2;
 
-const fn ms_of(s: u64) -> copperroute_routing::interface::Nanos {
+const fn seconds(s: u64) -> copperroute_routing::interface::Nanos {
     copperroute_routing::interface::Nanos(s * 1_000_000_000)
 }
 
-/// What an issuer writes.
+/// The versions that issuers write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub(crate) enum Kind {
-    /// The next version, good.
-    Good(u64),
-    /// The next, with a moment that is too near.
-    Near,
-    /// The next, stricter than the floor.
-    Under,
-    /// By the other issuer, who has not seen the last: the last one's number again.
-    Again,
-    /// By the other issuer, who has not seen the last two: an older number.
-    Back,
+pub(crate) enum VersionKind {
+    /// A valid next version that allows this many attempts.
+    Valid(u64),
+    /// The next version, with too short a notice.
+    ShortNotice,
+    /// The next version, stricter than the floor.
+    BelowFloor,
+    /// The number of the last version again, by the other issuer, which has not seen that version.
+    RepeatedNumber,
+    /// An older number, by the other issuer, which has not seen the last two versions.
+    OlderNumber,
 }
 
-/// What happens to a dispatcher.
+/// Disturbances of one dispatcher.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub(crate) enum Trouble {
-    /// Its link ends, and can't be made.
+pub(crate) enum Disturbance {
+    /// Its connection ends and can't be made again.
     Cut,
-    /// Its link carries nothing, then all at once.
+    /// Its connection delivers nothing, then everything at once.
     Hold,
-    /// It is stopped, then goes on with all that came meanwhile.
+    /// Its process is stopped, then goes on with all that arrived in the meantime.
     Stop,
-    /// It is killed, and started again with what it kept.
+    /// Its process is killed and started again with the events it had stored.
     Kill,
-    /// Each line takes a second.
+    /// Each line takes one second.
     Slow,
-    /// The event that comes next is lost on its way, each time that it is told.
+    /// The next event is lost on its way each time that it is sent.
     Lose,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-enum Said {
+enum Message {
     Event(usize),
     Last(usize),
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct One {
+struct DispatcherState {
     core: Agreement,
-    /// Its clock is so many seconds ahead.
+    /// How many seconds its clock is ahead.
     ahead: u64,
-    /// Events that it has heard, and that were sent to it.
-    heard: usize,
+    /// How many events it has received, and how many were sent to it.
+    received: usize,
     sent: usize,
-    queue: Vec<Said>,
-    trouble: Option<Trouble>,
+    queue: Vec<Message>,
+    disturbance: Option<Disturbance>,
 }
 
-/// The state of all.
+/// The state of the whole system.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) struct World {
     at: u64,
-    log: Vec<Arc<Written>>,
-    all: Vec<One>,
-    troubles: usize,
-    /// What a dispatcher did that the judge forbids.
-    pub broken: Option<&'static str>,
-    /// All three acted on the third version, in touch.
-    agreed: bool,
+    log: Vec<Arc<LogEvent>>,
+    dispatchers: Vec<DispatcherState>,
+    disturbances: usize,
+    /// The violation that the judge found, if any.
+    pub violation: Option<&'static str>,
+    /// Whether all three dispatchers had the third version in force at once, in touch.
+    third_in_force: bool,
 }
 
-/// An event of the log, and what the judge says of it.
+/// An event of the change log; `valid` is the judge's verdict on whether it is valid.
 #[derive(Debug, PartialEq, Eq, Hash)]
-struct Written {
+struct LogEvent {
     number: u64,
     digest: u64,
     from: u64,
     attempts: u64,
-    good: bool,
+    valid: bool,
     issued: u64,
     after: String,
 }
 
-impl Written {
+impl LogEvent {
     fn issue(&self) -> IssuedVersion {
         issue(
             self.number,
@@ -108,153 +117,160 @@
     }
 }
 
-/// What is looked at: a deliberate fault or none, and how much may happen.
-pub(crate) struct Small {
+/// The limits of a run: the deliberate fault, how many versions are issued, how many disturbances happen, and the
+/// seconds.
+pub(crate) struct OrderingModel {
     pub fault: Option<Fault>,
     pub issues: usize,
-    pub troubles: usize,
+    pub disturbances: usize,
     pub until: u64,
-    pub kinds: Vec<Kind>,
+    pub kinds: Vec<VersionKind>,
 }
 
 /// A step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub(crate) enum Act {
+pub(crate) enum Step {
     Second,
-    Write(Kind),
-    Begin(usize, Trouble),
+    Write(VersionKind),
+    Begin(usize, Disturbance),
     End(usize),
 }
 
 impl World {
-    /// The version in force on a clock, and what it allows.
+    /// The number of the version in force at a time, and the attempts it allows.
     fn in_force(&self, at: u64) -> (u64, u64) {
-        let good = self.log.iter().filter(|written| written.good && written.from <= at);
-        good.max_by_key(|written| written.number)
-            .map_or((0, BASE), |written| (written.number, written.attempts))
+        let valid = self.log.iter().filter(|written| written.valid && written.from <= at);
+        valid
+            .max_by_key(|written| written.number)
+            .map_or((0, PLATFORM), |written| (written.number, written.attempts))
     }
 
-    fn last_good(&self) -> Option<&Arc<Written>> {
-        self.log.iter().filter(|written| written.good).max_by_key(|written| written.number)
+    fn last_valid(&self) -> Option<&Arc<LogEvent>> {
+        self.log.iter().filter(|written| written.valid).max_by_key(|written| written.number)
     }
 
-    /// One decides something: what does the judge say?
-    fn decide(&mut self, who: usize) {
-        let (at, one) = (self.at, &mut self.all[who]);
-        if matches!(one.trouble, Some(Trouble::Stop | Trouble::Kill)) {
+    /// One dispatcher makes a decision, and the judge checks it.
+    fn decide(&mut self, index: usize) {
+        let (at, dispatcher) = (self.at, &mut self.dispatchers[index]);
+        if matches!(dispatcher.disturbance, Some(Disturbance::Stop | Disturbance::Kill)) {
             return;
         }
-        one.core.update(ms(at * 1_000), (at + one.ahead) * 1_000);
-        let acts = one.core.effective_rules().get(PULLS) as u64;
-        let (in_touch, number) = (one.core.out_of_touch().is_none(), one.core.in_force().number);
+        dispatcher.core.update(ms(at * 1_000), (at + dispatcher.ahead) * 1_000);
+        let attempts = dispatcher.core.effective_rules().get(MAX_PULLS) as u64;
+        let (in_touch, number) =
+            (dispatcher.core.out_of_touch().is_none(), dispatcher.core.in_force().number);
         let clocks = [at.saturating_sub(1), at, at + 1].map(|at| self.in_force(at));
-        if acts > clocks.map(|clock| clock.1).into_iter().max().unwrap_or(BASE) {
-            self.broken = Some("acts on what the version in force forbids");
+        if attempts > clocks.map(|clock| clock.1).into_iter().max().unwrap_or(PLATFORM) {
+            self.violation = Some("allows what the version in force forbids");
         }
         let settled = clocks.iter().all(|clock| *clock == clocks[1]);
         if in_touch && settled && number != clocks[1].0 {
-            self.broken = Some("in touch, and holds another version than the one in force");
+            self.violation = Some("in touch with another version than the one in force");
         }
-        if acts < FLOOR {
-            self.broken = Some("acts stricter than the floor");
+        if attempts < FLOOR {
+            self.violation = Some("stricter than the floor");
         }
     }
 
-    fn hears(&mut self, who: usize, said: Said) {
+    fn receives(&mut self, index: usize, message: Message) {
         let at = self.at;
-        let one = &mut self.all[who];
-        let (now, unix) = (ms(at * 1_000), (at + one.ahead) * 1_000);
-        match said {
-            Said::Event(event) if event == one.heard => {
-                let _ = one.core.version_received(now, unix, &self.log[event].issue());
-                one.heard += 1;
+        let dispatcher = &mut self.dispatchers[index];
+        let (now, unix) = (ms(at * 1_000), (at + dispatcher.ahead) * 1_000);
+        match message {
+            Message::Event(event) if event == dispatcher.received => {
+                let _ = dispatcher.core.version_received(now, unix, &self.log[event].issue());
+                dispatcher.received += 1;
             }
-            // The one before it was lost: all is asked for again with the next line.
-            Said::Event(_) => one.sent = one.heard,
-            Said::Last(last) => {
-                one.core.heartbeat_received(now, one.heard == last);
-                one.sent = one.sent.min(one.heard);
+            // The event before it was lost: all events after the last one received are sent again.
+            Message::Event(_) => dispatcher.sent = dispatcher.received,
+            Message::Last(last) => {
+                dispatcher.core.heartbeat_received(now, dispatcher.received == last);
+                dispatcher.sent = dispatcher.sent.min(dispatcher.received);
             }
         }
-        self.decide(who);
+        self.decide(index);
     }
 
-    /// The service tells what is new, and a line.
-    fn told(&mut self, who: usize) {
+    /// The change log sends the new events and a heartbeat.
+    fn send_new(&mut self, index: usize) {
         let last = self.log.len();
-        let one = &mut self.all[who];
-        let mut said: Vec<_> = (one.sent..last).map(Said::Event).collect();
-        one.sent = last;
-        if one.trouble == Some(Trouble::Lose) && !said.is_empty() {
-            said.remove(0);
+        let dispatcher = &mut self.dispatchers[index];
+        let mut messages: Vec<_> = (dispatcher.sent..last).map(Message::Event).collect();
+        dispatcher.sent = last;
+        if dispatcher.disturbance == Some(Disturbance::Lose) && !messages.is_empty() {
+            messages.remove(0);
         }
-        said.push(Said::Last(last));
-        match one.trouble {
-            None | Some(Trouble::Lose) => said.into_iter().for_each(|said| self.hears(who, said)),
-            Some(Trouble::Hold | Trouble::Stop) => one.queue.extend(said),
-            Some(Trouble::Slow) => {
-                let before = std::mem::replace(&mut one.queue, said);
-                before.into_iter().for_each(|said| self.hears(who, said));
+        messages.push(Message::Last(last));
+        match dispatcher.disturbance {
+            None | Some(Disturbance::Lose) => {
+                messages.into_iter().for_each(|message| self.receives(index, message))
+            }
+            Some(Disturbance::Hold | Disturbance::Stop) => dispatcher.queue.extend(messages),
+            Some(Disturbance::Slow) => {
+                let before = std::mem::replace(&mut dispatcher.queue, messages);
+                before.into_iter().for_each(|message| self.receives(index, message));
             }
-            Some(Trouble::Cut | Trouble::Kill) => {}
+            Some(Disturbance::Cut | Disturbance::Kill) => {}
         }
     }
 
-    fn begin(&mut self, who: usize, trouble: Trouble) {
-        self.troubles += 1;
-        self.all[who].trouble = Some(trouble);
+    fn begin(&mut self, index: usize, disturbance: Disturbance) {
+        self.disturbances += 1;
+        self.dispatchers[index].disturbance = Some(disturbance);
     }
 
-    fn end(&mut self, who: usize, faults: Faults) {
+    fn end(&mut self, index: usize, faults: Faults) {
         let now = ms(self.at * 1_000);
-        let one = &mut self.all[who];
-        let trouble = one.trouble.take();
-        match trouble {
-            Some(Trouble::Kill) => {
-                let kept: Vec<_> = (0..one.heard).collect();
-                (one.core, one.sent) = (dispatcher(TERMS, faults), one.heard);
-                one.queue.clear();
-                for event in kept {
-                    let unix = (self.at + one.ahead) * 1_000;
-                    let _ = one.core.version_received(now, unix, &self.log[event].issue());
+        let dispatcher = &mut self.dispatchers[index];
+        let disturbance = dispatcher.disturbance.take();
+        match disturbance {
+            Some(Disturbance::Kill) => {
+                let stored: Vec<_> = (0..dispatcher.received).collect();
+                (dispatcher.core, dispatcher.sent) =
+                    (crate::common::dispatcher(BOUNDS, faults), dispatcher.received);
+                dispatcher.queue.clear();
+                for event in stored {
+                    let unix = (self.at + dispatcher.ahead) * 1_000;
+                    let _ = dispatcher.core.version_received(now, unix, &self.log[event].issue());
                 }
-                one.core.request_sent(now);
+                dispatcher.core.request_sent(now);
             }
-            Some(Trouble::Cut) => {
-                one.sent = one.heard;
-                one.core.request_sent(now);
+            Some(Disturbance::Cut) => {
+                dispatcher.sent = dispatcher.received;
+                dispatcher.core.request_sent(now);
             }
             _ => {}
         }
-        self.decide(who);
-        let queue = std::mem::take(&mut self.all[who].queue);
-        queue.into_iter().for_each(|said| self.hears(who, said));
+        self.decide(index);
+        let queue = std::mem::take(&mut self.dispatchers[index].queue);
+        queue.into_iter().for_each(|message| self.receives(index, message));
     }
 
-    fn write(&mut self, kind: Kind) {
-        let last = self.last_good().cloned();
+    fn write(&mut self, kind: VersionKind) {
+        let last = self.last_valid().cloned();
         let (number, digest) = last.as_ref().map_or((0, 0), |last| (last.number, last.digest));
         let last_from = last.as_ref().map_or(0, |last| last.from);
-        let from = if kind == Kind::Near { self.at + 1 } else { self.at + NOTICE }.max(last_from + 1);
-        let (number, attempts, good) = match kind {
-            Kind::Good(attempts) => (number + 1, attempts, true),
-            // As the moment lies behind the one before it, it may be far enough.
-            Kind::Near => (number + 1, FLOOR, from >= self.at + NOTICE),
-            Kind::Under => (number + 1, FLOOR - 1, false),
-            Kind::Again => (number, FLOOR + 1, false),
-            Kind::Back => (number - 1, BASE, false),
+        let from =
+            if kind == VersionKind::ShortNotice { self.at + 1 } else { self.at + NOTICE }.max(last_from + 1);
+        let (number, attempts, valid) = match kind {
+            VersionKind::Valid(attempts) => (number + 1, attempts, true),
+            // Its activation time must lie after the previous one, so the notice may be long enough.
+            VersionKind::ShortNotice => (number + 1, FLOOR, from >= self.at + NOTICE),
+            VersionKind::BelowFloor => (number + 1, FLOOR - 1, false),
+            VersionKind::RepeatedNumber => (number, FLOOR + 1, false),
+            VersionKind::OlderNumber => (number - 1, PLATFORM, false),
         };
-        let late = matches!(kind, Kind::Again | Kind::Back);
+        let late = matches!(kind, VersionKind::RepeatedNumber | VersionKind::OlderNumber);
         let after = format_digest(number - 1, if late { 0 } else { digest });
-        let mut written = Written { number, digest: 0, from, attempts, good, issued: self.at, after };
+        let mut written = LogEvent { number, digest: 0, from, attempts, valid, issued: self.at, after };
         written.digest = written.issue().digest();
         self.log.push(Arc::new(written));
     }
 }
 
-impl Small {
-    /// Whether three versions are to be agreed on.
-    pub(crate) fn agree(&self) -> bool {
+impl OrderingModel {
+    /// Whether the run must reach a state in which all three dispatchers have the third version.
+    pub(crate) fn must_agree(&self) -> bool {
         self.issues >= 3 && self.fault.is_none()
     }
 
@@ -263,86 +279,89 @@
     }
 }
 
-impl Model for Small {
+impl Model for OrderingModel {
     type State = World;
-    type Action = Act;
+    type Action = Step;
 
     fn init_states(&self) -> Vec<World> {
         let world = |ahead: [u64; 3]| {
-            let one = |ahead| One {
-                core: dispatcher(TERMS, self.faults()),
+            let dispatcher = |ahead| DispatcherState {
+                core: dispatcher(BOUNDS, self.faults()),
                 ahead,
-                heard: 0,
+                received: 0,
                 sent: 0,
                 queue: Vec::new(),
-                trouble: None,
+                disturbance: None,
             };
-            let (log, all) = (Vec::new(), ahead.map(one).to_vec());
-            let mut world = World { at: 100, log, all, troubles: 0, broken: None, agreed: false };
-            (0..3).for_each(|who| {
-                world.all[who].core.request_sent(ms(100_000));
-                world.told(who);
+            let (log, dispatchers) = (Vec::new(), ahead.map(dispatcher).to_vec());
+            let mut world =
+                World { at: 100, log, dispatchers, disturbances: 0, violation: None, third_in_force: false };
+            (0..3).for_each(|index| {
+                world.dispatchers[index].core.request_sent(ms(100_000));
+                world.send_new(index);
             });
             world
         };
         vec![world([0, 0, 0]), world([1, 0, 1])]
     }
 
-    fn actions(&self, world: &World, acts: &mut Vec<Act>) {
-        if world.at >= 100 + self.until || world.broken.is_some() {
+    fn actions(&self, world: &World, steps: &mut Vec<Step>) {
+        if world.at >= 100 + self.until || world.violation.is_some() {
             return;
         }
-        acts.push(Act::Second);
+        steps.push(Step::Second);
         if world.log.len() < self.issues {
-            let last = world.last_good().map_or(0, |last| last.number);
-            let can = |kind: &&Kind| match kind {
-                Kind::Again => last > 0,
-                Kind::Back => last > 1,
+            let last = world.last_valid().map_or(0, |last| last.number);
+            let can = |kind: &&VersionKind| match kind {
+                VersionKind::RepeatedNumber => last > 0,
+                VersionKind::OlderNumber => last > 1,
                 _ => true,
             };
-            acts.extend(self.kinds.iter().filter(can).map(|kind| Act::Write(*kind)));
+            steps.extend(self.kinds.iter().filter(can).map(|kind| Step::Write(*kind)));
         }
-        use Trouble::*;
-        // One is always well, so that there is somebody to contradict; the other two are not told apart at the start.
-        for who in 1..3 {
-            match world.all[who].trouble {
-                Some(_) => acts.push(Act::End(who)),
-                None if world.troubles < self.troubles => {
-                    acts.extend([Cut, Hold, Stop, Kill, Slow, Lose].map(|trouble| Act::Begin(who, trouble)));
+        use Disturbance::*;
+        // Dispatcher 0 is never disturbed, so that there is always one to contradict. The other two start alike.
+        for index in 1..3 {
+            match world.dispatchers[index].disturbance {
+                Some(_) => steps.push(Step::End(index)),
+                None if world.disturbances < self.disturbances => {
+                    steps.extend(
+                        [Cut, Hold, Stop, Kill, Slow, Lose]
+                            .map(|disturbance| Step::Begin(index, disturbance)),
+                    );
                 }
                 None => {}
             }
         }
     }
 
-    fn next_state(&self, world: &World, act: Act) -> Option<World> {
+    fn next_state(&self, world: &World, step: Step) -> Option<World> {
         let mut next = world.clone();
-        match act {
-            Act::Second => {
+        match step {
+            Step::Second => {
                 next.at += 1;
-                for who in 0..3 {
-                    next.decide(who);
-                    next.told(who);
+                for index in 0..3 {
+                    next.decide(index);
+                    next.send_new(index);
                 }
             }
-            Act::Write(kind) => next.write(kind),
-            Act::Begin(who, trouble) => next.begin(who, trouble),
-            Act::End(who) => next.end(who, self.faults()),
+            Step::Write(kind) => next.write(kind),
+            Step::Begin(index, disturbance) => next.begin(index, disturbance),
+            Step::End(index) => next.end(index, self.faults()),
         }
-        let third = |one: &One| one.core.in_force().number == 3 && one.core.out_of_touch().is_none();
-        next.agreed |= next.all.iter().all(third);
+        let third = |dispatcher: &DispatcherState| {
+            dispatcher.core.in_force().number == 3 && dispatcher.core.out_of_touch().is_none()
+        };
+        next.third_in_force |= next.dispatchers.iter().all(third);
         Some(next)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
-        let mut all = vec![Property::<Self>::always("nothing that the judge forbids", |_, world| {
-            world.broken.is_none()
-        })];
-        if self.agree() {
-            all.push(Property::<Self>::sometimes("all three act on the third version", |_, world| {
-                world.agreed
-            }));
+        let mut properties =
+            vec![Property::<Self>::always(NO_VIOLATION, |_, world| world.violation.is_none())];
+        if self.must_agree() {
+            properties.push(Property::<Self>::sometimes(THIRD_IN_FORCE, |_, world| world.third_in_force));
         }
-        all
+        properties
     }
 }
--- a/crates/config-rollout/tests/agreement/rules.rs
+++ b/crates/config-rollout/tests/agreement/rules.rs
@@ -1,6 +1,6 @@
-//! What a rule is, and which of two is the stricter.
+//! Reading, comparing and applying rules.
 
-use crate::common::{base, ms, object, saying, settings, types};
+use crate::common::{base, ms, object, rules_with, settings, types};
 use copperroute_config_rollout::rules::{RuleSet, differences, stricter_state};
 use copperroute_routing::interface::Readiness::{Draining, Gone, Ready};
 use copperroute_routing::interface::RetrySafety;
@@ -9,8 +9,8 @@
 use serde_json::json;
 
 #[test]
-fn every_field_is_named_where_two_sets_differ_and_says_which_is_the_stricter() {
-    let tight = saying(json!({
+fn every_field_that_differs_is_listed_with_the_stricter_side() {
+    let tight = rules_with(json!({
         "max_pulls": 2, "cold_share": 0.1, "cold_s": 20, "cold_falls_at": 1.2, "parent_cold_share": 0.05,
         "parent_cold_s": 40, "parent_falls_at": 1.1, "past_caches": false, "purge_done_s": 9, "purge_notice_s": 10,
         "types": {"image": {"repeat": "non-retriable", "expiry_s": 2, "fresh_for_s": 60}}
@@ -35,13 +35,13 @@
     .assert_eq(&lines);
     let back = differences(&tight, &base(), &types());
     assert!(back.iter().all(|differs| !differs.stricter));
-    let first = base().contradiction(&tight).map(|field| field.path(&types()));
-    assert_eq!((first.as_deref(), base().contradiction(&base())), (Some("max_pulls"), None));
+    let first = base().first_difference(&tight).map(|field| field.path(&types()));
+    assert_eq!((first.as_deref(), base().first_difference(&base())), (Some("max_pulls"), None));
     assert_eq!(tight.first_looser_field(&base()), None);
 }
 
 #[test]
-fn what_cannot_be_read_is_refused_with_its_path() {
+fn an_unreadable_field_is_refused_with_its_path() {
     let told = [
         json!({"max_pullz": 2}),
         json!({"max_pulls": 0}),
@@ -58,22 +58,22 @@
         Err(why) => format!("{why}\n"),
     });
     expect![[r#"
-        rules.max_pullz: no rule; expected one of max_pulls, cold_share, cold_s, cold_falls_at, parent_cold_share, parent_cold_s, parent_falls_at, past_caches, from_other_locations, purge_done_s, purge_notice_s, types
+        rules.max_pullz: unknown rule; expected one of max_pulls, cold_share, cold_s, cold_falls_at, parent_cold_share, parent_cold_s, parent_falls_at, past_caches, from_other_locations, purge_done_s, purge_notice_s, types
         rules.max_pulls: 0; expected a whole number, 1 or more
         rules.max_pulls: 2.5; expected a whole number, 1 or more
         rules.past_caches: 1; expected true or false
         rules.cold_share: "low"; expected a number, 0 or more
-        rules.types.video: no content type; expected one of image, post
-        rules.types.image.expires: no rule; expected one of repeat, expiry_s, fresh_for_s
+        rules.types.video: unknown content type; expected one of image, post
+        rules.types.image.expires: unknown rule; expected one of repeat, expiry_s, fresh_for_s
         rules.types.image.repeat: "deduped"; the platform says retriable, expected that or non-retriable
         rules.types.post.repeat: "retriable"; the platform says non-retriable, expected that or non-retriable
     "#]].assert_eq(&said.concat());
 }
 
 #[test]
-fn rules_reach_the_settings_and_no_others_change() {
+fn rules_are_applied_to_the_settings_and_nothing_else_changes() {
     let rules =
-        saying(json!({"max_pulls": 3, "types": {"image": {"repeat": "non-retriable", "expiry_s": 2}}}));
+        rules_with(json!({"max_pulls": 3, "types": {"image": {"repeat": "non-retriable", "expiry_s": 2}}}));
     let (s, expiries) = rules.apply(&settings(), &[ms(5_000), ms(3_000)]);
     let mut expected = settings();
     expected.max_attempts = 3;
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn of_two_states_of_a_node_the_one_that_takes_less_is_the_stricter() {
+fn the_node_state_that_allows_less_is_the_stricter() {
     assert_eq!(stricter_state(Ready, Draining), Draining);
     assert_eq!(stricter_state(Gone, Draining), Gone);
     assert_eq!(stricter_state(Ready, Ready), Ready);
@@ -93,15 +93,17 @@
     (attempts, 0.01..0.3_f64, 12.0..30.0_f64, any::<bool>(), any::<bool>()).prop_map(
         |(attempts, share, cold_s, past, repeat)| {
             let repeat = if repeat { "retriable" } else { "non-retriable" };
-            saying(json!({"max_pulls": attempts, "cold_share": share, "cold_s": cold_s, "past_caches": past,
-            "types": {"image": {"repeat": repeat}}}))
+            rules_with(
+                json!({"max_pulls": attempts, "cold_share": share, "cold_s": cold_s, "past_caches": past,
+            "types": {"image": {"repeat": repeat}}}),
+            )
         },
     )
 }
 
 proptest! {
     #[test]
-    fn the_stricter_of_both_obeys_both_and_nothing_stricter_is_asked(a in any_rules(), b in any_rules()) {
+    fn the_stricter_of_two_sets_is_no_looser_than_either_and_no_stricter_than_needed(a in any_rules(), b in any_rules()) {
         let both = a.stricter(&b);
         prop_assert_eq!(both.first_looser_field(&a), None);
         prop_assert_eq!(both.first_looser_field(&b), None);
@@ -109,6 +111,6 @@
         for field in both.fields() {
             prop_assert!(both.get(field) == a.get(field) || both.get(field) == b.get(field));
         }
-        prop_assert_eq!(a.contradiction(&b).is_none(), a == b);
+        prop_assert_eq!(a.first_difference(&b).is_none(), a == b);
     }
 }
