--- a/crates/change-log-replica/src/event_loop/connections.rs
+++ b/crates/change-log-replica/src/event_loop/connections.rs
@@ -8,7 +8,7 @@
 
 type Source = calloop::Dispatcher<'static, Generic<Rc<TcpStream>>, Inbox>;
 
-/// How often a system call that signals interrupt is made at once before it is given up for this turn.
+/// How often a system call that a signal interrupts is repeated at once before it is left for a later turn of the loop.
 const MAX_INTERRUPTED_ATTEMPTS: u32 = 8;
 
 /// A connection and the bytes that are still to be written.
@@ -17,7 +17,8 @@
     source: Source,
     token: calloop::RegistrationToken,
     connecting: bool,
-    unwritten: Vec<u8>,
+    buffer: Vec<u8>,
+    /// How many bytes of `buffer` were written already.
     written: usize,
 }
 
@@ -35,8 +36,8 @@
     /// Writes as much as the socket takes.
     fn flush(&mut self) -> Flushed {
         let (before, mut interrupted) = (self.written, 0);
-        while self.written < self.unwritten.len() {
-            match (&*self.stream).write(&self.unwritten[self.written..]) {
+        while self.written < self.buffer.len() {
+            match (&*self.stream).write(&self.buffer[self.written..]) {
                 Ok(0) => return Flushed::Broken,
                 Ok(count) => self.written += count,
                 Err(fault) => match classify_transfer_error(&fault) {
@@ -50,8 +51,8 @@
             }
         }
         let left = self.written - before;
-        if self.written == self.unwritten.len() {
-            (self.unwritten, self.written) = (Vec::new(), 0);
+        if self.written == self.buffer.len() {
+            (self.buffer, self.written) = (Vec::new(), 0);
         }
         Flushed::Wrote(left)
     }
@@ -60,11 +61,11 @@
 impl Driver {
     /// Accepts waiting connections; returns whether the listener may continue at once.
     pub(super) fn accept(&mut self, listener: &TcpListener) -> bool {
-        let mut goes_on = true;
+        let mut may_continue = true;
         for _ in 0..MAX_ACCEPTS_PER_TURN {
             match listener.accept() {
                 Ok((stream, _)) => {
-                    goes_on = true;
+                    may_continue = true;
                     self.last_follower += 1;
                     let id = FollowerId(self.last_follower);
                     // If this fails, the kernel buffers more bytes: heartbeats may then leave late without being
@@ -79,7 +80,7 @@
                     // If only errors follow, the listener pauses instead of retrying without end.
                     AcceptError::ConnectionFailed => {
                         self.log_error(format_args!("accept: {fault}"));
-                        goes_on = false;
+                        may_continue = false;
                     }
                     AcceptError::NoDescriptors | AcceptError::LocalError => {
                         self.log_error(format_args!("accept: {fault}"));
@@ -88,7 +89,7 @@
                 },
             }
         }
-        goes_on
+        may_continue
     }
 
     pub(super) fn connect(&mut self, stream: StreamId, address: SocketAddr) {
@@ -130,7 +131,7 @@
         match (prepared, self.handle.register_dispatcher(source.clone())) {
             (Ok(()), Ok(token)) => {
                 let connection =
-                    Connection { stream, source, token, connecting, unwritten: Vec::new(), written: 0 };
+                    Connection { stream, source, token, connecting, buffer: Vec::new(), written: 0 };
                 self.connections.insert(peer, connection);
                 true
             }
@@ -208,7 +209,7 @@
 
     pub(super) fn write(&mut self, peer: Peer, bytes: &[u8]) {
         let Some(connection) = self.connections.get_mut(&peer) else { return };
-        connection.unwritten.extend_from_slice(bytes);
+        connection.buffer.extend_from_slice(bytes);
         self.to_flush.push(peer);
     }
 
@@ -221,7 +222,7 @@
 
     fn flush(&mut self, peer: Peer) {
         let Some(connection) = self.connections.get_mut(&peer) else { return };
-        if connection.connecting || connection.unwritten.is_empty() {
+        if connection.connecting || connection.buffer.is_empty() {
             return;
         }
         let bytes = match connection.flush() {
@@ -241,7 +242,7 @@
     /// Registers interest in the readiness that the connection waits for.
     fn set_interest(&mut self, peer: Peer) {
         let Some(connection) = self.connections.get(&peer) else { return };
-        let writable = connection.connecting || !connection.unwritten.is_empty();
+        let writable = connection.connecting || !connection.buffer.is_empty();
         let interest = Interest { readable: !connection.connecting, writable };
         let mut source = connection.source.as_source_mut();
         if (source.interest.readable, source.interest.writable) == (interest.readable, interest.writable) {
--- a/crates/change-log-replica/tests/relay/common.rs
+++ b/crates/change-log-replica/tests/relay/common.rs
@@ -160,14 +160,14 @@
 pub(crate) fn shown(bytes: &[u8]) -> String {
     let text = String::from_utf8_lossy(bytes);
     let line = |line: &str| match serde_json::from_str::<serde_json::Value>(line) {
-        Ok(told) if told["fleet"]["full"] == true => {
-            let ids = told["fleet"]["servers"].as_array().into_iter().flatten();
+        Ok(event) if event["fleet"]["full"] == true => {
+            let ids = event["fleet"]["servers"].as_array().into_iter().flatten();
             let ids: Vec<_> = ids.map(|server| server["id"].as_str().unwrap_or("?").to_string()).collect();
-            format!("list {} of [{}]", told["seq"], ids.join(" "))
+            format!("list {} of [{}]", event["seq"], ids.join(" "))
         }
-        Ok(told) if told["fleet"].is_object() => format!("news {}", told["seq"]),
-        Ok(told) if told["invalidate"].is_object() => format!("purge {}", told["seq"]),
-        Ok(told) if told.is_object() => format!("other {}", told["seq"]),
+        Ok(event) if event["fleet"].is_object() => format!("news {}", event["seq"]),
+        Ok(event) if event["invalidate"].is_object() => format!("purge {}", event["seq"]),
+        Ok(event) if event.is_object() => format!("other {}", event["seq"]),
         _ => line.to_string(),
     };
     text.lines().map(line).collect::<Vec<_>>().join(", ")
--- a/crates/change-log-replica/tests/relay/core.rs
+++ b/crates/change-log-replica/tests/relay/core.rs
@@ -330,6 +330,6 @@
     let mut player = current();
     player.follower(1.2, 1, 3);
     let later = crate::common::START.after(secs(30.0));
-    let broken = player.core.check_invariants(later).expect_err("nobody looked at the clock");
+    let broken = player.core.check_invariants(later).expect_err("the heartbeat has expired");
     assert_eq!(broken, "1 followers without a confirmed heartbeat");
 }
--- a/crates/change-log-replica/tests/relay/followers.rs
+++ b/crates/change-log-replica/tests/relay/followers.rs
@@ -186,8 +186,8 @@
         now += 0.02;
         slow.takes(now, 4_000);
     }
-    let told: Vec<_> = slow.received.lines().map(str::to_string).collect();
-    assert_eq!(told, (2..=seq).map(purge).collect::<Vec<_>>());
+    let sent: Vec<_> = slow.received.lines().map(str::to_string).collect();
+    assert_eq!(sent, (2..=seq).map(purge).collect::<Vec<_>>());
     slow.source_sends(6.3, &seq.to_string());
     assert!(slow.received.ends_with(&format!("\n{seq}\n")), "then a heartbeat again");
     assert_eq!(slow.closed, None);
@@ -205,8 +205,8 @@
         }
     }
     assert!(slow.closed.is_some());
-    let told: Vec<_> = slow.received.lines().map(str::to_string).collect();
-    assert_eq!(told, (2..2 + told.len() as u64).map(purge).collect::<Vec<_>>());
+    let sent: Vec<_> = slow.received.lines().map(str::to_string).collect();
+    assert_eq!(sent, (2..2 + sent.len() as u64).map(purge).collect::<Vec<_>>());
 }
 
 #[test]
@@ -231,11 +231,11 @@
     for tick in 0..200 {
         let now = 0.6 + f64::from(tick) / 100.0;
         for effect in player.core.handle(at(now), Event::Tick) {
-            if let Effect::Follower(FollowerEffect::Write(id, told)) = effect {
-                bytes += told.len();
+            if let Effect::Follower(FollowerEffect::Write(id, sent)) = effect {
+                bytes += sent.len();
                 longest = longest.max(now - last[id.0 as usize]);
                 last[id.0 as usize] = now;
-                player.core.handle(at(now), Event::FollowerWritten(id, told.len()));
+                player.core.handle(at(now), Event::FollowerWritten(id, sent.len()));
             }
         }
         if tick % 50 == 0 {
@@ -246,5 +246,5 @@
     let rate = config.followers.catch_up_bytes_per_s;
     assert!((bytes as f64) < 2.2 * rate, "{bytes} bytes at {rate} a second");
     assert!((bytes as f64) > 1.7 * rate, "{bytes} bytes at {rate} a second");
-    assert!(longest < 1.2, "one heard nothing for {longest:.2} s");
+    assert!(longest < 1.2, "a follower got nothing for {longest:.2} s");
 }
--- a/crates/change-log-replica/tests/relay/lines.rs
+++ b/crates/change-log-replica/tests/relay/lines.rs
@@ -22,9 +22,9 @@
 #[test]
 fn lines_are_unchanged_however_the_bytes_are_split() {
     let odd = r#"{ "seq" : 4 , "invalidate":{"time":4.0e3,"bucket":  1}, "é":"\u00e9", "n":1.10 }"#;
-    let told =
+    let events =
         [list(1), delta(2, "s-1", "leaving"), purge(3), odd.to_string(), r#"{"seq":5,"new":1}"#.into()];
-    let mut text = told.join("\n") + "\n5\n";
+    let mut text = events.join("\n") + "\n5\n";
     text += "{\"seq\":6,\"rules\":{\"version\":1}}\n";
     // The platform writes a heartbeat as an object that holds only the last number.
     let with_heartbeats = format!("{text}{{\"seq\":6}}\n{{ \"seq\": 6 }}\n");
@@ -69,12 +69,12 @@
 
 #[test]
 fn a_follower_sends_one_request_line() {
-    let asked = |text: &str| RequestReader::default().feed(text.as_bytes());
-    assert_eq!(asked("since 41\n"), FollowerRequest::Since(41));
-    assert_eq!(asked("since 41\r\n"), FollowerRequest::Since(41));
-    assert_eq!(asked("since 4"), FollowerRequest::Incomplete);
+    let read_request = |text: &str| RequestReader::default().feed(text.as_bytes());
+    assert_eq!(read_request("since 41\n"), FollowerRequest::Since(41));
+    assert_eq!(read_request("since 41\r\n"), FollowerRequest::Since(41));
+    assert_eq!(read_request("since 4"), FollowerRequest::Incomplete);
     for text in ["since\n", "since -1\n", "GET / HTTP/1.1\n", "since 1 2\n", &"x".repeat(100)] {
-        assert!(matches!(asked(text), FollowerRequest::Invalid(_)), "{text}");
+        assert!(matches!(read_request(text), FollowerRequest::Invalid(_)), "{text}");
     }
 }
 
--- a/crates/change-log-replica/tests/relay/network.rs
+++ b/crates/change-log-replica/tests/relay/network.rs
@@ -303,7 +303,7 @@
         if self.checks_invariants {
             holds.unwrap_or_else(|broken| panic!("replica {of}: {broken}"));
         }
-        let mut took = Vec::new();
+        let mut written = Vec::new();
         for effect in effects {
             match effect {
                 Effect::Connect(stream, to) => self.call(Party::Replica(of), stream.0, to),
@@ -320,13 +320,13 @@
                 Effect::Follower(FollowerEffect::Write(id, bytes)) => {
                     let line = std::str::from_utf8(&bytes).expect("text");
                     self.heartbeats += u64::from(line.trim().parse::<u64>().is_ok());
-                    took.push((id, bytes.len()));
+                    written.push((id, bytes.len()));
                     self.send(id.0 as usize, CALLER, What::Bytes(bytes));
                 }
                 Effect::Follower(FollowerEffect::Close(id)) => self.close(id.0 as usize, CALLEE),
             }
         }
-        took.into_iter().for_each(|(id, length)| self.handle(of, Event::FollowerWritten(id, length)));
+        written.into_iter().for_each(|(id, length)| self.handle(of, Event::FollowerWritten(id, length)));
     }
 
     fn tick_log(&mut self) {
--- a/crates/change-log-replica/tests/relay/retention.rs
+++ b/crates/change-log-replica/tests/relay/retention.rs
@@ -22,14 +22,14 @@
 
 #[test]
 fn events_over_a_bound_are_evicted_oldest_first_but_never_the_newest() {
-    let mut held_here = retention(1_000_000);
+    let mut retention_by_age = retention(1_000_000);
     for seq in 1..=5 {
-        held_here.push(at(seq as f64), event(&if seq == 1 { list(1) } else { purge(seq) }), false);
+        retention_by_age.push(at(seq as f64), event(&if seq == 1 { list(1) } else { purge(seq) }), false);
     }
-    held_here.evict(at(13.5));
-    assert_eq!(held(&held_here), [4, 5]);
-    held_here.evict(at(1000.0));
-    assert_eq!(held(&held_here), [5]);
+    retention_by_age.evict(at(13.5));
+    assert_eq!(held(&retention_by_age), [4, 5]);
+    retention_by_age.evict(at(1000.0));
+    assert_eq!(held(&retention_by_age), [5]);
     let mut small = retention(300);
     for seq in 1..=5 {
         small.push(at(0.0), event(&if seq == 1 { list(1) } else { purge(seq) }), false);
@@ -149,7 +149,7 @@
         }
         Start::Snapshot(seq, line) => {
             prop_assert!(seq > since + 1 || since == 0, "since {}: list {} shows no loss", since, seq);
-            let told: Value = serde_json::from_slice(&line).expect("JSON");
+            let snapshot: Value = serde_json::from_slice(&line).expect("JSON");
             let mut ids = Vec::new();
             for of in all.iter().filter(|of| of.0 <= seq) {
                 let event: Value = serde_json::from_str(&of.1).expect("JSON");
@@ -161,7 +161,7 @@
                     ids.push(server["id"].clone());
                 }
             }
-            let listed = told["fleet"]["servers"].as_array().into_iter().flatten();
+            let listed = snapshot["fleet"]["servers"].as_array().into_iter().flatten();
             let listed: Vec<_> = listed.map(|server| server["id"].clone()).collect();
             prop_assert_eq!(listed, ids);
         }
--- a/crates/change-log-replica/tests/relay/sockets.rs
+++ b/crates/change-log-replica/tests/relay/sockets.rs
@@ -155,8 +155,8 @@
 impl Follower {
     /// A follower that is served: it connects again until it receives a line.
     fn of(replica: &Replica, since: u64) -> (Follower, String) {
-        let begun = Instant::now();
-        while begun.elapsed() < MAX_WAIT {
+        let started = Instant::now();
+        while started.elapsed() < MAX_WAIT {
             if let Some(mut follower) = Follower::call(replica.address, since)
                 && let Some(line) = follower.line()
             {
@@ -203,9 +203,9 @@
 
     /// Reads until the stream ends; returns the lines and the time of the end.
     fn until_the_end(&mut self) -> (Vec<String>, Instant) {
-        let begun = Instant::now();
+        let started = Instant::now();
         let next = || {
-            assert!(begun.elapsed() < MAX_WAIT, "the stream does not end");
+            assert!(started.elapsed() < MAX_WAIT, "the stream does not end");
             self.line()
         };
         (std::iter::from_fn(next).collect(), Instant::now())
--- a/crates/config-rollout/benches/switch.rs
+++ b/crates/config-rollout/benches/switch.rs
@@ -88,8 +88,8 @@
     );
     core.request_sent(Nanos(S));
     core.heartbeat_received(Nanos(S), true);
-    let told = r#"{"version":1,"issuer":"ops","issued_ms":1000,"from_ms":5000,"rules":{}}"#;
-    let issue = IssuedVersion::parse(told).unwrap_or_else(|why| unreachable!("{why}"));
+    let text = r#"{"version":1,"issuer":"ops","issued_ms":1000,"from_ms":5000,"rules":{}}"#;
+    let issue = IssuedVersion::parse(text).unwrap_or_else(|why| unreachable!("{why}"));
     let _ = core.version_received(Nanos(S), 1_000, &issue);
     core.update(Nanos(S), 1_000);
     core
--- a/crates/config-rollout/tests/agreement/every_ordering.rs
+++ b/crates/config-rollout/tests/agreement/every_ordering.rs
@@ -67,10 +67,10 @@
         ),
     ];
     for (name, issues, disturbances, until, kinds) in runs {
-        let begun = std::time::Instant::now();
+        let started = std::time::Instant::now();
         let (holds, states) =
             check_all_orderings(OrderingModel { fault: None, issues, disturbances, until, kinds });
-        println!("{name}, {until} s: {states} states in {:.1} s", begun.elapsed().as_secs_f64());
+        println!("{name}, {until} s: {states} states in {:.1} s", started.elapsed().as_secs_f64());
         assert!(holds);
     }
 }
--- a/crates/config-rollout/tests/agreement/ordering_model.rs
+++ b/crates/config-rollout/tests/agreement/ordering_model.rs
@@ -260,8 +260,8 @@
             VersionKind::RepeatedNumber => (number, FLOOR + 1, false),
             VersionKind::OlderNumber => (number - 1, PLATFORM, false),
         };
-        let late = matches!(kind, VersionKind::RepeatedNumber | VersionKind::OlderNumber);
-        let after = format_digest(number - 1, if late { 0 } else { digest });
+        let is_outdated = matches!(kind, VersionKind::RepeatedNumber | VersionKind::OlderNumber);
+        let after = format_digest(number - 1, if is_outdated { 0 } else { digest });
         let mut written = LogEvent { number, digest: 0, from, attempts, valid, issued: self.at, after };
         written.digest = written.issue().digest();
         self.log.push(Arc::new(written));
--- a/crates/config-rollout/tests/agreement/rules.rs
+++ b/crates/config-rollout/tests/agreement/rules.rs
@@ -42,7 +42,7 @@
 
 #[test]
 fn an_unreadable_field_is_refused_with_its_path() {
-    let told = [
+    let documents = [
         json!({"max_pullz": 2}),
         json!({"max_pulls": 0}),
         json!({"max_pulls": 2.5}),
@@ -53,10 +53,11 @@
         json!({"types": {"image": {"repeat": "deduped"}}}),
         json!({"types": {"post": {"repeat": "retriable"}}}),
     ];
-    let said = told.map(|told| match RuleSet::parse(&base(), &types(), "rules", &object(told)) {
-        Ok(_) => "good\n".to_string(),
-        Err(why) => format!("{why}\n"),
-    });
+    let errors =
+        documents.map(|document| match RuleSet::parse(&base(), &types(), "rules", &object(document)) {
+            Ok(_) => "good\n".to_string(),
+            Err(why) => format!("{why}\n"),
+        });
     expect![[r#"
         rules.max_pullz: unknown rule; expected one of max_pulls, cold_share, cold_s, cold_falls_at, parent_cold_share, parent_cold_s, parent_falls_at, past_caches, from_other_locations, purge_done_s, purge_notice_s, types
         rules.max_pulls: 0; expected a whole number, 1 or more
@@ -67,7 +68,7 @@
         rules.types.image.expires: unknown rule; expected one of repeat, expiry_s, fresh_for_s
         rules.types.image.repeat: "deduped"; the platform says retriable, expected that or non-retriable
         rules.types.post.repeat: "retriable"; the platform says non-retriable, expected that or non-retriable
-    "#]].assert_eq(&said.concat());
+    "#]].assert_eq(&errors.concat());
 }
 
 #[test]
