--- a/crates/routing/src/change_log/digests.rs
+++ b/crates/routing/src/change_log/digests.rs
@@ -1,34 +1,34 @@
-//! The digests of the events that were applied last, to tell a duplicate from a contradiction.
+//! Digests of the most recently applied events, to tell a duplicate from a contradicting copy.
 
 use std::collections::VecDeque;
 
-/// So many are kept: three minutes at 6 events a second, 24 KB. What is older is forgotten, and compared with nothing.
-const KEPT: usize = 1024;
+/// Digests kept: 24 KB, three minutes at 6 events a second. Copies of older events are not compared.
+const MAX_DIGESTS: usize = 1024;
 
-/// An event that was applied.
+/// An applied event.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Applied {
     number: u64,
     digest: u64,
-    /// The last other digest under this number.
+    /// The last differing digest that was received for this number.
     other: Option<u64>,
 }
 
-/// The last ones, in the order of their numbers.
+/// Applied events in ascending order of number.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
 pub(super) struct Digests(VecDeque<Applied>);
 
 impl Digests {
-    /// An event is applied; its number is higher than any before.
-    pub(super) fn applied(&mut self, number: u64, digest: Option<u64>) {
+    /// Records an applied event; its number must be higher than any before.
+    pub(super) fn record(&mut self, number: u64, digest: Option<u64>) {
         let Some(digest) = digest else { return };
-        if self.0.len() == KEPT {
+        if self.0.len() == MAX_DIGESTS {
             self.0.pop_front();
         }
         self.0.push_back(Applied { number, digest, other: None });
     }
 
-    /// Whether another copy of an event contradicts the one that was applied, for the first time.
+    /// Whether a copy differs from the applied event. Returns false for a repetition of the last contradiction.
     pub(super) fn contradicts(&mut self, number: u64, digest: Option<u64>) -> bool {
         let Some(digest) = digest else { return false };
         let found = self.0.binary_search_by_key(&number, |applied| applied.number);
@@ -39,7 +39,7 @@
         applied.other.replace(digest) != Some(digest)
     }
 
-    /// Numbers begin anew.
+    /// Forgets all digests, when event numbers start again.
     pub(super) fn clear(&mut self) {
         self.0.clear();
     }
--- a/crates/routing/src/change_log/knowledge.rs
+++ b/crates/routing/src/change_log/knowledge.rs
@@ -1,156 +1,167 @@
-//! Up to when the change log is known, and whether what was not heard may count as told by now.
+//! Tracks up to when the change log is known, and whether the knowledge may be stale.
 //!
-//! Events are pushed, so while heartbeats come in time all that was written is known but for how late the stream is. When
-//! they stop, nobody can say whether events were written meanwhile; by the platform's protocol these count as told after a
-//! span that depends on what happened to the stream. Whatever must not act on events that it has not heard asks
-//! [`Knowledge::may_be_stale`] with the time that the rules give to heed an event. docs/change-log.md has the table of
-//! what is done in doubt.
+//! Events are pushed, so while heartbeats arrive in time all events are known, apart from the lateness of the stream.
+//! When heartbeats stop, events may have been written that were not received; by the platform's protocol these count as
+//! delivered after a time that depends on what happened to the stream. Code that must not act on stale knowledge asks
+//! [`Knowledge::may_be_stale`] with the time that the rules allow for acting on an event. docs/change-log.md lists what
+//! is done while the knowledge may be stale.
 
 use super::lateness::HEARTBEAT_PERIOD;
 use crate::interface::Nanos;
 
-/// What a stream that stops would have told counts as told after this.
-const TOLD_AFTER_STOP: Nanos = Nanos(4_000_000_000);
-/// What a stream that breaks would have told counts as told after this.
-const TOLD_AFTER_BREAK: Nanos = Nanos(2_000_000_000);
-/// What the change log has to tell as it moves counts as told after this.
-const TOLD_AFTER_MOVE: Nanos = Nanos(4_000_000_000);
-/// A heartbeat may be later than its period by this before the stream counts as stopped.
+/// When a stream stops, events that it would have carried count as delivered after this time.
+const DELIVERED_AFTER_STOP: Nanos = Nanos(4_000_000_000);
+/// When a stream is closed or reset, events that it would have carried count as delivered after this time.
+const DELIVERED_AFTER_CLOSE: Nanos = Nanos(2_000_000_000);
+/// When the change log changes its address, events written meanwhile count as delivered after this time.
+const DELIVERED_AFTER_MOVE: Nanos = Nanos(4_000_000_000);
+/// By this much a heartbeat may exceed its period before the stream counts as stopped.
 const HEARTBEAT_SLACK: Nanos = Nanos(500_000_000);
-/// A line that is not whole after this has not just been cut in two on its way.
-const QUICK_LINE: Nanos = Nanos(50_000_000);
-/// What is decided takes a moment to leave, and the writer's clock is not ours: doubt begins earlier by this.
-const MARGIN: Nanos = Nanos(100_000_000);
+/// A partial line is completed within this time if it was merely split into two packets.
+const SPLIT_LINE_TIMEOUT: Nanos = Nanos(50_000_000);
+/// Knowledge counts as stale this much earlier: a decision takes time to be sent, and the writer has another clock.
+const STALENESS_MARGIN: Nanos = Nanos(100_000_000);
 
 /// What one dispatcher knows of the change log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Knowledge {
-    /// All that was written by then is known.
+    /// All events written up to this time are known.
     complete_until: Nanos,
-    /// When a heartbeat last said that nothing is missing, and how late it was; `None` while no stream is followed.
-    vouched: Option<Vouched>,
-    /// What has not been heard counts as told from then on.
-    counts_from: Nanos,
-    /// Since when a line has been coming that is not whole.
-    line_begun: Option<Nanos>,
+    /// The last heartbeat that confirmed that nothing is missing; `None` while no stream is followed.
+    last_confirmed: Option<Confirmation>,
+    /// Events that were not received count as delivered from this time on.
+    delivered_from: Nanos,
+    /// Since when the current line has been incomplete.
+    partial_line_since: Option<Nanos>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Vouched {
+struct Confirmation {
     at: Nanos,
+    /// How late the stream was.
     late_by: Nanos,
 }
 
 impl Knowledge {
-    /// At the start: the configuration knows all up to now.
+    /// At the start: the configuration covers all events up to now.
     pub fn started(now: Nanos) -> Self {
         Knowledge {
             complete_until: now,
-            vouched: None,
-            counts_from: now.after(TOLD_AFTER_BREAK),
-            line_begun: None,
+            last_confirmed: None,
+            delivered_from: now.after(DELIVERED_AFTER_CLOSE),
+            partial_line_since: None,
         }
     }
 
-    /// A heartbeat names the last event that was applied; it was late by so much.
+    /// A heartbeat that was late by `late_by` names the last applied event.
     pub fn heartbeat_confirmed(&mut self, now: Nanos, late_by: Nanos) {
-        let written = now.since(late_by);
-        self.complete_until = self.complete_until.max(written);
-        self.vouched = Some(Vouched { at: now, late_by });
-        self.line_begun = None;
-        self.counts_from = written.after(TOLD_AFTER_STOP);
+        let written_at = now.since(late_by);
+        self.complete_until = self.complete_until.max(written_at);
+        self.last_confirmed = Some(Confirmation { at: now, late_by });
+        self.partial_line_since = None;
+        self.delivered_from = written_at.after(DELIVERED_AFTER_STOP);
     }
 
-    /// All bytes that came have been read; whether they end within a line. An event that takes long to come has been told as
-    /// it began, and others may wait behind it: only a heartbeat says that there are none.
-    pub fn bytes_read(&mut self, now: Nanos, is_midway: bool) {
-        match self.line_begun {
-            None if is_midway => self.line_begun = Some(now),
-            Some(begun) if !is_midway && now.since(begun) < QUICK_LINE => self.line_begun = None,
+    /// All received bytes have been read; `ends_in_line` if they end within a line. An event counts as delivered when
+    /// its line begins to arrive. Other events may be queued behind a slow line, so only a heartbeat ends the
+    /// staleness.
+    pub fn bytes_read(&mut self, now: Nanos, ends_in_line: bool) {
+        match self.partial_line_since {
+            None if ends_in_line => self.partial_line_since = Some(now),
+            Some(begun) if !ends_in_line && now.since(begun) < SPLIT_LINE_TIMEOUT => {
+                self.partial_line_since = None
+            }
             _ => {}
         }
     }
 
-    /// Something has been told that shows that events are missing: they were written after all that is known.
+    /// Something was received that shows that events are missing. They were written after the known ones.
     pub fn events_missing(&mut self) {
-        self.unfollow();
-        self.counts_from = self.counts_from.min(self.complete_until);
+        self.drop_confirmation();
+        self.delivered_from = self.delivered_from.min(self.complete_until);
     }
 
-    /// No stream is followed any more.
+    /// The last stream has ended.
     pub fn stream_lost(&mut self, now: Nanos) {
-        if self.unfollow() {
-            self.counts_from = self.counts_from.min(now.after(TOLD_AFTER_BREAK));
+        if self.drop_confirmation() {
+            self.delivered_from = self.delivered_from.min(now.after(DELIVERED_AFTER_CLOSE));
         }
     }
 
-    /// The stream that vouched stands no more; tells whether there was one. What it was late by was written, and not told.
-    fn unfollow(&mut self) -> bool {
-        let Some(last) = self.vouched.take() else { return false };
-        if last.late_by > MARGIN {
-            self.counts_from = self.counts_from.min(last.at.since(last.late_by));
+    /// Drops the last confirmation; returns whether there was one. Events of the time by which the stream was late may
+    /// have been written and not received.
+    fn drop_confirmation(&mut self) -> bool {
+        let Some(last) = self.last_confirmed.take() else { return false };
+        if last.late_by > STALENESS_MARGIN {
+            self.delivered_from = self.delivered_from.min(last.at.since(last.late_by));
         }
         true
     }
 
-    /// The change log is asked anew: all that it holds counts as told with that, unless another stream tells it.
+    /// The change log is requested again: all its events count as delivered with that, unless another stream carries
+    /// them.
     pub fn request_sent(&mut self, now: Nanos) {
         if !self.is_followed(now) {
-            self.counts_from = self.counts_from.min(now);
+            self.delivered_from = self.delivered_from.min(now);
         }
     }
 
-    /// The change log is to be followed elsewhere.
+    /// The change log has another address.
     pub fn address_changed(&mut self, now: Nanos) {
-        self.unfollow();
-        self.counts_from = self.counts_from.min(now.after(TOLD_AFTER_MOVE));
+        self.drop_confirmation();
+        self.delivered_from = self.delivered_from.min(now.after(DELIVERED_AFTER_MOVE));
     }
 
-    /// Whether heartbeats come in time.
+    /// Whether heartbeats arrive in time.
     pub fn is_followed(&self, now: Nanos) -> bool {
-        let waits = self.line_begun.is_some_and(|begun| now.since(begun) >= QUICK_LINE);
-        !waits
-            && self.vouched.is_some_and(|last| now.since(last.at) <= HEARTBEAT_PERIOD.after(HEARTBEAT_SLACK))
+        let line_is_stuck =
+            self.partial_line_since.is_some_and(|begun| now.since(begun) >= SPLIT_LINE_TIMEOUT);
+        !line_is_stuck
+            && self
+                .last_confirmed
+                .is_some_and(|last| now.since(last.at) <= HEARTBEAT_PERIOD.after(HEARTBEAT_SLACK))
     }
 
-    /// Whether all is known that must be heeded within `grace`: heartbeats come in time, and are not late by that.
+    /// Whether all events are known that must be acted on within `grace`: heartbeats arrive in time, and the stream is
+    /// less late than that.
     pub fn is_current(&self, now: Nanos, grace: Nanos) -> bool {
-        let in_time = |last: Vouched| last.late_by < grace.since(MARGIN).max(MARGIN);
-        self.is_followed(now) && self.vouched.is_some_and(in_time)
+        let in_time = |last: Confirmation| last.late_by < grace.since(STALENESS_MARGIN).max(STALENESS_MARGIN);
+        self.is_followed(now) && self.last_confirmed.is_some_and(in_time)
     }
 
-    /// All that was written by then is known; a stream that is followed knows all but what it is late by.
+    /// The time up to which all events are known; while a stream is followed, now less its lateness.
     pub fn complete_until(&self, now: Nanos) -> Nanos {
-        match self.vouched.filter(|_| self.is_followed(now)) {
+        match self.last_confirmed.filter(|_| self.is_followed(now)) {
             Some(last) => self.complete_until.max(now.since(last.late_by)),
             None => self.complete_until,
         }
     }
 
-    /// How old what is known is.
+    /// The age of the knowledge.
     pub fn age(&self, now: Nanos) -> Nanos {
         now.since(self.complete_until(now))
     }
 
-    /// When doubt begins, unless something is heard before, about events that must be heeded within `grace`.
+    /// When the knowledge becomes stale for events that must be acted on within `grace`, if nothing is received until
+    /// then.
     pub fn stale_from(&self, now: Nanos, grace: Nanos) -> Nanos {
-        let within = grace.since(MARGIN);
-        let line = self.line_begun.map(|begun| begun.after(within.max(QUICK_LINE)));
-        line.into_iter().chain([self.doubtful_without_line(now, within)]).min().unwrap_or(now)
+        let within = grace.since(STALENESS_MARGIN);
+        let line = self.partial_line_since.map(|begun| begun.after(within.max(SPLIT_LINE_TIMEOUT)));
+        line.into_iter().chain([self.stale_from_without_line(now, within)]).min().unwrap_or(now)
     }
 
-    fn doubtful_without_line(&self, now: Nanos, within: Nanos) -> Nanos {
-        let list_ends = self.counts_from.after(within);
-        match self.vouched {
-            Some(last) if last.late_by >= within.max(MARGIN) => last.at,
+    fn stale_from_without_line(&self, now: Nanos, within: Nanos) -> Nanos {
+        let without_stream = self.delivered_from.after(within);
+        match self.last_confirmed {
+            Some(last) if last.late_by >= within.max(STALENESS_MARGIN) => last.at,
             Some(last) if self.is_followed(now) => {
-                list_ends.max(last.at.after(HEARTBEAT_PERIOD).after(HEARTBEAT_SLACK))
+                without_stream.max(last.at.after(HEARTBEAT_PERIOD).after(HEARTBEAT_SLACK))
             }
-            _ => list_ends,
+            _ => without_stream,
         }
     }
 
-    /// Whether events that must be heeded within `grace` may have been written, and count as told, that are not known.
+    /// Whether there may be events that must be acted on within `grace` and that count as delivered, but are not known.
     pub fn may_be_stale(&self, now: Nanos, grace: Nanos) -> bool {
         now >= self.stale_from(now, grace)
     }
--- a/crates/routing/src/change_log/lateness.rs
+++ b/crates/routing/src/change_log/lateness.rs
@@ -1,52 +1,54 @@
-//! How late one stream of the change log is, measured and not assumed.
+//! Estimates how late the lines of one change-log stream are, from their times of arrival. Called with each line and
+//! heartbeat.
 //!
-//! A call is answered by events at once, or by a heartbeat within its period: a first line that takes longer than that was
-//! late by the rest. From then on a heartbeat was written each period. One that comes later than the earliest of them would
-//! have it, was late by the difference; the earliest is let creep, as two clocks drift.
+//! A request is answered by events at once, or by a heartbeat within its period: a first line that takes longer is late
+//! by the difference. From then on a heartbeat is written each period; one that arrives later than the earliest
+//! heartbeat predicts is late by the difference. The prediction may move later by a small part of the period, as the
+//! two clocks drift.
 
 use crate::interface::Nanos;
 
 /// A heartbeat is written each second.
 pub const HEARTBEAT_PERIOD: Nanos = Nanos(1_000_000_000);
-/// What one heartbeat may be later than the one before without being called late, as a part of the period: clocks drift, and a
-/// writer that sleeps for its period takes a little longer than that.
-const CREEP_PART: u64 = 50;
+/// By this part of the period (1/50) the prediction may move later with each heartbeat: clocks drift, and a writer that
+/// sleeps for its period takes slightly longer.
+const DRIFT_DIVISOR: u64 = 50;
 
-/// How late the lines of one stream are.
+/// The lateness of one stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Lateness {
-    asked: Option<Nanos>,
-    /// By how much the first line was late.
-    first: Option<Nanos>,
-    /// When the next heartbeat is due by the earliest before it.
+    requested_at: Option<Nanos>,
+    /// How late the first line was.
+    first_line: Option<Nanos>,
+    /// When the next heartbeat is due, as predicted from the earliest one before it.
     due: Option<Nanos>,
-    /// By how much the last heartbeat was later than the earliest.
+    /// How much later than predicted the last heartbeat was.
     behind: Nanos,
 }
 
 impl Lateness {
-    /// The stream is asked for what follows an event.
+    /// The stream is requested.
     pub fn request_sent(&mut self, now: Nanos) {
-        *self = Lateness { asked: Some(now), ..Lateness::default() };
+        *self = Lateness { requested_at: Some(now), ..Lateness::default() };
     }
 
-    /// A whole line has come.
+    /// A whole line has arrived.
     pub fn line_received(&mut self, now: Nanos) {
-        let asked = self.asked.unwrap_or(now);
-        self.first.get_or_insert(now.since(asked).since(HEARTBEAT_PERIOD));
+        let requested_at = self.requested_at.unwrap_or(now);
+        self.first_line.get_or_insert(now.since(requested_at).since(HEARTBEAT_PERIOD));
     }
 
-    /// A heartbeat has come, as a line.
+    /// A heartbeat has arrived; [`Self::line_received`] is called for its line as well.
     pub fn heartbeat_received(&mut self, now: Nanos) {
         let earliest = self.due.unwrap_or(now).min(now);
         self.behind = now.since(earliest);
-        // The next one is due a period after this one was, a little later at the most.
-        let creep = Nanos(HEARTBEAT_PERIOD.0 / CREEP_PART).min(self.behind);
-        self.due = Some(earliest.after(HEARTBEAT_PERIOD).after(creep));
+        // The next one is due a period after this one was due, later by the drift at the most.
+        let drift = Nanos(HEARTBEAT_PERIOD.0 / DRIFT_DIVISOR).min(self.behind);
+        self.due = Some(earliest.after(HEARTBEAT_PERIOD).after(drift));
     }
 
-    /// How late the last heartbeat was; nothing is known before the first line.
+    /// How late the stream is; `None` before the first line.
     pub fn late_by(&self) -> Option<Nanos> {
-        self.first.map(|first| first.after(self.behind))
+        self.first_line.map(|late| late.after(self.behind))
     }
 }
--- a/crates/routing/src/change_log/merge.rs
+++ b/crates/routing/src/change_log/merge.rs
@@ -1,62 +1,65 @@
 //! One sequence of events from up to two streams of the change log.
 //!
-//! The first copy of an event counts; copies of it and older ones are dropped. An event whose predecessors have not
-//! come is held back while another stream may tell them, bounded in count, bytes and time ([`held`]); where the gap is
-//! not filled, the stream is asked again from the last event that was applied. If the same event comes too early again,
-//! by whichever stream, what lies between is not to be had: it counts as lost, and the event is applied. A snapshot stands for what lies
-//! between and is not asked for twice. A stream that has ended, or holds something back itself, can't fill a gap: with
-//! one stream, or where both lack the same, nothing is waited for.
+//! Input: events and heartbeats of each stream. Output: [`Step`]s for the caller, which asks [`Merge::next_step`] after
+//! each change until there is none, and the meaning of each heartbeat ([`Heartbeat`]). No I/O.
 //!
-//! A stream is caught up when it says itself that the last event it knows of is the last that was applied, in time;
-//! one that says a lower number is behind, and vouches for nothing. Where all are behind for long, the log has begun
-//! anew (restarted, or restored to an earlier state): all is asked for again. Where another one vouches for the higher
-//! number, the one behind is a replica that lags or was restored, and only what it contradicts acts.
+//! The first copy of an event is applied; later copies and older events are dropped. An event whose predecessors are
+//! missing is held back while another stream may deliver them, bounded in count, bytes and time ([`held_back`]); if the
+//! gap is not filled, the stream is requested again from the last applied event. If the same event arrives early again,
+//! on either stream, the events in between are not available: they count as lost, and the event is applied. A snapshot
+//! replaces the events in between and is not requested twice. A stream that has ended, or holds back events itself,
+//! can't fill a gap, so there is no wait with one stream, or where both lack the same event.
 //!
-//! [`held`]: super::held
+//! A stream is caught up when its heartbeat arrives in time and names the last applied event; a stream that names a
+//! lower number is behind and confirms nothing. If all streams stay behind, the log was restarted, or restored to an
+//! earlier state, and everything is requested again. If another stream confirms the higher number, the one behind is a
+//! replica that lags or was restored; of its events only contradictions are passed on.
+//!
+//! [`held_back`]: super::held_back
 
 use super::digests::Digests;
 use super::heartbeat::Heartbeats;
-use super::held::Held;
+use super::held_back::HeldBack;
 use crate::interface::Nanos;
 use std::fmt;
 
-/// So many heartbeats in a row with a number lower than what was applied: the log has begun anew.
-const BEHIND: u32 = 3;
-/// Another stream vouches for the last number for so long after it was caught up: as long as it may be silent.
-const VOUCHES_FOR: Nanos = Nanos(2_000_000_000);
+/// After this many consecutive heartbeats with a number lower than the last applied event the log counts as restarted.
+const BEHIND_HEARTBEATS: u32 = 3;
+/// How long a stream's confirmation of the last number remains valid: as long as a stream may be silent.
+const CONFIRMATION_VALID_FOR: Nanos = Nanos(2_000_000_000);
 
-/// What an event brings.
+/// The content of an event.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Content<E> {
-    /// A change.
+    /// A delta.
     Delta(E),
     /// The whole state, in place of all events before.
     Snapshot(E),
-    /// Nothing that can be used, and why.
+    /// An event that can't be used, and why.
     Unusable(String),
 }
 
-/// An event as a stream told it.
+/// An event as received on a stream.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Arrival<E> {
     /// Its number.
     pub number: u64,
-    /// The memory that it takes, about.
+    /// The approximate memory that it takes.
     pub bytes: usize,
-    /// The digest of what it says; `None` where it is not compared: a snapshot, or an event that says nothing.
+    /// The digest of its content; `None` if it is not compared: a snapshot, or an event without content.
     pub digest: Option<u64>,
-    /// What it brings.
+    /// Its content.
     pub content: Content<E>,
 }
 
-/// Why a stream is to be asked again.
+/// Why a stream must be requested again.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Reason {
-    /// An event has come before its predecessors.
+    /// An event arrived before its predecessors.
     Gap {
         /// The event's number.
         number: u64,
-        /// The number of the last event that was applied.
+        /// The number of the last applied event.
         applied: u64,
     },
     /// An event can't be used.
@@ -66,18 +69,18 @@
         /// Why not, for the log.
         why: String,
     },
-    /// Its heartbeat names an event that has not come.
+    /// Its heartbeat names an event that was not received.
     Missing {
         /// The number that it names.
         last: u64,
-        /// The number of the last event that was applied.
+        /// The number of the last applied event.
         applied: u64,
     },
-    /// Its numbers are lower than what was applied.
+    /// Its numbers are lower than that of the last applied event: the log was restarted or restored.
     LogRestarted {
         /// The number that it names.
         last: u64,
-        /// The number of the last event that was applied.
+        /// The number of the last applied event.
         applied: u64,
     },
 }
@@ -95,24 +98,24 @@
     }
 }
 
-/// What is to be done next.
+/// An action for the caller.
 #[derive(Debug)]
 pub enum Step<E> {
-    /// Apply an event. Where `lost`, what lies between it and the one before was not told.
+    /// Apply an event.
     Apply {
         /// The event.
         event: E,
-        /// Events before it were not told.
+        /// The events between it and the one applied before were not received.
         lost: bool,
     },
-    /// Pass over an event that can't be used.
+    /// Skip an event that can't be used.
     Skip {
         /// The event's number.
         number: u64,
         /// Why not, for the log.
         why: String,
     },
-    /// A stream tells another content under a number that was applied: of both the stricter acts.
+    /// A stream delivered another content under a number that was applied: the stricter of both takes effect.
     Contradiction {
         /// The stream, by its index.
         source: usize,
@@ -121,7 +124,7 @@
         /// The event.
         event: E,
     },
-    /// End a stream and ask it again from the last event that was applied.
+    /// Close a stream and request it again from the last applied event.
     Reconnect {
         /// The stream, by its index.
         source: usize,
@@ -130,155 +133,156 @@
     },
 }
 
-/// What a heartbeat says.
+/// The meaning of a heartbeat.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Heartbeat {
-    /// All that the stream knows of has been applied, and it knows of all that was.
+    /// The stream's last event is the last applied event.
     CaughtUp,
-    /// It vouches for nothing now: it came late, or events of its stream are held back.
+    /// It confirms nothing: it arrived late, or events of its stream are held back.
     Inconclusive,
-    /// It knows of less than what was applied; `should_log` the first time in a row that this lasts.
+    /// It names a lower number than the last applied event.
     Behind {
-        /// It was not so at its last heartbeat.
+        /// True once, at the `BEHIND_HEARTBEATS`th consecutive heartbeat that is behind.
         should_log: bool,
     },
-    /// The stream is to be asked again.
+    /// The stream must be requested again.
     Reconnect(Reason),
-    /// So are all: numbers begin anew.
+    /// All streams must be requested again: numbers start again.
     LogRestarted(Reason),
 }
 
 /// One stream.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Source<E> {
-    /// It was asked and has not ended.
-    stands: bool,
-    held: Held<E>,
+    /// It was requested and has not ended.
+    is_open: bool,
+    held_back: HeldBack<E>,
     heartbeats: Heartbeats,
-    /// When it was last caught up.
-    vouched: Option<Nanos>,
-    /// Heartbeats in a row with a lower number: all, and those while no other stream vouched for the higher one.
+    /// When it last confirmed the last applied event.
+    confirmed_at: Option<Nanos>,
+    /// Consecutive heartbeats with a lower number.
     behind: u32,
-    alone_behind: u32,
+    /// Those of them while no other stream confirmed the higher number.
+    behind_unopposed: u32,
 }
 
 impl<E> Default for Source<E> {
     fn default() -> Self {
         Source {
-            stands: false,
-            held: Held::default(),
+            is_open: false,
+            held_back: HeldBack::default(),
             heartbeats: Heartbeats::default(),
-            vouched: None,
+            confirmed_at: None,
             behind: 0,
-            alone_behind: 0,
+            behind_unopposed: 0,
         }
     }
 }
 
 impl<E> Source<E> {
-    /// Whether it may yet tell what another one lacks.
+    /// Whether it may still deliver what another stream lacks.
     fn may_fill(&self) -> bool {
-        self.stands && self.held.first().is_none()
+        self.is_open && self.held_back.first().is_none()
     }
 
     fn ended(&mut self) {
-        self.stands = false;
-        self.vouched = None;
-        self.held.clear();
+        self.is_open = false;
+        self.confirmed_at = None;
+        self.held_back.clear();
     }
 }
 
 /// The events of up to two streams as one sequence.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Merge<E> {
-    /// The number of the last event that was applied.
+    /// The number of the last applied event.
     applied: u64,
-    /// The number of an event that could not be used, or came too early; if it comes so again, by whichever stream, that
-    /// stands.
-    doubted: Option<u64>,
+    /// The number of an event that could not be used, or arrived early. If that happens again, on either stream, the
+    /// event is skipped or applied as it is.
+    retried_number: Option<u64>,
     sources: Vec<Source<E>>,
     digests: Digests,
-    /// Whether it is looked for that numbers begin anew.
-    looks_for_anew: bool,
+    /// Whether a restart of the log is detected.
+    detects_restart: bool,
     /// How much later than its period a heartbeat may come.
     slack: Nanos,
 }
 
 impl<E> Merge<E> {
-    /// With the events up to `applied` known; a heartbeat may take so long on its way.
+    /// Events up to `applied` are known; a heartbeat may be `slack` later than its period.
     pub fn new(applied: u64, slack: Nanos) -> Self {
         Merge {
             applied,
-            doubted: None,
+            retried_number: None,
             sources: Vec::new(),
             digests: Digests::default(),
-            looks_for_anew: false,
+            detects_restart: false,
             slack,
         }
     }
 
-    /// Looks from now on for whether numbers begin anew, or doesn't.
-    pub fn detect_log_restart(&mut self, looks: bool) {
-        self.looks_for_anew = looks;
+    /// Enables or disables the detection of a restart of the log.
+    pub fn detect_log_restart(&mut self, enabled: bool) {
+        self.detects_restart = enabled;
     }
 
-    /// The number of the last event that was applied.
+    /// The number of the last applied event.
     pub fn applied(&self) -> u64 {
         self.applied
     }
 
-    /// One stream more; streams are numbered from 0.
+    /// Adds a stream; streams are numbered from 0.
     pub fn add_source(&mut self) {
         self.sources.push(Source::default());
     }
 
-    /// A stream less; those behind it move up.
+    /// Removes a stream; the numbers of those after it decrease by one.
     pub fn remove_source(&mut self, source: usize) {
         self.sources.remove(source);
     }
 
-    /// A stream is asked for what follows the last event that was applied.
+    /// A stream is requested from the last applied event on.
     pub fn request_sent(&mut self, now: Nanos, source: usize) {
-        self.sources[source].stands = true;
+        self.sources[source].is_open = true;
         self.sources[source].heartbeats.request_sent(now);
     }
 
-    /// A stream has ended. What it told and was not applied is forgotten: it is told again.
+    /// A stream has ended. Its events that were not applied are dropped: they are requested again.
     pub fn ended(&mut self, source: usize) {
         self.sources[source].ended();
     }
 
-    /// How many events of a stream are held back, and their bytes.
+    /// The number of events of a stream that are held back, and their bytes.
     pub fn held(&self, source: usize) -> (usize, usize) {
-        self.sources[source].held.size()
+        self.sources[source].held_back.size()
     }
 
-    /// A stream has told an event.
+    /// An event was received on a stream.
     pub fn arrived(&mut self, source: usize, arrival: Arrival<E>) {
-        self.sources[source].held.push(arrival);
+        self.sources[source].held_back.push(arrival);
     }
 
-    /// What is to be done next; to be asked until there is nothing, after each change and now and then.
+    /// The next action; call it until it returns `None`, after each change and periodically.
     pub fn next_step(&mut self, now: Nanos) -> Option<Step<E>> {
         let sources = 0..self.sources.len();
-        let in_order = sources.clone().find_map(|source| self.in_order(source));
-        in_order.or_else(|| sources.clone().find_map(|source| self.out_of_order(now, source)))
+        let step = sources.clone().find_map(|source| self.step_in_order(source));
+        step.or_else(|| sources.clone().find_map(|source| self.step_out_of_order(now, source)))
     }
 
-    /// Applies what a stream holds that follows on the last event applied, and drops what is known.
-    fn in_order(&mut self, source: usize) -> Option<Step<E>> {
-        let another_stands = self.another(source, |other| other.stands);
+    /// Applies a held-back event that follows the last applied one, and drops known events.
+    fn step_in_order(&mut self, source: usize) -> Option<Step<E>> {
+        let another_is_open = self.any_other(source, |other| other.is_open);
         loop {
-            let first = self.sources[source].held.first()?;
+            let first = self.sources[source].held_back.first()?;
             let number = first.number;
             let usable = !matches!(first.content, Content::Unusable(_));
             if number == self.applied + 1 && usable {
                 return self.apply_first(source, false);
             }
-            if number > self.applied || !(usable || another_stands) {
+            if number > self.applied || !(usable || another_is_open) {
                 return None;
             }
-            let dropped = self.sources[source].held.pop()?;
+            let dropped = self.sources[source].held_back.pop()?;
             if !self.digests.contradicts(dropped.number, dropped.digest) {
                 continue;
             }
@@ -288,101 +292,103 @@
         }
     }
 
-    /// What is to be done about the first event that a stream holds back, where nothing else can be applied.
-    fn out_of_order(&mut self, now: Nanos, source: usize) -> Option<Step<E>> {
-        let another_may_fill = self.another(source, Source::may_fill);
-        let of = &mut self.sources[source];
-        let number = of.held.first()?.number;
-        if another_may_fill && of.held.waits(now) {
+    /// Handles the first event that a stream holds back, when no event can be applied in order.
+    fn step_out_of_order(&mut self, now: Nanos, source: usize) -> Option<Step<E>> {
+        let another_may_fill = self.any_other(source, Source::may_fill);
+        let stream = &mut self.sources[source];
+        let number = stream.held_back.first()?.number;
+        if another_may_fill && stream.held_back.may_wait(now) {
             return None;
         }
-        let doubted = self.doubted == Some(number);
-        match of.held.first()?.content {
+        let is_retried = self.retried_number == Some(number);
+        match stream.held_back.first()?.content {
             Content::Snapshot(_) => self.apply_first(source, true),
-            Content::Delta(_) if doubted => self.apply_first(source, true),
-            Content::Unusable(_) if doubted => self.leave_out_first(source),
-            _ => self.ask_again(source),
+            Content::Delta(_) if is_retried => self.apply_first(source, true),
+            Content::Unusable(_) if is_retried => self.skip_first(source),
+            _ => self.reconnect(source),
         }
     }
 
     fn apply_first(&mut self, source: usize, lost: bool) -> Option<Step<E>> {
-        let arrival = self.sources[source].held.pop()?;
+        let arrival = self.sources[source].held_back.pop()?;
         let (Content::Delta(event) | Content::Snapshot(event)) = arrival.content else { return None };
         self.applied = arrival.number;
-        self.digests.applied(arrival.number, arrival.digest);
+        self.digests.record(arrival.number, arrival.digest);
         Some(Step::Apply { event, lost })
     }
 
-    fn leave_out_first(&mut self, source: usize) -> Option<Step<E>> {
-        let arrival = self.sources[source].held.pop()?;
+    fn skip_first(&mut self, source: usize) -> Option<Step<E>> {
+        let arrival = self.sources[source].held_back.pop()?;
         let Content::Unusable(why) = arrival.content else { return None };
         self.applied = self.applied.max(arrival.number);
         Some(Step::Skip { number: arrival.number, why })
     }
 
-    /// The first event that a stream holds can't be used, or has come too early: once that may be a fault on its way.
-    fn ask_again(&mut self, source: usize) -> Option<Step<E>> {
+    /// The first event that a stream holds back can't be used, or arrived early. The first time that may be a
+    /// transmission fault, so the stream is requested again.
+    fn reconnect(&mut self, source: usize) -> Option<Step<E>> {
         let applied = self.applied;
-        let Arrival { number, content, .. } = self.sources[source].held.pop()?;
+        let Arrival { number, content, .. } = self.sources[source].held_back.pop()?;
         let reason = match content {
             Content::Unusable(why) => Reason::Unusable { number, why },
             _ => Reason::Gap { number, applied },
         };
-        self.doubted = Some(number);
+        self.retried_number = Some(number);
         self.sources[source].ended();
         Some(Step::Reconnect { source, reason })
     }
 
-    /// A stream has told its last number, after all its events.
+    /// A stream has sent its last number, after all its events.
     pub fn heartbeat(&mut self, now: Nanos, source: usize, last: u64) -> Heartbeat {
         let (applied, slack) = (self.applied, self.slack);
         let several = self.sources.len() > 1;
-        let of = &mut self.sources[source];
-        // With one stream, whoever renews a lease judges that.
-        let in_time = of.heartbeats.received(now, slack) || !several;
-        let told = of.held.last().unwrap_or(0).max(applied);
-        if last > told {
-            of.ended();
+        let stream = &mut self.sources[source];
+        // With one stream, the code that renews the lease checks the time itself.
+        let in_time = stream.heartbeats.received(now, slack) || !several;
+        let received = stream.held_back.last().unwrap_or(0).max(applied);
+        if last > received {
+            stream.ended();
             return Heartbeat::Reconnect(Reason::Missing { last, applied });
         }
         if last < applied && !in_time {
-            // What waited on its way tells what was known then, and ends a row of those that came in time.
-            of.alone_behind = 0;
+            // A delayed heartbeat shows an earlier state, so it interrupts the consecutive heartbeats that are behind.
+            stream.behind_unopposed = 0;
             return Heartbeat::Inconclusive;
         }
         if last < applied {
-            return self.behind(now, source, last);
+            return self.behind_heartbeat(now, source, last);
         }
-        (of.behind, of.alone_behind) = (0, 0);
-        if of.held.first().is_some() || !in_time {
+        (stream.behind, stream.behind_unopposed) = (0, 0);
+        if stream.held_back.first().is_some() || !in_time {
             return Heartbeat::Inconclusive;
         }
-        of.vouched = Some(now);
+        stream.confirmed_at = Some(now);
         Heartbeat::CaughtUp
     }
 
-    /// A stream knows of less than what was applied: at first it may not have caught up itself.
-    fn behind(&mut self, now: Nanos, source: usize, last: u64) -> Heartbeat {
-        let vouches = |other: &Source<E>| other.vouched.is_some_and(|at| now.since(at) <= VOUCHES_FOR);
-        let vouched_for = self.another(source, vouches);
-        let of = &mut self.sources[source];
-        of.behind = of.behind.saturating_add(1);
-        of.alone_behind = if vouched_for { 0 } else { of.alone_behind + 1 };
-        if of.alone_behind < BEHIND || !self.looks_for_anew {
-            return Heartbeat::Behind { should_log: of.behind == BEHIND };
+    /// A stream names a lower number than the last applied event. At first it may not have caught up itself.
+    fn behind_heartbeat(&mut self, now: Nanos, source: usize, last: u64) -> Heartbeat {
+        let confirms =
+            |other: &Source<E>| other.confirmed_at.is_some_and(|at| now.since(at) <= CONFIRMATION_VALID_FOR);
+        let is_opposed = self.any_other(source, confirms);
+        let stream = &mut self.sources[source];
+        stream.behind = stream.behind.saturating_add(1);
+        stream.behind_unopposed = if is_opposed { 0 } else { stream.behind_unopposed + 1 };
+        if stream.behind_unopposed < BEHIND_HEARTBEATS || !self.detects_restart {
+            return Heartbeat::Behind { should_log: stream.behind == BEHIND_HEARTBEATS };
         }
         let reason = Reason::LogRestarted { last, applied: self.applied };
         self.applied = 0;
         self.digests.clear();
         for source in &mut self.sources {
             source.ended();
-            (source.behind, source.alone_behind) = (0, 0);
+            (source.behind, source.behind_unopposed) = (0, 0);
         }
         Heartbeat::LogRestarted(reason)
     }
 
-    /// Whether any other stream is so.
-    fn another(&self, source: usize, is: impl Fn(&Source<E>) -> bool) -> bool {
+    /// Whether `is` holds for any other stream.
+    fn any_other(&self, source: usize, is: impl Fn(&Source<E>) -> bool) -> bool {
         self.sources.iter().enumerate().any(|(at, other)| at != source && is(other))
     }
 }
--- a/crates/routing/src/change_log/mod.rs
+++ b/crates/routing/src/change_log/mod.rs
@@ -1,10 +1,10 @@
-//! How one dispatcher follows the change log, or two replicas of it: which two ([`selection`]), what counts of that which both
-//! tell ([`merge`]), how late a stream is ([`lateness`]), and what may have been written that was not heard ([`knowledge`]).
-//! No input or output; time comes with each call. See docs/change-log.md.
+//! How one dispatcher follows the change log, through one or two replicas of it: which two ([`selection`]), how their
+//! events become one sequence ([`merge`]), how late a stream is ([`lateness`]), and which events may have been written
+//! but not received ([`knowledge`]). No I/O; time comes with each call. See docs/change-log.md.
 
 mod digests;
 mod heartbeat;
-mod held;
+mod held_back;
 pub mod knowledge;
 pub mod lateness;
 pub mod merge;
--- a/crates/routing/src/fleet/admission_control.rs
+++ b/crates/routing/src/fleet/admission_control.rs
@@ -1,154 +1,169 @@
-//! Admission control under overload: how much work is admitted a second, in which order, and the slots in which rejected
-//! requests may retry.
+//! Admission control under overload: how much work one backend (the caches, or the origin) is sent per second, which
+//! requests are admitted first, and the slots in which rejected requests may retry. Input: the expected capacity, the
+//! demand and the outcomes of admitted requests. Work is measured in seconds of a transfer; rates in such seconds per
+//! second. Overload control calls it; no I/O.
 
 use crate::interface::Nanos;
 use crate::structures::ring_buffer::RingBuffer;
 use crate::structures::timer_wheel::TimerWheel;
 
-/// Priority levels by value per work, doubling from one to the next; the last is for retries that come in their slot.
+/// Number of priority levels. Value per work doubles from one level to the next; the last level is for retries that
+/// arrive in their slot.
 pub const LEVELS: usize = 16;
-/// The level at which a second of work is worth one.
-const ONE: f64 = 5.0;
-/// Demand is summed over this window.
-const ASKED_OVER: Nanos = Nanos(1_000_000_000);
+/// The level of a value of one per second of work.
+const UNIT_VALUE_LEVEL: f64 = 5.0;
+/// Demand is summed over this window, in `BUCKETS` buckets.
+const DEMAND_WINDOW: Nanos = Nanos(1_000_000_000);
 const BUCKETS: usize = 8;
-/// Outcomes of admitted requests are judged over this window, if there are enough.
-const JUDGED_OVER: Nanos = Nanos(1_000_000_000);
-const ENOUGH: f64 = 4.0;
-/// The rate is raised while more than the first share is served in time, and lowered below the second.
-const WELL: f64 = 0.85;
-const ILL: f64 = 0.6;
-const RAISE: f64 = 1.08;
-const LOWER: f64 = 0.9;
+/// Outcomes of admitted requests are evaluated over this window, if there are at least `MIN_OUTCOMES`.
+const OUTCOME_WINDOW: Nanos = Nanos(1_000_000_000);
+const MIN_OUTCOMES: f64 = 4.0;
+/// The rate is raised while more than the first share of admitted requests is served in time, and lowered while less
+/// than the second is.
+const RAISE_ABOVE_SHARE: f64 = 0.85;
+const LOWER_BELOW_SHARE: f64 = 0.6;
+/// The factors by which the rate is raised and lowered each tenth of a second.
+const RAISE_FACTOR: f64 = 1.08;
+const LOWER_FACTOR: f64 = 0.9;
 /// Bounds of the rate, as multiples of the expected capacity.
-const LEAST: f64 = 0.1;
-const MOST: f64 = 1.25;
-/// A capacity that has grown by this factor counts as a new one.
-const ANEW: f64 = 1.2;
-/// Work a second that is always admitted: it shows when things work again.
-const TRICKLE: f64 = 0.1;
+const MIN_RATE_SHARE: f64 = 0.1;
+const MAX_RATE_SHARE: f64 = 1.25;
+/// If the expected capacity grows by this factor at once, earlier outcomes no longer count.
+const NEW_CAPACITY_FACTOR: f64 = 1.2;
+/// Rate that is always admitted, in work per second: its outcomes show when the backend has recovered.
+const MIN_RATE: f64 = 0.1;
 /// The share of the rate that every content type may use, whatever its value.
-const FLOOR: f64 = 0.05;
+const GUARANTEED_SHARE: f64 = 0.05;
 
 /// Admission to one backend: a token bucket with priorities, and reserved slots for retries.
 #[derive(Debug)]
 pub struct AdmissionControl {
-    looked: Nanos,
-    /// Expected capacity in work a second: now, and after the longest retry-after.
-    supply: [f64; 2],
-    longest: Nanos,
-    /// It is the capacity of the ways that bypass the backend.
-    past: bool,
-    /// The share of it that outcomes have confirmed.
-    borne: f64,
+    evaluated_at: Nanos,
+    /// Expected capacity in work per second: now, and after the longest retry-after.
+    capacity: [f64; 2],
+    max_retry_after: Nanos,
+    /// Whether that is the capacity of the paths that bypass the backend.
+    bypassed: bool,
+    /// The admitted rate as a multiple of the expected capacity, as outcomes have confirmed it.
+    rate_share: f64,
     /// Tokens: work that may still be admitted.
     tokens: f64,
-    /// Tokens of each content type's own share.
-    floors: Vec<f64>,
+    /// Tokens of each content type's guaranteed share.
+    guaranteed: Vec<f64>,
     /// Demanded work by level.
-    asked: RingBuffer<LEVELS>,
-    /// Levels above this one are admitted, and this share of it.
-    cut: (u8, f64),
-    ended: RingBuffer<2>,
+    demand: RingBuffer<LEVELS>,
+    /// The cut-off: levels above this one are admitted, and this share of the level itself.
+    cutoff: (u8, f64),
+    /// Admitted requests served in time, and not.
+    outcomes: RingBuffer<2>,
     wheel: TimerWheel,
-    /// Unused tokens are kept for so many seconds: the window that the backend is judged over.
-    saved: f64,
+    /// Unused tokens accumulate for this many seconds: the window over which overload of the backend is judged.
+    burst_s: f64,
     /// The share of the rate that is not reserved for retries.
-    newcomers: f64,
+    unreserved_share: f64,
 }
 
 impl AdmissionControl {
-    /// The level of retries that come in their slot.
+    /// The level of retries that arrive in their slot.
     pub const RESERVED: u8 = LEVELS as u8 - 1;
 
-    /// For so many content types.
-    pub fn new(types: usize, longest: Nanos, saved: Nanos, slots: usize, newcomers: f64) -> Self {
+    /// For `types` content types. Clients honour a retry-after of at most `max_retry_after`, which is divided into
+    /// `slots` slots.
+    pub fn new(
+        types: usize,
+        max_retry_after: Nanos,
+        burst: Nanos,
+        slots: usize,
+        unreserved_share: f64,
+    ) -> Self {
         AdmissionControl {
-            looked: Nanos::ZERO,
-            supply: [0.0; 2],
-            longest,
-            past: false,
-            borne: 1.0,
+            evaluated_at: Nanos::ZERO,
+            capacity: [0.0; 2],
+            max_retry_after,
+            bypassed: false,
+            rate_share: 1.0,
             tokens: 0.0,
-            floors: vec![0.0; types],
-            asked: RingBuffer::new(ASKED_OVER, BUCKETS),
-            cut: (0, 1.0),
-            ended: RingBuffer::new(JUDGED_OVER, BUCKETS),
-            wheel: TimerWheel::new(longest, slots),
-            saved: saved.secs(),
-            newcomers,
+            guaranteed: vec![0.0; types],
+            demand: RingBuffer::new(DEMAND_WINDOW, BUCKETS),
+            cutoff: (0, 1.0),
+            outcomes: RingBuffer::new(OUTCOME_WINDOW, BUCKETS),
+            wheel: TimerWheel::new(max_retry_after, slots),
+            burst_s: burst.secs(),
+            unreserved_share,
         }
     }
 
-    /// The level of a value for so much work.
+    /// The level of a request of value `benefit` that takes `work_s` seconds of work.
     pub fn level(benefit: f64, work_s: f64) -> u8 {
-        let level = (benefit.max(1e-6) / work_s.max(1e-4)).log2() + ONE;
+        let level = (benefit.max(1e-6) / work_s.max(1e-4)).log2() + UNIT_VALUE_LEVEL;
         level.clamp(0.0, f64::from(Self::RESERVED - 1)) as u8
     }
 
-    /// The admitted rate, in work a second.
-    pub fn pace(&self) -> f64 {
-        (self.borne * self.supply[0]).max(TRICKLE)
+    /// The admitted rate, in work per second.
+    pub fn rate(&self) -> f64 {
+        (self.rate_share * self.capacity[0]).max(MIN_RATE)
     }
 
-    /// Sets the rate from the expected capacity and the outcomes of admitted requests, and the level that is cut off.
-    pub fn look(&mut self, now: Nanos, [soon, later]: [f64; 2], past: bool) {
-        let passed = now.since(self.looked).secs().min(1.0);
-        // Capacity that is new has its whole window ahead of it.
-        let before = if past == self.past { self.supply[0] } else { 0.0 };
-        let fresh = (soon - before).max(0.0) * self.saved;
-        self.past = past;
-        if soon > ANEW * before {
-            // Outcomes under the old capacity say nothing of the new one.
-            self.borne = self.borne.max(1.0);
-            self.ended.clear();
+    /// Sets the rate from the expected capacity (now, and after the longest retry-after) and the outcomes of admitted
+    /// requests, and the cut-off level from the demand. `bypassed` if the capacity is that of the paths that bypass the
+    /// backend.
+    pub fn evaluate(&mut self, now: Nanos, [soon, later]: [f64; 2], bypassed: bool) {
+        let passed = now.since(self.evaluated_at).secs().min(1.0);
+        // Added capacity has used none of its window yet, so it brings the tokens of a whole one.
+        let before = if bypassed == self.bypassed { self.capacity[0] } else { 0.0 };
+        let added_tokens = (soon - before).max(0.0) * self.burst_s;
+        self.bypassed = bypassed;
+        if soon > NEW_CAPACITY_FACTOR * before {
+            // Outcomes under the old capacity say nothing about the new one.
+            self.rate_share = self.rate_share.max(1.0);
+            self.outcomes.clear();
         }
-        (self.looked, self.supply) = (now, [soon, later]);
-        let [well, ill] = self.ended.sums(now);
-        if well + ill >= ENOUGH {
-            let share = well / (well + ill);
-            // Raised and lowered per tenth of a second that has passed.
+        (self.evaluated_at, self.capacity) = (now, [soon, later]);
+        let [in_time, late] = self.outcomes.sums(now);
+        if in_time + late >= MIN_OUTCOMES {
+            let share = in_time / (in_time + late);
+            // In tenths of a second that have passed.
             let steps = passed * 10.0;
-            if share > WELL {
-                self.borne = (self.borne * RAISE.powf(steps)).min(MOST);
-            } else if share < ILL {
-                self.borne = (self.borne * LOWER.powf(steps)).max(LEAST);
+            if share > RAISE_ABOVE_SHARE {
+                self.rate_share = (self.rate_share * RAISE_FACTOR.powf(steps)).min(MAX_RATE_SHARE);
+            } else if share < LOWER_BELOW_SHARE {
+                self.rate_share = (self.rate_share * LOWER_FACTOR.powf(steps)).max(MIN_RATE_SHARE);
             }
         }
-        let pace = self.pace();
-        self.tokens = (self.tokens + pace * passed + fresh).min(pace * self.saved);
-        for floor in &mut self.floors {
-            *floor = (*floor + pace * FLOOR * passed).min(pace * FLOOR);
+        let rate = self.rate();
+        self.tokens = (self.tokens + rate * passed + added_tokens).min(rate * self.burst_s);
+        for tokens in &mut self.guaranteed {
+            *tokens = (*tokens + rate * GUARANTEED_SHARE * passed).min(rate * GUARANTEED_SHARE);
         }
         self.wheel.reopen();
-        let asked = self.asked.sums(now);
-        let mut room = pace * ASKED_OVER.secs() + self.tokens.max(0.0);
-        self.cut = (0, 1.0);
+        let demand = self.demand.sums(now);
+        let mut room = rate * DEMAND_WINDOW.secs() + self.tokens.max(0.0);
+        self.cutoff = (0, 1.0);
         for level in (0..LEVELS).rev() {
-            if asked[level] > room {
-                self.cut = (level as u8, room / asked[level]);
+            if demand[level] > room {
+                self.cutoff = (level as u8, room / demand[level]);
                 break;
             }
-            room -= asked[level];
+            room -= demand[level];
         }
     }
 
-    /// Counts demand for so much work.
-    pub fn asked(&mut self, now: Nanos, level: u8, work_s: f64) {
-        self.asked.add(now, usize::from(level).min(LEVELS - 1), work_s);
+    /// Counts the demand for `work_s` seconds of work.
+    pub fn record_demand(&mut self, now: Nanos, level: u8, work_s: f64) {
+        self.demand.add(now, usize::from(level).min(LEVELS - 1), work_s);
     }
 
-    /// Whether a request is admitted; `draw` in [0, 1) decides at the level that is cut off.
-    pub fn lets_in(&mut self, content_type: usize, level: u8, work_s: f64, draw: f64) -> bool {
-        let (cut, part) = self.cut;
-        let above = level > cut || (level == cut && draw < part);
+    /// Whether a request is admitted, which spends its tokens; `draw` in [0, 1) decides at the cut-off level.
+    pub fn admits(&mut self, content_type: usize, level: u8, work_s: f64, draw: f64) -> bool {
+        let (cutoff, share) = self.cutoff;
+        let above = level > cutoff || (level == cutoff && draw < share);
         if above && self.tokens > 0.0 {
             self.tokens -= work_s;
             return true;
         }
-        let floor = &mut self.floors[content_type];
-        if *floor > 0.0 && self.tokens > -self.supply[0].max(TRICKLE) {
-            *floor -= work_s;
+        let guaranteed = &mut self.guaranteed[content_type];
+        if *guaranteed > 0.0 && self.tokens > -self.capacity[0].max(MIN_RATE) {
+            *guaranteed -= work_s;
             self.tokens -= work_s;
             return true;
         }
@@ -156,24 +171,24 @@
     }
 
     /// An admitted request has ended.
-    pub fn ended(&mut self, now: Nanos, in_time: bool) {
-        self.ended.add(now, usize::from(!in_time), 1.0);
+    pub fn request_ended(&mut self, now: Nanos, in_time: bool) {
+        self.outcomes.add(now, usize::from(!in_time), 1.0);
     }
 
-    /// An admitted request found no copy and no source: its tokens are returned, and it says nothing of the rate.
-    pub fn came_to_nothing(&mut self, work_s: f64) {
+    /// An admitted request found no copy and no source: its tokens are returned, and it is no evidence about the rate.
+    pub fn return_tokens(&mut self, work_s: f64) {
         self.tokens += work_s;
     }
 
-    /// Reserves a slot and returns a time in it; `None` if all slots are full. Levels below the cut may use half of a slot, so
-    /// that they don't take it from more valuable ones.
+    /// Reserves a slot and returns a random time in it; `None` if all slots are full. Levels below the cut-off may use
+    /// half of a slot only, so that they leave room for more valuable ones. `draw` in [0, 1).
     pub fn reserve(&mut self, now: Nanos, level: u8, work_s: f64, draw: f64) -> Option<Nanos> {
-        let part = (1.0 - self.newcomers) * if level >= self.cut.0 { 1.0 } else { 0.5 };
-        let (borne, [soon, later], longest) = (self.borne, self.supply, self.longest);
+        let slot_share = (1.0 - self.unreserved_share) * if level >= self.cutoff.0 { 1.0 } else { 0.5 };
+        let (rate_share, [soon, later], span) = (self.rate_share, self.capacity, self.max_retry_after);
         let width = self.wheel.width();
         let room = |at: Nanos| {
-            let on = (at.since(now).secs() / longest.secs().max(1e-3)).min(1.0);
-            borne * (soon + (later - soon) * on) * part * width.secs()
+            let progress = (at.since(now).secs() / span.secs().max(1e-3)).min(1.0);
+            rate_share * (soon + (later - soon) * progress) * slot_share * width.secs()
         };
         let earliest = now.after(width);
         let begins = self.wheel.reserve(now, earliest, work_s, room)?;
--- a/crates/routing/src/fleet/bandwidth_share.rs
+++ b/crates/routing/src/fleet/bandwidth_share.rs
@@ -1,117 +1,127 @@
-//! Bandwidth share: how many of its own fills one dispatcher may have in flight on the zone's link for fills. No I/O; time comes
-//! with each call, random draws from the caller.
+//! Bandwidth share: limits how many of its own fills one dispatcher may have in flight on the zone's link for fills.
+//! Input: the capacities of the listed caches and the times of each fill. Output: whether one more fill may start. No
+//! I/O; time comes with each call, random draws from the caller.
 //!
-//! The link divides itself among all fills, so one too many makes all of them late. Each dispatcher keeps its own fills
-//! under a limit that follows how slow they run; what is large for its type is let go first. Guards against scans, cold
-//! caches, slow parents, huge objects and full caches.
+//! The link's bandwidth is divided among all fills, so one too many makes all of them late. Each dispatcher keeps its
+//! own fills under a limit that follows their speed; fills that are large for their type are refused first. Prevents
+//! overload of the link by scans, cold caches, slow parents, huge objects and full caches.
 
 use crate::interface::{Nanos, Settings};
 use crate::structures::ring_buffer::RingBuffer;
 
-/// Fills are judged over this.
-const JUDGED_OVER: Nanos = Nanos(2_000_000_000);
+/// The speed of fills is evaluated over this window, in `BUCKETS` buckets.
+const SPEED_WINDOW: Nanos = Nanos(2_000_000_000);
 const BUCKETS: usize = 8;
-/// Standard deviations of own fills that the first limit leaves room for.
-const SPREAD: f64 = 3.0;
-/// Of the first limit, the least: fills may be slow for reasons of their own.
-const FLOOR: f64 = 0.3;
-/// The limit falls to this part of itself with a fill that ends while all are slow, and rises by the other while it
-/// binds, which is over this part of it.
-const FALL: f64 = 0.97;
-const RISE: f64 = 0.05;
-const BINDS: f64 = 0.7;
-/// A fill counts as no larger than so many usual ones.
-const LARGEST: f64 = 4.0;
+/// The initial limit leaves room for this many standard deviations of the number of own fills.
+const SPREAD_DEVIATIONS: f64 = 3.0;
+/// The lowest limit, as a part of this dispatcher's share of the link: fills may be slow for reasons other than the
+/// link.
+const MIN_LIMIT_SHARE: f64 = 0.3;
+/// The limit is multiplied by the first number with each fill that ends while fills are slow, and otherwise grows by
+/// the second (fills), if more than the third part of the limit is in use.
+const DECREASE_FACTOR: f64 = 0.97;
+const INCREASE_STEP: f64 = 0.05;
+const INCREASE_ABOVE_USE: f64 = 0.7;
+/// A fill counts as at most this many times the mean size.
+const MAX_RELATIVE_SIZE: f64 = 4.0;
 
 /// One dispatcher's share of the zone's link for fills.
 #[derive(Debug)]
 pub struct BandwidthShare {
-    /// Time own fills took to send, what is fair for that, and how long they waited first.
-    pace: RingBuffer<3>,
-    /// Own fills out.
-    out: f64,
-    /// How many there may be; 0 until the first.
+    /// Seconds that own fills took to transfer, that they should have taken, and that they waited for the first byte.
+    times_s: RingBuffer<3>,
+    /// Own fills in flight.
+    in_flight: f64,
+    /// The most own fills in flight; 0 until the first fill.
     limit: f64,
-    /// This dispatcher's part of the link, in transfers, as most caches were listed.
-    part: f64,
-    /// The most that the sizes of listed caches came to.
-    most: f64,
+    /// This dispatcher's share of the link, in concurrent transfers, with the most caches that were listed.
+    own_share: f64,
+    /// The largest sum of listed capacities so far, in concurrent transfers.
+    max_listed: f64,
 }
 
-/// Of the caches' links, where the location's own is not told.
-const JUDGED_PART: f64 = 0.5;
+/// Where the bandwidth of the location's link is not configured, it is estimated as this part of the caches'
+/// capacities.
+const ESTIMATED_LINK_SHARE: f64 = 0.5;
 
 impl Default for BandwidthShare {
     fn default() -> Self {
         BandwidthShare {
-            pace: RingBuffer::new(JUDGED_OVER, BUCKETS),
-            out: 0.0,
+            times_s: RingBuffer::new(SPEED_WINDOW, BUCKETS),
+            in_flight: 0.0,
             limit: 0.0,
-            part: 0.0,
-            most: 0.0,
+            own_share: 0.0,
+            max_listed: 0.0,
         }
     }
 }
 
 impl BandwidthShare {
-    /// The caches of the location have these links together: this dispatcher's part of the location's, in transfers, is
-    /// told, or else judged from theirs. The most that were listed count, at what those here have shown they can do.
-    pub fn caches_listed(&mut self, s: &Settings, [listed, can]: [f64; 2]) {
-        self.most = self.most.max(listed);
-        let caches = self.most * if listed > 0.0 { can / listed } else { 1.0 };
-        let all =
-            if s.link_kb_per_s > 0.0 { s.link_kb_per_s / s.client_kb_per_s } else { JUDGED_PART * caches };
-        let part = all / f64::from(s.zone_dispatchers.max(1));
-        // What sizes are found to be moves the limit along.
-        self.limit *= if self.part > 0.0 { part / self.part } else { 1.0 };
-        self.part = part;
+    /// The listed caches of the location have these capacities together, in concurrent transfers: as listed, and as
+    /// observed. Sets this dispatcher's share of the location's link, as configured or else estimated from the caches.
+    /// The largest listed sum counts, scaled by what the present caches have shown.
+    pub fn caches_listed(&mut self, settings: &Settings, [listed, observed]: [f64; 2]) {
+        self.max_listed = self.max_listed.max(listed);
+        let caches = self.max_listed * if listed > 0.0 { observed / listed } else { 1.0 };
+        let link = if settings.link_kb_per_s > 0.0 {
+            settings.link_kb_per_s / settings.client_kb_per_s
+        } else {
+            ESTIMATED_LINK_SHARE * caches
+        };
+        let own_share = link / f64::from(settings.zone_dispatchers.max(1));
+        // The limit follows changes of the observed capacities.
+        self.limit *= if self.own_share > 0.0 { own_share / self.own_share } else { 1.0 };
+        self.own_share = own_share;
     }
 
-    /// Own fills that may be out.
+    /// The most own fills in flight.
     pub fn limit(&self) -> f64 {
         self.limit
     }
 
-    /// What it bears of own attempts that go past the caches.
+    /// The most own attempts in flight that bypass the caches, in concurrent transfers.
     pub fn bypass_limit(&self) -> f64 {
-        self.limit.min(self.part.max(1.0))
+        self.limit.min(self.own_share.max(1.0))
     }
 
-    /// A fill goes out.
+    /// A fill starts.
     pub fn fill_started(&mut self) {
-        self.out += 1.0;
+        self.in_flight += 1.0;
     }
 
-    /// One has ended, or was called off.
+    /// A fill has ended, or was cancelled.
     pub fn fill_ended(&mut self) {
-        self.out -= 1.0;
+        self.in_flight -= 1.0;
     }
 
-    /// Whether it has room for one more, so many times as large as usual, among so many dispatchers; `draw` in [0, 1).
+    /// Whether there is room for one more fill of `size` times the mean size, with `sharers` dispatchers on the link;
+    /// `draw` in [0, 1).
     pub fn has_room(&mut self, now: Nanos, sharers: u32, size: f64, draw: f64) -> bool {
         if self.limit == 0.0 {
-            // Several ask at random: a small part is at times run over, at times not used.
+            // Dispatchers send fills independently, so one with a small share at times needs more than it, at times
+            // less.
             let others = 1.0 - 1.0 / f64::from(sharers.max(1));
-            self.limit = self.part + SPREAD * (self.part * others).sqrt();
+            self.limit = self.own_share + SPREAD_DEVIATIONS * (self.own_share * others).sqrt();
         }
-        // What waits for its first byte is not on the link.
-        let [took, _, waited] = self.pace.sums(now);
+        // A fill that waits for its first byte doesn't use the link.
+        let [took, _, waited] = self.times_s.sums(now);
         let on_link = if took > 0.0 { took / (took + waited) } else { 1.0 };
-        // The draw stands for the part of a request that the limit has room for: it may be under one.
-        (self.out * on_link + draw) * size.clamp(1.0, LARGEST).sqrt() < self.limit
+        // The draw makes a limit below one admit a fill with that probability.
+        (self.in_flight * on_link + draw) * size.clamp(1.0, MAX_RELATIVE_SIZE).sqrt() < self.limit
     }
 
-    /// Follows how slow fills run: the time one took to send, what is fair for that, and how long it waited first. Down
-    /// when they take too long for their size, up when the limit binds.
+    /// Records a fill that ended, in seconds: its transfer time, the time it should have taken, and the wait for its
+    /// first byte. Lowers the limit if recent fills are too slow for their sizes; otherwise raises it if it is nearly
+    /// reached.
     pub fn record_fill(&mut self, now: Nanos, seconds: [f64; 3]) {
         for (at, secs) in seconds.into_iter().enumerate() {
-            self.pace.add(now, at, secs);
+            self.times_s.add(now, at, secs);
         }
-        let [took, fair, _] = self.pace.sums(now);
-        if took > fair {
-            self.limit = (self.limit * FALL).max(FLOOR * self.part);
-        } else if self.out > BINDS * self.limit {
-            self.limit += RISE;
+        let [took, expected, _] = self.times_s.sums(now);
+        if took > expected {
+            self.limit = (self.limit * DECREASE_FACTOR).max(MIN_LIMIT_SHARE * self.own_share);
+        } else if self.in_flight > INCREASE_ABOVE_USE * self.limit {
+            self.limit += INCREASE_STEP;
         }
     }
 }
--- a/crates/routing/src/fleet/duplicate_filter.rs
+++ b/crates/routing/src/fleet/duplicate_filter.rs
@@ -1,55 +1,56 @@
-//! Duplicate filter: rejects requests under an id that was seen before, ahead of the policy.
+//! Duplicate filter: detects requests with an id that was seen before, ahead of the policy. The caller answers a
+//! duplicate at once, as failed.
 //!
-//! By the protocol every request, retries included, has a new id, and no id is used twice. A duplicate does not come from a
-//! usual client: passed on, its answer could be taken for that of the first, and a flood of the same id would fill every
-//! connection to a node. It is answered at once, as failed.
+//! By the protocol every request, retries included, has a new id. A duplicate does not come from a correct client: if
+//! it were passed on, its answer could be taken for that of the first request, and a flood with the same id would fill
+//! every connection to a node.
 //!
-//! Each id is kept for as long as a request under it could still be open somewhere, and at most `most` of them: the oldest are
-//! dropped first.
+//! Each id is kept for as long as a request under it may be open, and at most `max_ids` of them: the oldest are dropped
+//! first.
 //!
-//! Refusing all else that a connection sends once it has sent something unusable was measured and not kept: on
-//! the days of rude clients their later requests are worth serving (`docs/fleet.md`).
+//! The other requests of a connection that has sent something unusable are served: later requests of misbehaving
+//! clients are worth serving (`docs/fleet.md`).
 
 use crate::interface::Nanos;
 use std::collections::{HashMap, VecDeque};
 
-/// Ids that are kept at most: a dispatcher takes some tens of requests a second, a flood some thousands.
+/// The most ids kept: a dispatcher receives some tens of requests per second, and some thousands in a flood.
 pub const MAX_IDS: usize = 65_536;
 
-/// What becomes of a request.
+/// The result of a check.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// It is new.
+    /// The id is new.
     New,
-    /// Its id was seen before.
+    /// The id was seen before.
     Duplicate,
 }
 
-/// The ids seen lately.
+/// The recently seen ids.
 #[derive(Debug)]
 pub struct DuplicateFilter {
     /// When each id was seen.
     seen: HashMap<u64, Nanos>,
-    /// The same, oldest first.
+    /// The same ids, oldest first.
     order: VecDeque<(Nanos, u64)>,
     /// How long an id is kept.
     kept_for: Nanos,
-    most: usize,
+    max_ids: usize,
 }
 
 impl DuplicateFilter {
-    /// Keeps each id for `kept_for`, the longest that a request may be open, and at most `most` of them.
-    pub fn new(kept_for: Nanos, most: usize) -> Self {
-        DuplicateFilter { seen: HashMap::new(), order: VecDeque::new(), kept_for, most: most.max(1) }
+    /// Keeps each id for `kept_for`, the longest time that a request may be open, and at most `max_ids` of them.
+    pub fn new(kept_for: Nanos, max_ids: usize) -> Self {
+        DuplicateFilter { seen: HashMap::new(), order: VecDeque::new(), kept_for, max_ids: max_ids.max(1) }
     }
 
-    /// A whole request has come, under the client's id (as a hash).
+    /// Checks the id (as a hash) of a request that was received whole, and keeps it if it is new.
     pub fn check(&mut self, now: Nanos, id: u64) -> Verdict {
         self.forget(now);
         if self.seen.contains_key(&id) {
             return Verdict::Duplicate;
         }
-        if self.seen.len() >= self.most
+        if self.seen.len() >= self.max_ids
             && let Some((_, oldest)) = self.order.pop_front()
         {
             self.seen.remove(&oldest);
@@ -59,12 +60,12 @@
         Verdict::New
     }
 
-    /// How many ids are kept.
+    /// The number of ids kept.
     pub fn len(&self) -> usize {
         self.seen.len()
     }
 
-    /// Whether none is.
+    /// Whether no id is kept.
     pub fn is_empty(&self) -> bool {
         self.seen.is_empty()
     }
--- a/crates/routing/src/reconnect_schedule.rs
+++ b/crates/routing/src/reconnect_schedule.rs
@@ -1,311 +1,324 @@
-//! Decisions on when a dispatcher calls the list service (the change log): at its start, while the service is away,
-//! and when it is back. No input or output; time comes with each call, chance from a seed. See docs/cold-start.md.
+//! Decides when a dispatcher (or a replica) connects to the change log: at start, while the change log is away, and
+//! when it is back. Inputs: settings, the time with each call, a random seed. Outputs: the time of the next connection
+//! and the state of the current one. No I/O. The owner of the connection asks [`ReconnectSchedule::is_due`] and reports
+//! each event. See docs/cold-start.md.
 //!
-//! All dispatchers together keep to what the service bears without hearing of one another: the time is cut into
-//! rounds, the same ones everywhere, as long as the service takes for one call of each, and each calls at most once a
-//! round, at a place that it draws. A call that brings nothing leads to the next round's, not to an earlier one: an
-//! outage of any length costs the same as a start. Where the operators do not tell what the service bears, rounds
-//! begin short and double while nothing is heard.
+//! All dispatchers together keep to what the change log can bear without coordination. Unix time is divided into
+//! reconnect windows, the same for all, as long as the change log needs to accept one connection from each dispatcher;
+//! each dispatcher connects at most once per window, in a slot that it draws. A failed attempt leads to a slot in a
+//! later window, so an outage of any length causes no higher rate than a start. Where the operators don't configure
+//! what the change log bears, windows begin short and double with consecutive failures.
 //!
-//! Should there be more dispatchers than was told, calls in vain make each pass over rounds, whole ones, and which ones
-//! is drawn too: a longer round instead, begun by each at its own time, would for once bring twice the calls
-//! (measured, docs/cold-start.md).
+//! If there are more dispatchers than configured, failed attempts make each dispatcher skip whole windows, and it draws
+//! which of them it uses. Lengthening the window instead, begun by each dispatcher at its own time, can bring twice the
+//! rate once (docs/cold-start.md).
 
 use crate::interface::{Nanos, mix};
 use crate::structures::random::Random;
 
-/// The part of what the service bears that rounds are laid out for: who calls at random comes unevenly.
-const LOAD: f64 = 0.8;
-/// What a call and its answer may take; so much of the time in which one must hear is no part of a round.
-const ANSWER: Nanos = Nanos(500_000_000);
-/// A second's line comes each second: after this long without a whole line a call, or a stream, has ended.
-const SILENT_AFTER: Nanos = Nanos(2_000_000_000);
-/// How often the wait for an answer doubles where one call is made at a time: to 16 s.
-const MOST_DOUBLINGS: u32 = 3;
-/// A stream that told something for so long is steady. One that ends sooner is a call more that brought nothing.
-const STEADY: Nanos = Nanos(2_000_000_000);
-/// Who calls so much later than it meant to was stopped.
-const OVERSLEPT: Nanos = Nanos(500_000_000);
-/// Rounds that are passed over since calls were in vain are passed over until a stream was steady for so long.
-const LEARNT_FOR: Nanos = Nanos(600_000_000_000);
-/// Rounds where nothing is told of what the service bears: the first, and the longest.
-const BLIND: Nanos = Nanos(200_000_000);
-const BLIND_MOST: Nanos = Nanos(3_200_000_000);
-/// Calls a second that all dispatchers together make of a service that is away, where nothing is told of what it bears: few
-/// dispatchers call more often than hundreds, up to the shortest of the longest rounds.
-const BLIND_CALLS_PER_S: f64 = 90.0;
-const BLIND_LEAST: Nanos = Nanos(400_000_000);
-/// A call that could not be made for want of this machine's own is tried again after so long at the most, and half of it
-/// at the least; where rounds are told, at the own place that follows that.
-const WANTED: Nanos = Nanos(1_000_000_000);
+/// Share of the configured rate that windows are laid out for: slots are random, so the rate within a window varies.
+const TARGET_LOAD: f64 = 0.8;
+/// Time that a connection and its answer may take. It is reserved from the delivery time, so no window is that long.
+const ANSWER_TIME: Nanos = Nanos(500_000_000);
+/// A heartbeat line comes each second: a connection without a whole line for this long counts as ended.
+const SILENCE_TIMEOUT: Nanos = Nanos(2_000_000_000);
+/// How often the answer timeout doubles where one connection is open at a time: 2 s doubles up to 16 s.
+const MAX_TIMEOUT_DOUBLINGS: u32 = 3;
+/// A stream that delivered lines for this long is steady. One that ends sooner counts as a failed attempt.
+const STEADY_AFTER: Nanos = Nanos(2_000_000_000);
+/// A dispatcher that is later than its slot by more than this was suspended.
+const MAX_LATENESS: Nanos = Nanos(500_000_000);
+/// Skipping of windows, a consequence of failed attempts, ends once a stream has been steady for this long.
+const SKIP_WINDOWS_FOR: Nanos = Nanos(600_000_000_000);
+/// Without a configured rate: the first wait, and the longest.
+const DEFAULT_WINDOW: Nanos = Nanos(200_000_000);
+const MAX_DEFAULT_WINDOW: Nanos = Nanos(3_200_000_000);
+/// Without a configured rate: the number of connections per second that all dispatchers together may make to a change
+/// log that is away. A small fleet therefore waits less, down to the lower bound of the longest wait.
+const DEFAULT_CALLS_PER_S: f64 = 90.0;
+const MIN_LONGEST_WAIT: Nanos = Nanos(400_000_000);
+/// The longest wait, of which half is random, after an attempt that failed for lack of local resources such as file
+/// descriptors. With a configured rate the next attempt takes the dispatcher's first slot after that wait.
+const LOCAL_FAILURE_WAIT: Nanos = Nanos(1_000_000_000);
 
-/// What the operators tell of the list service.
+/// What the operators configure about the change log.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ReconnectSettings {
-    /// How many dispatchers call it.
+    /// The number of dispatchers that connect to it.
     pub dispatchers: u32,
-    /// Calls a second that it bears; `None` if not told.
+    /// New connections per second that it bears; `None` if not configured.
     pub calls_per_s: Option<f64>,
-    /// What it has to tell counts as told after this long, whether it was heard or not.
+    /// An event counts as delivered this long after it was written, whether it was received or not.
     pub delivered_after: Nanos,
-    /// The part of each round in which this dispatcher's location calls, from and to, in [0, 1].
+    /// The part of each reconnect window in which this dispatcher's location connects: start and end, in [0, 1].
     pub window_range: [f64; 2],
 }
 
 impl ReconnectSettings {
-    /// The shortest round in which all can call.
-    fn round(&self) -> Nanos {
-        self.calls_per_s.map_or(BLIND, |bears| Nanos::from_secs(f64::from(self.dispatchers) / (LOAD * bears)))
+    /// The shortest window in which all dispatchers can connect.
+    fn window(&self) -> Nanos {
+        self.calls_per_s.map_or(DEFAULT_WINDOW, |rate| {
+            Nanos::from_secs(f64::from(self.dispatchers) / (TARGET_LOAD * rate))
+        })
     }
 
-    /// The longest round after which one has still heard in time.
-    fn longest(&self) -> Nanos {
-        let heard = Nanos(self.delivered_after.0.saturating_sub(ANSWER.0));
+    /// The longest wait after which events are still received in time.
+    fn longest_wait(&self) -> Nanos {
+        let in_time = Nanos(self.delivered_after.0.saturating_sub(ANSWER_TIME.0));
         if self.calls_per_s.is_some() {
-            return heard;
+            return in_time;
         }
-        let shared = Nanos::from_secs(f64::from(self.dispatchers) / BLIND_CALLS_PER_S);
-        heard.min(shared.clamp(BLIND_LEAST, BLIND_MOST))
+        let shared = Nanos::from_secs(f64::from(self.dispatchers) / DEFAULT_CALLS_PER_S);
+        in_time.min(shared.clamp(MIN_LONGEST_WAIT, MAX_DEFAULT_WINDOW))
     }
 
-    /// The longest that a dispatcher goes without a call, or the least that the service would have to bear, in calls
-    /// a second, where so many dispatchers can't all be heard in time.
+    /// The longest wait between two connections; or, as an error, the lowest rate in connections per second that the
+    /// change log would have to bear for all dispatchers to receive events in time.
     pub fn max_wait(&self) -> Result<Nanos, f64> {
-        let longest = self.longest();
-        if self.round() > longest {
-            return Err(f64::from(self.dispatchers) / (LOAD * longest.secs().max(1e-3)));
+        let longest = self.longest_wait();
+        if self.window() > longest {
+            return Err(f64::from(self.dispatchers) / (TARGET_LOAD * longest.secs().max(1e-3)));
         }
         Ok(longest)
     }
 }
 
-/// Where a dispatcher stands with the list service.
+/// The state of the connection to the change log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConnectionState {
-    /// It calls next at this time.
+    /// Not connected; the next attempt is due at this time.
     Waiting(Nanos),
-    /// It has called at this time, and has heard nothing yet.
+    /// An attempt began at this time and has received nothing yet.
     Connecting(Nanos),
-    /// It hears: since the call at this time.
+    /// Lines are received on the connection that was begun at this time.
     Following(Nanos),
 }
 
-/// When one dispatcher calls.
+/// The times at which one dispatcher connects.
 #[derive(Debug)]
 pub struct ReconnectSchedule {
-    s: ReconnectSettings,
-    chance: Random,
+    settings: ReconnectSettings,
+    random: Random,
     /// The Unix time, in nanoseconds, at which this dispatcher's clock shows zero; wraps.
     unix_zero: u64,
-    line: ConnectionState,
-    /// The place in a round, in [0, 1).
-    place: f64,
-    /// It calls in one round of so many, and in which of them.
-    one_in: u64,
-    which: u64,
-    /// Calls and short streams since one was steady.
-    in_vain: u32,
-    /// When a whole line was last heard.
-    heard: Nanos,
-    /// Since when nothing steady is heard, where staff were told so.
-    lost: Option<Nanos>,
+    state: ConnectionState,
+    /// The slot in a window, in [0, 1).
+    slot: f64,
+    /// One window in this many is used.
+    window_stride: u64,
+    /// Which of them: the window's number modulo the stride.
+    window_offset: u64,
+    /// Consecutive failures: attempts and short streams since the last steady stream.
+    failed_attempts: u32,
+    /// When a whole line was last received.
+    last_line_at: Nanos,
+    /// Since when there has been no steady stream; set once that has been logged.
+    lost_since: Option<Nanos>,
 }
 
 impl ReconnectSchedule {
-    /// A dispatcher that has not called yet, whose clock shows zero at a Unix time in nanoseconds.
-    pub fn new(s: ReconnectSettings, seed: u64, unix_zero: u64) -> Self {
-        let mut calls = ReconnectSchedule {
-            s,
-            chance: Random::new(mix(seed)),
+    /// A dispatcher that has not connected yet, whose clock shows zero at this Unix time in nanoseconds.
+    pub fn new(settings: ReconnectSettings, seed: u64, unix_zero: u64) -> Self {
+        let mut schedule = ReconnectSchedule {
+            settings,
+            random: Random::new(mix(seed)),
             unix_zero,
-            line: ConnectionState::Waiting(Nanos::ZERO),
-            place: 0.0,
-            one_in: 1,
-            which: 0,
-            in_vain: 0,
-            heard: Nanos::ZERO,
-            lost: None,
+            state: ConnectionState::Waiting(Nanos::ZERO),
+            slot: 0.0,
+            window_stride: 1,
+            window_offset: 0,
+            failed_attempts: 0,
+            last_line_at: Nanos::ZERO,
+            lost_since: None,
         };
-        calls.draw(1);
-        calls
+        schedule.draw_slot(1);
+        schedule
     }
 
-    /// Where it stands.
+    /// The state of the connection.
     pub fn state(&self) -> ConnectionState {
-        self.line
+        self.state
     }
 
-    /// The one place where it changes where it stands.
+    /// The only place where the state changes; returns whether the transition is allowed.
     fn move_to(&mut self, to: ConnectionState) -> bool {
         use ConnectionState::*;
         let allowed = matches!(
-            (self.line, to),
+            (self.state, to),
             (Waiting(_), Connecting(_)) | (Waiting(_) | Connecting(_), Following(_)) | (_, Waiting(_))
         );
         if allowed {
-            self.line = to;
+            self.state = to;
         }
         allowed
     }
 
-    /// From now on it calls in one round of so many, another one, at another place.
-    fn draw(&mut self, one_in: u64) {
-        let [from, to] = self.s.window_range;
-        self.place = from + (to - from) * self.chance.next_f64();
-        self.pass_over(one_in);
+    /// Draws a new slot, and uses one window in `window_stride` from now on.
+    fn draw_slot(&mut self, window_stride: u64) {
+        let [from, to] = self.settings.window_range;
+        self.slot = from + (to - from) * self.random.next_f64();
+        self.draw_window(window_stride);
     }
 
-    /// From now on it calls in one round of so many, at the same place.
-    fn pass_over(&mut self, one_in: u64) {
-        (self.one_in, self.which) = (one_in, (self.chance.next_f64() * one_in as f64) as u64);
+    /// Uses one window in `window_stride` from now on, with the same slot.
+    fn draw_window(&mut self, window_stride: u64) {
+        self.window_offset = (self.random.next_f64() * window_stride as f64) as u64;
+        self.window_stride = window_stride;
     }
 
-    /// The first moment after `now` that has the own place in a round of its own.
-    fn next(&self, now: Nanos) -> Nanos {
-        let round = self.s.round().0.max(1);
+    /// The time of this dispatcher's first slot after `now`.
+    fn next_slot(&self, now: Nanos) -> Nanos {
+        let window = self.settings.window().0.max(1);
         let unix = now.0.wrapping_add(self.unix_zero);
-        let place = (round as f64 * self.place) as u64;
-        let mut at = unix / round;
-        while at * round + place <= unix || at % self.one_in != self.which {
-            at += 1;
+        let slot = (window as f64 * self.slot) as u64;
+        let mut number = unix / window;
+        while number * window + slot <= unix || number % self.window_stride != self.window_offset {
+            number += 1;
         }
-        now.after(Nanos(at * round + place - unix))
+        now.after(Nanos(number * window + slot - unix))
     }
 
-    /// The dispatcher starts, with a list that will do or without. Who has one lets those go first that have none:
-    /// its round begins as late as it may and still be heard in time, so that no moment has more than its calls.
+    /// The dispatcher starts, with or without a usable node list; returns when it connects. A dispatcher that has a
+    /// list leaves the first window to those without one: its window begins as late as events can still be received in
+    /// time, so that the rate is not exceeded.
     pub fn started(&mut self, now: Nanos, has_list: bool) -> Nanos {
-        if self.s.calls_per_s.is_none() {
+        if self.settings.calls_per_s.is_none() {
             self.move_to(ConnectionState::Waiting(now));
             return now;
         }
-        let spare = Nanos(self.s.longest().0.saturating_sub(self.s.round().0));
-        let at = self.next(if has_list { now.after(spare) } else { now });
+        let delay = Nanos(self.settings.longest_wait().0.saturating_sub(self.settings.window().0));
+        let at = self.next_slot(if has_list { now.after(delay) } else { now });
         self.move_to(ConnectionState::Waiting(at));
         at
     }
 
-    /// The service is to be called elsewhere: all dispatchers hear that at one moment.
+    /// The change log has another address; returns when to connect. All dispatchers learn of it at the same time, so
+    /// each draws a new slot.
     pub fn address_changed(&mut self, now: Nanos) -> Nanos {
-        self.in_vain = 0;
-        self.draw(self.one_in);
-        let at = if self.s.calls_per_s.is_some() { self.next(now) } else { now };
+        self.failed_attempts = 0;
+        self.draw_slot(self.window_stride);
+        let at = if self.settings.calls_per_s.is_some() { self.next_slot(now) } else { now };
         self.move_to(ConnectionState::Waiting(at));
         at
     }
 
-    /// What the operators tell of the service, or how many call it, has changed: it holds from the next call.
-    pub fn settings_changed(&mut self, s: ReconnectSettings) {
-        if std::mem::replace(&mut self.s, s) != s {
-            self.in_vain = 0;
-            self.draw(1);
+    /// The settings have changed; they apply from the next attempt on.
+    pub fn settings_changed(&mut self, settings: ReconnectSettings) {
+        if std::mem::replace(&mut self.settings, settings) != settings {
+            self.failed_attempts = 0;
+            self.draw_slot(1);
         }
     }
 
-    /// Its own moment went by while nobody looked, as in a process that was stopped, with others that were stopped
-    /// alike: it takes the next one instead of calling with all of them. Returns that.
+    /// If the process was suspended past its slot, moves the attempt to the next slot and returns its time: other
+    /// processes may have been suspended likewise, and all would connect at once.
     pub fn skip_missed_turn(&mut self, now: Nanos) -> Option<Nanos> {
-        let late = matches!(self.line, ConnectionState::Waiting(at) if now.since(at) > OVERSLEPT);
-        if !late || self.s.calls_per_s.is_none() {
+        let late = matches!(self.state, ConnectionState::Waiting(at) if now.since(at) > MAX_LATENESS);
+        if !late || self.settings.calls_per_s.is_none() {
             return None;
         }
-        let at = self.next(now);
+        let at = self.next_slot(now);
         self.move_to(ConnectionState::Waiting(at));
         Some(at)
     }
 
-    /// Whether it is to call now.
+    /// Whether an attempt is due.
     pub fn is_due(&self, now: Nanos) -> bool {
-        matches!(self.line, ConnectionState::Waiting(at) if at <= now)
+        matches!(self.state, ConnectionState::Waiting(at) if at <= now)
     }
 
-    /// It calls.
+    /// An attempt has begun.
     pub fn connect_started(&mut self, now: Nanos) {
         if self.move_to(ConnectionState::Connecting(now)) {
-            self.heard = now;
+            self.last_line_at = now;
         }
     }
 
-    /// A call made at this time, which was not waited for any more, is answered after all.
-    pub fn answered_after_timeout(&mut self, called: Nanos) {
-        if matches!(self.line, ConnectionState::Waiting(_) | ConnectionState::Connecting(_)) {
-            self.move_to(ConnectionState::Following(called));
+    /// An attempt that was begun at this time, and had timed out, is answered after all.
+    pub fn answered_after_timeout(&mut self, begun: Nanos) {
+        if matches!(self.state, ConnectionState::Waiting(_) | ConnectionState::Connecting(_)) {
+            self.move_to(ConnectionState::Following(begun));
         }
     }
 
-    /// A whole line was heard; returns for how long nothing steady was, where staff were told that.
+    /// A whole line was received. Returns how long there was no steady stream, once the stream is steady again, if its
+    /// loss was logged.
     pub fn line_received(&mut self, now: Nanos) -> Option<Nanos> {
-        self.heard = now;
-        if let ConnectionState::Connecting(at) = self.line {
+        self.last_line_at = now;
+        if let ConnectionState::Connecting(at) = self.state {
             self.move_to(ConnectionState::Following(at));
         }
-        let ConnectionState::Following(at) = self.line else { return None };
-        if now.since(at) < STEADY {
+        let ConnectionState::Following(at) = self.state else { return None };
+        if now.since(at) < STEADY_AFTER {
             return None;
         }
-        self.in_vain = 0;
-        if self.one_in > 1 && now.since(at) > LEARNT_FOR {
-            self.draw(1);
+        self.failed_attempts = 0;
+        if self.window_stride > 1 && now.since(at) > SKIP_WINDOWS_FOR {
+            self.draw_slot(1);
         }
-        self.lost.take().map(|since| now.since(since))
+        self.lost_since.take().map(|since| now.since(since))
     }
 
-    /// Whether the call, or the stream, brings nothing any more.
+    /// Whether the attempt, or the stream, has been silent for too long.
     pub fn is_silent(&self, now: Nanos) -> bool {
-        !matches!(self.line, ConnectionState::Waiting(_)) && now.since(self.heard) > SILENT_AFTER
+        !matches!(self.state, ConnectionState::Waiting(_)) && now.since(self.last_line_at) > SILENCE_TIMEOUT
     }
 
-    /// Whether one who has a single call at a time, to so many sources in turn, is to end it: a stream that is silent, or a call
-    /// that was waited for twice as long as the one before to the same source. One that answers late is heard once it is
-    /// waited for that long.
+    /// Whether to end the connection, where one is open at a time and `sources` are tried in turn: a stream that is
+    /// silent, or an attempt whose timeout has passed. The timeout doubles with each attempt at the same source, so
+    /// that a source that answers slowly is received eventually.
     pub fn has_timed_out(&self, now: Nanos, sources: u32) -> bool {
-        let waits_for = match self.line {
+        let timeout = match self.state {
             ConnectionState::Connecting(_) => {
-                Nanos(SILENT_AFTER.0 << (self.in_vain / sources.max(1)).min(MOST_DOUBLINGS))
+                Nanos(SILENCE_TIMEOUT.0 << (self.failed_attempts / sources.max(1)).min(MAX_TIMEOUT_DOUBLINGS))
             }
-            _ => SILENT_AFTER,
+            _ => SILENCE_TIMEOUT,
         };
-        !matches!(self.line, ConnectionState::Waiting(_)) && now.since(self.heard) > waits_for
+        !matches!(self.state, ConnectionState::Waiting(_)) && now.since(self.last_line_at) > timeout
     }
 
-    /// A call could not be made for want of this machine's own: returns when it is tried again. It has never reached the
-    /// service, so it is none in vain, and costs it nothing; where rounds are told it waits for a place of its own in
-    /// one, as many may be free of their wants at one moment.
+    /// An attempt failed for lack of local resources; returns when it is repeated. It never reached the change log, so
+    /// it doesn't count as a failed attempt. With a configured rate it waits for a slot, since many dispatchers may get
+    /// their resources back at the same time.
     pub fn local_failure(&mut self, now: Nanos) -> Nanos {
-        let after = now.after(Nanos::from_secs(WANTED.secs() * (0.5 + 0.5 * self.chance.next_f64())));
-        let at = if self.s.calls_per_s.is_some() { self.next(after) } else { after };
+        let after =
+            now.after(Nanos::from_secs(LOCAL_FAILURE_WAIT.secs() * (0.5 + 0.5 * self.random.next_f64())));
+        let at = if self.settings.calls_per_s.is_some() { self.next_slot(after) } else { after };
         self.move_to(ConnectionState::Waiting(at));
         at
     }
 
-    /// A call, or a stream, has ended: returns when it calls next, and whether staff are to be told that it is lost.
+    /// An attempt, or a stream, has ended: returns when the next attempt is due, and whether to log the loss.
     pub fn ended(&mut self, now: Nanos) -> (Nanos, bool) {
-        let steady = matches!(self.line, ConnectionState::Following(at) if self.heard.since(at) >= STEADY);
-        self.in_vain = if steady { 0 } else { self.in_vain.saturating_add(1) };
-        let (round, longest) = (self.s.round().0.max(1), self.s.longest().0);
-        let most = (longest / round).max(1);
-        // What was learnt of a crowd that is larger than told outlasts its end, or all that follow would come at once.
-        let one_in = match self.s.calls_per_s {
-            Some(_) => (1 << self.in_vain.min(10)).max(self.one_in).min(most),
-            None => (1 << self.in_vain.saturating_sub(1).min(10)).min(most),
+        let last = self.last_line_at;
+        let steady = matches!(self.state, ConnectionState::Following(at) if last.since(at) >= STEADY_AFTER);
+        self.failed_attempts = if steady { 0 } else { self.failed_attempts.saturating_add(1) };
+        let (window, longest) = (self.settings.window().0.max(1), self.settings.longest_wait().0);
+        let max_stride = (longest / window).max(1);
+        // With a configured rate the stride doesn't shrink here: the fleet may be larger than configured, and all
+        // dispatchers would return to using every window at once.
+        let stride = match self.settings.calls_per_s {
+            Some(_) => (1 << self.failed_attempts.min(10)).max(self.window_stride).min(max_stride),
+            None => (1 << self.failed_attempts.saturating_sub(1).min(10)).min(max_stride),
         };
         if steady {
-            // It may have ended for all at one moment.
-            self.draw(one_in);
-        } else if one_in != self.one_in {
-            self.pass_over(one_in);
+            // The stream may have ended for all dispatchers at the same time.
+            self.draw_slot(stride);
+        } else if stride != self.window_stride {
+            self.draw_window(stride);
         }
-        let at = match self.s.calls_per_s {
-            Some(_) => self.next(now),
-            // Nobody is alike: half of the round by chance, so that no call follows at once.
-            None => now
-                .after(Nanos::from_secs(Nanos(round * one_in).secs() * (0.5 + 0.5 * self.chance.next_f64()))),
+        let at = match self.settings.calls_per_s {
+            Some(_) => self.next_slot(now),
+            // Half of the wait is random, so that dispatchers spread out and no attempt follows at once.
+            None => now.after(Nanos::from_secs(
+                Nanos(window * stride).secs() * (0.5 + 0.5 * self.random.next_f64()),
+            )),
         };
         self.move_to(ConnectionState::Waiting(at));
-        let news = self.lost.is_none() && (steady || self.in_vain > 1);
-        if news {
-            self.lost = Some(now);
+        let should_log = self.lost_since.is_none() && (steady || self.failed_attempts > 1);
+        if should_log {
+            self.lost_since = Some(now);
         }
-        (at, news)
+        (at, should_log)
     }
 }
--- a/crates/routing/src/structures/generational_map.rs
+++ b/crates/routing/src/structures/generational_map.rs
@@ -1,4 +1,5 @@
-//! A bounded map whose entries expire: two generations of entries, of which the older is dropped whole.
+//! A bounded map whose entries expire. It consists of two generations of entries, of which the older is dropped as a
+//! whole.
 
 use crate::interface::Nanos;
 use std::collections::HashMap;
@@ -24,36 +25,38 @@
 
 type Generation<V> = HashMap<u64, V, BuildHasherDefault<IdentityHasher>>;
 
-/// A map from 64-bit hashes to values. An entry is kept for at least `span` after it was last inserted and for at most twice
-/// that. When there are more entries than fit, the older generation is dropped early, which [`Self::has_lost_entries`] tells.
+/// A map from 64-bit hashes to values. An entry is kept for at least `span` after it was last inserted and for at most
+/// twice that. When there are more entries than fit, the older generation is dropped early, which
+/// [`Self::has_lost_entries`] reports.
 #[derive(Debug, Clone)]
 pub struct GenerationalMap<V> {
     span: Nanos,
-    most: usize,
+    max_entries: usize,
     young: Generation<V>,
     old: Generation<V>,
     /// When the generations were last rotated.
-    rotated: Nanos,
+    rotated_at: Nanos,
     /// When entries were last dropped before they expired.
-    dropped_early: Option<Nanos>,
+    dropped_early_at: Option<Nanos>,
 }
 
 impl<V> GenerationalMap<V> {
-    /// An empty map that keeps entries for `span` and holds at most `most` of them.
-    pub fn new(span: Nanos, most: usize) -> Self {
+    /// An empty map that keeps entries for `span` and holds at most `max_entries` of them.
+    pub fn new(span: Nanos, max_entries: usize) -> Self {
         let (young, old) = (Generation::default(), Generation::default());
-        GenerationalMap { span, most: most.max(2), young, old, rotated: Nanos::ZERO, dropped_early: None }
+        let max_entries = max_entries.max(2);
+        GenerationalMap { span, max_entries, young, old, rotated_at: Nanos::ZERO, dropped_early_at: None }
     }
 
     /// Drops expired entries.
     pub fn rotate(&mut self, now: Nanos) {
-        if now.since(self.rotated) >= self.span {
+        if now.since(self.rotated_at) >= self.span {
             // After a long idle time both generations have expired.
-            if now.since(self.rotated) >= Nanos(self.span.0.saturating_mul(2)) {
+            if now.since(self.rotated_at) >= Nanos(self.span.0.saturating_mul(2)) {
                 self.young = Generation::default();
             }
             self.old = std::mem::take(&mut self.young);
-            self.rotated = now;
+            self.rotated_at = now;
         }
     }
 
@@ -70,12 +73,12 @@
     /// Inserts or replaces the entry of a key.
     pub fn insert(&mut self, now: Nanos, key: u64, entry: V) {
         self.rotate(now);
-        if self.young.len() >= self.most / 2 && !self.young.contains_key(&key) {
+        if self.young.len() >= self.max_entries / 2 && !self.young.contains_key(&key) {
             if !self.old.is_empty() {
-                self.dropped_early = Some(now);
+                self.dropped_early_at = Some(now);
             }
             self.old = std::mem::take(&mut self.young);
-            self.rotated = now;
+            self.rotated_at = now;
         }
         self.old.remove(&key);
         self.young.insert(key, entry);
@@ -93,6 +96,6 @@
 
     /// Whether an entry that had not expired may have been dropped for lack of room within the last `span`.
     pub fn has_lost_entries(&self, now: Nanos) -> bool {
-        self.dropped_early.is_some_and(|at| now.since(at) < self.span)
+        self.dropped_early_at.is_some_and(|at| now.since(at) < self.span)
     }
 }
--- a/crates/routing/src/structures/ids.rs
+++ b/crates/routing/src/structures/ids.rs
@@ -1,4 +1,4 @@
-//! External ids mapped to small indices (slots), which are reused once released.
+//! Maps external ids to small indices (slots), which are reused once released.
 
 use std::collections::HashMap;
 use std::hash::Hash;
@@ -18,7 +18,7 @@
 }
 
 impl<K: Clone + Eq + Hash> Ids<K> {
-    /// The slot of a key, new or known.
+    /// The slot of a key; a new key is assigned a free slot.
     pub fn get_or_assign(&mut self, key: K) -> u32 {
         if let Some(slot) = self.slot_by_key.get(&key) {
             return *slot;
@@ -32,22 +32,22 @@
         slot
     }
 
-    /// The slot of a key, if it is still held.
+    /// The slot of a key, if it has one.
     pub fn get(&self, key: &K) -> Option<u32> {
         self.slot_by_key.get(key).copied()
     }
 
-    /// The key that a slot was last given to.
+    /// The key that a slot was last assigned to.
     pub fn key(&self, slot: u32) -> &K {
         &self.keys[slot as usize]
     }
 
-    /// How many slots there are.
+    /// The number of slots, free ones included.
     pub fn slot_count(&self) -> u32 {
         self.keys.len() as u32
     }
 
-    /// Gives a slot back.
+    /// Releases a slot, which may be assigned to another key.
     pub fn release(&mut self, slot: u32) {
         if self.slot_by_key.remove(&self.keys[slot as usize]).is_some() {
             self.free.push(slot);
--- a/crates/routing/src/structures/mod.rs
+++ b/crates/routing/src/structures/mod.rs
@@ -1,4 +1,5 @@
-//! Data structures that decisions stand on: no I/O, no clock, bounded by what they are made with.
+//! Data structures used by decisions. They do no I/O and read no clock, and except [`ids`] and [`recency_window`] their
+//! size is bounded on construction.
 
 pub mod generational_map;
 pub mod ids;
--- a/crates/routing/src/structures/random.rs
+++ b/crates/routing/src/structures/random.rs
@@ -5,7 +5,7 @@
 pub struct Random(u64);
 
 impl Random {
-    /// Seeds the generator; its state is kept off its fixed points.
+    /// Seeds the generator, avoiding the states in which it would not change.
     pub fn new(seed: u64) -> Self {
         let mixed = (seed ^ (seed >> 31)).wrapping_mul(0x9E37_79B9_7F4A_7C15);
         Random((mixed % 0xFFFF_FFFE_0000_0000).max(1))
--- a/crates/routing/src/structures/ring_buffer.rs
+++ b/crates/routing/src/structures/ring_buffer.rs
@@ -32,11 +32,11 @@
         }
     }
 
-    /// Adds `value` to sum number `which` at `now`.
-    pub fn add(&mut self, now: Nanos, which: usize, value: f64) {
+    /// Adds `value` to sum number `index` at `now`.
+    pub fn add(&mut self, now: Nanos, index: usize, value: f64) {
         self.advance(now);
         let at = (self.newest % self.buckets.len() as u64) as usize;
-        self.buckets[at][which] += value;
+        self.buckets[at][index] += value;
     }
 
     /// All sums over the window that ends at `now`.
--- a/crates/routing/src/structures/timer_wheel.rs
+++ b/crates/routing/src/structures/timer_wheel.rs
@@ -2,8 +2,8 @@
 
 use crate::interface::Nanos;
 
-/// Work reserved in the slots of a future span. Memory is bounded by the number of slots; slots in the past are cleared as the
-/// wheel turns.
+/// Work reserved in the slots of a future span. Memory is bounded by the number of slots; slots in the past are cleared
+/// as the wheel turns.
 #[derive(Debug, Clone)]
 pub struct TimerWheel {
     /// The length of a slot, in nanoseconds.
@@ -48,14 +48,14 @@
         }
     }
 
-    /// Searches from the present again: slots that were full may have room, as their capacity has changed.
+    /// Lets the next search start at the present: slots that were full may have room, as their capacity has changed.
     pub fn reopen(&mut self) {
         self.open_from = self.first;
     }
 
-    /// Reserves `work` in the first slot from `earliest` on that is not full and returns when that slot begins; `None` if
-    /// all are full. `capacity` gives the capacity of the slot that begins at a time. The last reservation may overflow its
-    /// slot: the excess is charged to the slots after it.
+    /// Reserves `work` in the first slot from `earliest` on that is not full and returns when that slot begins; `None`
+    /// if all are full. `capacity` gives the capacity of the slot that begins at a time. The last reservation may
+    /// overflow its slot: the excess is charged to the slots after it.
     pub fn reserve(
         &mut self,
         now: Nanos,
@@ -69,8 +69,8 @@
         for slot in from..self.first + len {
             let at = self.index(slot);
             let begins = Nanos(slot * self.width);
-            let most = capacity(begins);
-            if self.reserved[at] < most {
+            let limit = capacity(begins);
+            if self.reserved[at] < limit {
                 self.reserved[at] += work;
                 self.spill(slot, &capacity);
                 return Some(begins);
@@ -95,7 +95,7 @@
         }
     }
 
-    /// All work that is reserved from `now` on.
+    /// The sum of work that is reserved from `now` on.
     pub fn reserved_work(&mut self, now: Nanos) -> f64 {
         self.advance(now);
         self.reserved.iter().sum()
--- a/crates/routing/tests/module/duplicate_filter.rs
+++ b/crates/routing/tests/module/duplicate_filter.rs
@@ -1,4 +1,4 @@
-//! Clients' conduct: ids that come again, and what is kept of them.
+//! The duplicate filter: repeated ids, how long ids are kept, and the bound on their number.
 
 use copperroute_routing::fleet::duplicate_filter::{DuplicateFilter, Verdict};
 use copperroute_routing::interface::Nanos;
@@ -7,28 +7,28 @@
 const SECOND: u64 = 1_000_000_000;
 
 #[test]
-fn an_id_is_refused_while_it_is_kept() {
-    let mut conduct = DuplicateFilter::new(Nanos(5 * SECOND), 100);
+fn an_id_is_a_duplicate_while_it_is_kept() {
+    let mut filter = DuplicateFilter::new(Nanos(5 * SECOND), 100);
     let at = |s: u64| Nanos(100 * SECOND + s * SECOND);
     let verdicts = [
-        conduct.check(at(0), 1),
-        conduct.check(at(1), 1),
-        conduct.check(at(1), 2),
-        conduct.check(at(4), 1),
-        conduct.check(at(6), 1),
+        filter.check(at(0), 1),
+        filter.check(at(1), 1),
+        filter.check(at(1), 2),
+        filter.check(at(4), 1),
+        filter.check(at(6), 1),
     ];
-    expect!["[Take, Again, Take, Again, Take]"].assert_eq(&format!("{verdicts:?}"));
+    expect!["[New, Duplicate, New, Duplicate, New]"].assert_eq(&format!("{verdicts:?}"));
 }
 
 #[test]
-fn a_flood_of_new_ids_keeps_no_more_than_the_bound_and_forgets_the_oldest() {
-    let mut conduct = DuplicateFilter::new(Nanos(5 * SECOND), 1_000);
+fn a_flood_of_new_ids_keeps_at_most_the_bound_and_drops_the_oldest() {
+    let mut filter = DuplicateFilter::new(Nanos(5 * SECOND), 1_000);
     for id in 0..10_000 {
-        assert_eq!(conduct.check(Nanos(SECOND + id), id), Verdict::New);
+        assert_eq!(filter.check(Nanos(SECOND + id), id), Verdict::New);
     }
     let (kept, oldest, newest) =
-        (conduct.len(), conduct.check(Nanos(2 * SECOND), 0), conduct.check(Nanos(2 * SECOND), 9_999));
-    expect!["(1000, Take, Again)"].assert_eq(&format!("{:?}", (kept, oldest, newest)));
-    conduct.check(Nanos(20 * SECOND), 1);
-    expect!["1"].assert_eq(&conduct.len().to_string());
+        (filter.len(), filter.check(Nanos(2 * SECOND), 0), filter.check(Nanos(2 * SECOND), 9_999));
+    expect!["(1000, New, Duplicate)"].assert_eq(&format!("{:?}", (kept, oldest, newest)));
+    filter.check(Nanos(20 * SECOND), 1);
+    expect!["1"].assert_eq(&filter.len().to_string());
 }
