--- a/crates/routing/benches/structures.rs
+++ b/crates/routing/benches/structures.rs
@@ -1,4 +1,4 @@
-//! The structures of overload control beside plain ones: `cargo bench --bench structures`.
+//! The data structures of overload control compared with standard collections: `cargo bench --bench structures`.
 
 use copperroute_routing::interface::Nanos;
 use copperroute_routing::structures::generational_map::GenerationalMap;
@@ -9,18 +9,18 @@
 
 const SIZES: [u64; 4] = [1_000, 10_000, 100_000, 1_000_000];
 const SECOND: u64 = 1_000_000_000;
-/// Calls measured at once; the structure is full before.
+/// Calls per iteration, on a structure that was filled before.
 const CALLS: u64 = 10_000;
 
 fn main() {
     divan::main();
 }
 
-fn print(at: u64) -> u64 {
+fn key(at: u64) -> u64 {
     copperroute_routing::interface::mix(at)
 }
 
-/// A wheel of so many slots, three quarters full; then reservations as time passes.
+/// Reservations as time passes, in a wheel of `slots` slots of which three quarters are full.
 #[divan::bench(args = SIZES)]
 fn slots_timer_wheel(bencher: Bencher, slots: u64) {
     bencher
@@ -40,7 +40,7 @@
         });
 }
 
-/// The same with a map from slot to work, searched from the front.
+/// The same with a map from slot to reserved work, searched from the first slot.
 #[divan::bench(args = SIZES, max_time = 2)]
 fn slots_btree(bencher: Bencher, slots: u64) {
     bencher
@@ -48,7 +48,7 @@
             (SECOND / 1_000_000..SECOND / 1_000_000 + slots * 3 / 4).map(|slot| (slot, 1.0)).collect()
         })
         .bench_local_values(|mut map: BTreeMap<u64, f64>| {
-            // At the larger sizes a hundredth of the calls, as each walks the slots that are taken.
+            // A hundredth of the calls at the larger sizes, as each call walks all full slots.
             let calls = if slots > 10_000 { CALLS / 100 } else { CALLS };
             for call in 0..calls {
                 let first = (SECOND + call * 500_000) / 1_000_000;
@@ -68,26 +68,26 @@
         });
 }
 
-/// A generational map that holds so many; then half look-ups, half entries, with time passing.
+/// Alternating lookups and insertions as time passes, in a generational map of `size` entries.
 #[divan::bench(args = SIZES)]
 fn tries_generational_map(bencher: Bencher, size: u64) {
     bencher
         .with_inputs(|| {
             let mut map = GenerationalMap::new(Nanos(SECOND), 4 * size as usize);
-            (0..size).for_each(|at| map.insert(Nanos(SECOND), print(at), at));
+            (0..size).for_each(|at| map.insert(Nanos(SECOND), key(at), at));
             map
         })
         .bench_local_values(|mut map| {
             for call in 0..CALLS {
                 let now = Nanos(SECOND + call * SECOND / size);
-                black_box(map.get(print(call * 7 % size)));
-                map.insert(now, print(size + call), call);
+                black_box(map.get(key(call * 7 % size)));
+                map.insert(now, key(size + call), call);
             }
             map
         });
 }
 
-/// The same with a map and a queue of expiries.
+/// The same with a map and a queue of expiry times.
 #[divan::bench(args = SIZES)]
 fn tries_map_and_queue(bencher: Bencher, size: u64) {
     bencher
@@ -95,8 +95,8 @@
             let mut map: HashMap<u64, (u64, u64)> = HashMap::new();
             let mut queue = VecDeque::new();
             for at in 0..size {
-                map.insert(print(at), (SECOND * 2, at));
-                queue.push_back((SECOND * 2, print(at)));
+                map.insert(key(at), (SECOND * 2, at));
+                queue.push_back((SECOND * 2, key(at)));
             }
             (map, queue)
         })
@@ -104,43 +104,44 @@
             for call in 0..CALLS {
                 let now = SECOND + call * SECOND / size;
                 while queue.front().is_some_and(|(expires, _)| *expires <= now) {
-                    let Some((expires, print)) = queue.pop_front() else { break };
-                    if map.get(&print).is_some_and(|entry| entry.0 == expires) {
-                        map.remove(&print);
+                    let Some((expires, expired)) = queue.pop_front() else { break };
+                    if map.get(&expired).is_some_and(|entry| entry.0 == expires) {
+                        map.remove(&expired);
                     }
                 }
-                black_box(map.get(&print(call * 7 % size)));
-                map.insert(print(size + call), (now + SECOND, call));
-                queue.push_back((now + SECOND, print(size + call)));
+                black_box(map.get(&key(call * 7 % size)));
+                map.insert(key(size + call), (now + SECOND, call));
+                queue.push_back((now + SECOND, key(size + call)));
             }
             (map, queue)
         });
 }
 
-/// The same with a map that is swept whole once a span.
+/// The same with a map from which expired entries are removed once a second.
 #[divan::bench(args = SIZES)]
 fn tries_map_swept(bencher: Bencher, size: u64) {
     bencher
         .with_inputs(|| {
-            let map: HashMap<u64, (u64, u64)> = (0..size).map(|at| (print(at), (SECOND * 2, at))).collect();
+            let map: HashMap<u64, (u64, u64)> = (0..size).map(|at| (key(at), (SECOND * 2, at))).collect();
             map
         })
         .bench_local_values(|mut map| {
-            let mut swept = SECOND;
+            let mut swept_at = SECOND;
             for call in 0..CALLS {
                 let now = SECOND + call * SECOND / size;
-                if now >= swept + SECOND {
+                if now >= swept_at + SECOND {
                     map.retain(|_, entry| entry.0 > now);
-                    swept = now;
+                    swept_at = now;
                 }
-                black_box(map.get(&print(call * 7 % size)));
-                map.insert(print(size + call), (now + SECOND, call));
+                black_box(map.get(&key(call * 7 % size)));
+                map.insert(key(size + call), (now + SECOND, call));
             }
             map
         });
 }
 
-/// Counts in a ring buffer of eight buckets over a second in which so many come, summed at every hundredth.
+/// Counting `per_second` events a second in a ring buffer of eight buckets over one second, with the sum at every
+/// hundredth event.
 #[divan::bench(args = SIZES)]
 fn rate_ring_buffer(bencher: Bencher, per_second: u64) {
     bencher.with_inputs(|| RingBuffer::<1>::new(Nanos(SECOND), 8)).bench_local_values(|mut ring| {
@@ -155,7 +156,7 @@
     });
 }
 
-/// The same with a queue of times, full before.
+/// The same with a queue of times, filled before.
 #[divan::bench(args = SIZES)]
 fn rate_queue(bencher: Bencher, per_second: u64) {
     bencher
--- a/crates/routing/src/change_log/merge.rs
+++ b/crates/routing/src/change_log/merge.rs
@@ -88,11 +88,15 @@
 impl fmt::Display for Reason {
     fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Reason::Gap { number, applied } => write!(to, "event {number} after {applied}"),
-            Reason::Unusable { number, why } => write!(to, "event {number}: {why}"),
-            Reason::Missing { last, applied } => write!(to, "at {last}, applied {applied}"),
+            Reason::Gap { number, applied } => {
+                write!(to, "event {number} received after {applied}: events in between are missing")
+            }
+            Reason::Unusable { number, why } => write!(to, "event {number} can't be used: {why}"),
+            Reason::Missing { last, applied } => {
+                write!(to, "heartbeat names event {last}, last applied is {applied}")
+            }
             Reason::LogRestarted { last, applied } => {
-                write!(to, "at {last}, applied {applied}: it has begun anew")
+                write!(to, "heartbeat names event {last}, last applied is {applied}: the log was restarted")
             }
         }
     }
--- a/crates/routing/tests/module/change_log/merge_play.rs
+++ b/crates/routing/tests/module/change_log/merge_play.rs
@@ -1,10 +1,10 @@
-//! A player of what two streams tell the merge, and a printer of what it makes of that.
+//! Feeds a merge with the events and heartbeats of two streams and records the resulting steps as a trace.
 
 use crate::common::ms;
 use copperroute_routing::change_log::{Arrival, Content, Heartbeat, Merge, Step};
 use std::fmt::Write as _;
 
-/// A merge with two streams that are asked for.
+/// A merge with streams that have been requested.
 pub(super) struct Play {
     pub merge: Merge<&'static str>,
     pub now_ms: u64,
@@ -22,18 +22,18 @@
         let mut play = Play { merge, now_ms: 10_000, trace: String::new() };
         for source in 0..streams {
             play.merge.add_source();
-            play.ask(source);
+            play.request(source);
         }
         play
     }
 
-    pub(super) fn ask(&mut self, source: usize) {
+    pub(super) fn request(&mut self, source: usize) {
         self.merge.request_sent(ms(self.now_ms), source);
     }
 
-    pub(super) fn event(&mut self, source: usize, number: u64, says: &'static str) {
-        let digest = (!says.is_empty()).then(|| says.len() as u64 * 1_000 + u64::from(says.as_bytes()[0]));
-        self.arrives(source, Arrival { number, bytes: 100, digest, content: Content::Delta(says) });
+    pub(super) fn event(&mut self, source: usize, number: u64, text: &'static str) {
+        let digest = (!text.is_empty()).then(|| text.len() as u64 * 1_000 + u64::from(text.as_bytes()[0]));
+        self.arrives(source, Arrival { number, bytes: 100, digest, content: Content::Delta(text) });
     }
 
     pub(super) fn snapshot(&mut self, source: usize, number: u64) {
@@ -57,29 +57,29 @@
                     writeln!(self.trace, "{}: {event}", self.merge.applied())
                 }
                 Step::Apply { event, lost: true } => {
-                    writeln!(self.trace, "{}: {event}, lost what lies between", self.merge.applied())
+                    writeln!(self.trace, "{}: {event}, events before it lost", self.merge.applied())
                 }
-                Step::Skip { number, why } => writeln!(self.trace, "{number} left out: {why}"),
+                Step::Skip { number, why } => writeln!(self.trace, "{number} skipped: {why}"),
                 Step::Contradiction { source, number, event } => {
-                    writeln!(self.trace, "{number}: stream {source} says {event}")
+                    writeln!(self.trace, "{number}: stream {source} has {event}")
                 }
                 Step::Reconnect { source, reason } => {
-                    writeln!(self.trace, "stream {source} again: {reason}")
+                    writeln!(self.trace, "stream {source} reconnects: {reason}")
                 }
             };
         }
     }
 
     pub(super) fn heartbeat(&mut self, source: usize, last: u64) {
-        let says = match self.merge.heartbeat(ms(self.now_ms), source, last) {
+        let meaning = match self.merge.heartbeat(ms(self.now_ms), source, last) {
             Heartbeat::CaughtUp => "caught up".to_string(),
-            Heartbeat::Inconclusive => "unsure".into(),
+            Heartbeat::Inconclusive => "inconclusive".into(),
             Heartbeat::Behind { should_log: false } => "behind".into(),
             Heartbeat::Behind { should_log: true } => "behind for long".into(),
-            Heartbeat::Reconnect(reason) => format!("again: {reason}"),
-            Heartbeat::LogRestarted(reason) => format!("all again: {reason}"),
+            Heartbeat::Reconnect(reason) => format!("reconnects: {reason}"),
+            Heartbeat::LogRestarted(reason) => format!("all reconnect: {reason}"),
         };
-        let _ = writeln!(self.trace, "stream {source} at {last}: {says}");
+        let _ = writeln!(self.trace, "stream {source} at {last}: {meaning}");
         self.steps();
     }
 
--- a/crates/routing/tests/module/change_log/mod.rs
+++ b/crates/routing/tests/module/change_log/mod.rs
@@ -1,4 +1,4 @@
-//! Which replicas of the change log are followed, and what counts of that which two of them tell.
+//! Following the change log: selection of replicas, merging of two streams, lateness, and staleness of the knowledge.
 
 mod knowledge;
 mod lateness;
--- a/crates/routing/tests/module/change_log/selection.rs
+++ b/crates/routing/tests/module/change_log/selection.rs
@@ -1,9 +1,9 @@
-//! Which two replicas a dispatcher follows.
+//! Selection of the two replicas that a dispatcher follows.
 
 use copperroute_routing::change_log::{Replica, expected_max_followers, select_replicas};
 use std::net::SocketAddr;
 
-/// Replicas of zones named by letters, as in "aabbcc".
+/// One replica for each letter, which names its zone: "aabbcc" has two in each of three zones.
 fn replicas(zones: &str) -> Vec<Replica> {
     let replica = |(at, zone): (usize, char)| Replica {
         address: SocketAddr::from(([10, 0, at as u8, 1], 2379)),
@@ -13,7 +13,7 @@
     zones.chars().enumerate().map(replica).collect()
 }
 
-/// The ids of so many dispatchers of one deployment.
+/// The ids of `count` dispatchers of one deployment.
 fn dispatchers(deployment: u32, count: u32) -> impl Iterator<Item = String> {
     (0..count).map(move |at| format!("d{deployment}-{at}"))
 }
@@ -22,7 +22,7 @@
     select_replicas(replicas, dispatcher).expect("two or more").map(|replica| replica.address)
 }
 
-/// How many dispatchers follow each replica.
+/// The number of dispatchers that follow each replica.
 fn followers(replicas: &[Replica], dispatchers: impl Iterator<Item = String>) -> Vec<u32> {
     let mut count = vec![0; replicas.len()];
     for dispatcher in dispatchers {
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn no_replica_gets_more_than_its_part() {
+fn followers_are_spread_evenly() {
     let mean = 590.0 * 2.0 / 6.0_f64;
     for zones in ["abcdef", "aabbcc", "aaabbb", "aaaaaa"] {
         let (mut within_two, mut all) = (0, 0);
@@ -47,19 +47,22 @@
                 all += 1;
             }
         }
-        assert!(within_two * 100 >= all * 95, "zones {zones}: {within_two} of {all} within two roots");
+        assert!(
+            within_two * 100 >= all * 95,
+            "zones {zones}: {within_two} of {all} within two square roots of the mean"
+        );
     }
 }
 
 #[test]
-fn two_streams_come_from_different_zones_where_there_are_such() {
-    let named_alike = {
+fn the_two_replicas_are_in_different_zones_if_possible() {
+    let same_names = {
         let mut replicas = replicas("aaaa");
         replicas[2].region = "south".into();
         replicas[3].region = "south".into();
         replicas
     };
-    for replicas in [replicas("ab"), replicas("aaab"), replicas("aabbcc"), named_alike] {
+    for replicas in [replicas("ab"), replicas("aaab"), replicas("aabbcc"), same_names] {
         for dispatcher in dispatchers(1, 590) {
             let [first, second] = select_replicas(&replicas, &dispatcher).expect("two or more");
             assert_ne!((&first.region, &first.zone), (&second.region, &second.zone));
@@ -74,18 +77,18 @@
 }
 
 #[test]
-fn where_one_is_taken_out_only_its_followers_move_and_with_one_stream() {
+fn when_a_replica_is_removed_only_its_followers_move_with_one_stream_each() {
     for zones in ["abcdef", "aabbcc", "aaab", "aabc", "aaaa"] {
         let all = replicas(zones);
-        for gone in 0..all.len() {
-            let mut left = all.clone();
-            let gone = left.remove(gone).address;
+        for index in 0..all.len() {
+            let mut remaining = all.clone();
+            let removed = remaining.remove(index).address;
             for dispatcher in dispatchers(2, 590) {
-                let (before, after) = (addresses(&all, &dispatcher), addresses(&left, &dispatcher));
+                let (before, after) = (addresses(&all, &dispatcher), addresses(&remaining, &dispatcher));
                 let kept = before.iter().filter(|address| after.contains(address)).count();
                 assert_eq!(
                     kept,
-                    if before.contains(&gone) { 1 } else { 2 },
+                    if before.contains(&removed) { 1 } else { 2 },
                     "{zones}: {before:?}, {after:?}"
                 );
             }
@@ -94,7 +97,7 @@
 }
 
 #[test]
-fn the_order_in_which_replicas_are_named_changes_nothing() {
+fn the_order_of_the_replicas_has_no_effect() {
     let all = replicas("aabbcc");
     let reversed: Vec<_> = all.iter().rev().cloned().collect();
     for dispatcher in dispatchers(3, 590) {
@@ -103,19 +106,20 @@
 }
 
 #[test]
-fn the_most_that_a_replica_has_to_expect_is_what_comes() {
+fn the_expected_maximum_of_followers_is_close_to_the_actual_one() {
     let expected = |zones, count| expected_max_followers(&replicas(zones), count);
-    // Two of six, and two roots more.
+    // Two sixths, plus two square roots of that.
     assert_eq!(expected("aabbcc", 590), 225);
     assert_eq!(expected("abcdef", 590), 225);
     assert_eq!(expected("ab", 590), 590);
-    assert_eq!(expected("aaab", 590), 590, "the only one of its zone is followed by all");
+    assert_eq!(expected("aaab", 590), 590, "all follow the only replica of its zone");
     assert_eq!(expected("aabbcc", 1), 1);
     for zones in ["aabbcc", "abcdef", "aaabbc", "aaaabc"] {
         for deployment in 0..10 {
             let most = followers(&replicas(zones), dispatchers(deployment, 590)).into_iter().max();
             let (most, expected) = (f64::from(most.unwrap_or(0)), f64::from(expected(zones, 590)));
-            // Two roots are in it; a fleet in twenty or so has a little more, never more than another.
+            // The expectation includes two square roots of the mean; about one fleet in twenty exceeds it, by less than
+            // another root.
             assert!(most <= expected + expected.sqrt(), "{zones}: {most} for {expected}");
         }
     }
--- a/crates/routing/tests/module/structures.rs
+++ b/crates/routing/tests/module/structures.rs
@@ -1,4 +1,4 @@
-//! The structures that decisions stand on, beside the simplest possible models.
+//! The data structures of decisions, compared with the simplest possible models.
 
 use crate::common::ms;
 use copperroute_routing::interface::Nanos;
@@ -9,12 +9,12 @@
 
 proptest! {
     #[test]
-    fn a_timer_wheel_holds_what_a_plain_map_of_slots_does(asks in prop::collection::vec((0_u64..40, 0_u64..900, 1_u32..30), 1..200)) {
+    fn a_timer_wheel_reserves_like_a_plain_map_of_slots(requests in prop::collection::vec((0_u64..40, 0_u64..900, 1_u32..30), 1..200)) {
         let (width, slots) = (20_000_000_u64, 50_u64);
         let mut wheel = TimerWheel::new(Nanos(width * slots), slots as usize);
         let mut plain: BTreeMap<u64, f64> = BTreeMap::new();
         let mut now = 1_000_000_000_u64;
-        for (pass, earliest, work) in asks {
+        for (pass, earliest, work) in requests {
             now += pass * 1_000_000;
             let (work, earliest) = (f64::from(work) / 100.0, now + earliest * 1_000_000);
             let room = 0.5;
@@ -38,21 +38,21 @@
     }
 
     #[test]
-    fn a_generational_map_keeps_for_its_span_and_never_twice_that(steps in prop::collection::vec((0_u64..400, 0_u64..30, any::<bool>()), 1..300)) {
+    fn a_generational_map_keeps_entries_for_its_span_to_twice_that(steps in prop::collection::vec((0_u64..400, 0_u64..30, any::<bool>()), 1..300)) {
         let span = ms(1_000);
         let mut map = GenerationalMap::new(span, 1_000);
         let mut plain: HashMap<u64, (u64, usize)> = HashMap::new();
         let mut now = ms(10_000);
-        for (number, (pass, print, put)) in steps.into_iter().enumerate() {
+        for (number, (pass, key, put)) in steps.into_iter().enumerate() {
             now = now.after(ms(pass));
             map.rotate(now);
             if put {
-                map.insert(now, print, number);
-                plain.insert(print, (now.0, number));
+                map.insert(now, key, number);
+                plain.insert(key, (now.0, number));
             }
-            for (print, (at, number)) in &plain {
+            for (key, (at, number)) in &plain {
                 let age = now.0 - at;
-                match map.get(*print) {
+                match map.get(*key) {
                     Some(kept) => prop_assert!(kept == number && age < 2 * span.0 + ms(400).0),
                     None => prop_assert!(age >= span.0),
                 }
@@ -62,13 +62,13 @@
     }
 
     #[test]
-    fn a_generational_map_is_bounded_and_says_what_it_lost(prints in prop::collection::vec(0_u64..5_000, 1..2_000)) {
+    fn a_generational_map_is_bounded_and_reports_lost_entries(keys in prop::collection::vec(0_u64..5_000, 1..2_000)) {
         let mut map = GenerationalMap::new(ms(1_000), 100);
         let mut plain = HashMap::new();
-        for (number, print) in prints.into_iter().enumerate() {
+        for (number, key) in keys.into_iter().enumerate() {
             let now = ms(10_000).after(Nanos(number as u64));
-            map.insert(now, print, number);
-            plain.insert(print, number);
+            map.insert(now, key, number);
+            plain.insert(key, number);
             prop_assert!(map.len() <= 100);
             prop_assert!(map.has_lost_entries(now) || map.len() == plain.len());
         }
