--- a/crates/routing/src/fleet/admission_control.rs
+++ b/crates/routing/src/fleet/admission_control.rs
@@ -26,9 +26,9 @@
 const RAISE_FACTOR: f64 = 1.08;
 const LOWER_FACTOR: f64 = 0.9;
 /// Bounds of the rate, as multiples of the expected capacity.
-const MIN_RATE_SHARE: f64 = 0.1;
-const MAX_RATE_SHARE: f64 = 1.25;
-/// If the expected capacity grows by this factor at once, earlier outcomes no longer count.
+const MIN_RATE_MULTIPLE: f64 = 0.1;
+const MAX_RATE_MULTIPLE: f64 = 1.25;
+/// If the expected capacity exceeds that of the last evaluation by this factor, earlier outcomes no longer count.
 const NEW_CAPACITY_FACTOR: f64 = 1.2;
 /// Rate that is always admitted, in work per second: its outcomes show when the backend has recovered.
 const MIN_RATE: f64 = 0.1;
@@ -45,7 +45,7 @@
     /// Whether that is the capacity of the paths that bypass the backend.
     bypassed: bool,
     /// The admitted rate as a multiple of the expected capacity, as outcomes have confirmed it.
-    rate_share: f64,
+    rate_multiple: f64,
     /// Tokens: work that may still be admitted.
     tokens: f64,
     /// Tokens of each content type's guaranteed share.
@@ -81,7 +81,7 @@
             capacity: [0.0; 2],
             max_retry_after,
             bypassed: false,
-            rate_share: 1.0,
+            rate_multiple: 1.0,
             tokens: 0.0,
             guaranteed: vec![0.0; types],
             demand: RingBuffer::new(DEMAND_WINDOW, BUCKETS),
@@ -101,7 +101,7 @@
 
     /// The admitted rate, in work per second.
     pub fn rate(&self) -> f64 {
-        (self.rate_share * self.capacity[0]).max(MIN_RATE)
+        (self.rate_multiple * self.capacity[0]).max(MIN_RATE)
     }
 
     /// Sets the rate from the expected capacity (now, and after the longest retry-after) and the outcomes of admitted
@@ -115,7 +115,7 @@
         self.bypassed = bypassed;
         if soon > NEW_CAPACITY_FACTOR * before {
             // Outcomes under the old capacity say nothing about the new one.
-            self.rate_share = self.rate_share.max(1.0);
+            self.rate_multiple = self.rate_multiple.max(1.0);
             self.outcomes.clear();
         }
         (self.evaluated_at, self.capacity) = (now, [soon, later]);
@@ -125,9 +125,9 @@
             // In tenths of a second that have passed.
             let steps = passed * 10.0;
             if share > RAISE_ABOVE_SHARE {
-                self.rate_share = (self.rate_share * RAISE_FACTOR.powf(steps)).min(MAX_RATE_SHARE);
+                self.rate_multiple = (self.rate_multiple * RAISE_FACTOR.powf(steps)).min(MAX_RATE_MULTIPLE);
             } else if share < LOWER_BELOW_SHARE {
-                self.rate_share = (self.rate_share * LOWER_FACTOR.powf(steps)).max(MIN_RATE_SHARE);
+                self.rate_multiple = (self.rate_multiple * LOWER_FACTOR.powf(steps)).max(MIN_RATE_MULTIPLE);
             }
         }
         let rate = self.rate();
@@ -184,11 +184,11 @@
     /// half of a slot only, so that they leave room for more valuable ones. `draw` in [0, 1).
     pub fn reserve(&mut self, now: Nanos, level: u8, work_s: f64, draw: f64) -> Option<Nanos> {
         let slot_share = (1.0 - self.unreserved_share) * if level >= self.cutoff.0 { 1.0 } else { 0.5 };
-        let (rate_share, [soon, later], span) = (self.rate_share, self.capacity, self.max_retry_after);
+        let (rate_multiple, [soon, later], span) = (self.rate_multiple, self.capacity, self.max_retry_after);
         let width = self.wheel.width();
         let room = |at: Nanos| {
             let progress = (at.since(now).secs() / span.secs().max(1e-3)).min(1.0);
-            rate_share * (soon + (later - soon) * progress) * slot_share * width.secs()
+            rate_multiple * (soon + (later - soon) * progress) * slot_share * width.secs()
         };
         let earliest = now.after(width);
         let begins = self.wheel.reserve(now, earliest, work_s, room)?;
--- a/crates/routing/src/reconnect_schedule.rs
+++ b/crates/routing/src/reconnect_schedule.rs
@@ -18,7 +18,7 @@
 
 /// Share of the configured rate that windows are laid out for: slots are random, so the rate within a window varies.
 const TARGET_LOAD: f64 = 0.8;
-/// Time that a connection and its answer may take. It is reserved from the delivery time, so no window is that long.
+/// Time that a connection and its answer may take; the longest wait is the delivery time less this.
 const ANSWER_TIME: Nanos = Nanos(500_000_000);
 /// A heartbeat line comes each second: a connection without a whole line for this long counts as ended.
 const SILENCE_TIMEOUT: Nanos = Nanos(2_000_000_000);
