--- a/crates/dispatcher/tests/dispatcher/heartbeat_forms.rs
+++ b/crates/dispatcher/tests/dispatcher/heartbeat_forms.rs
@@ -1,13 +1,14 @@
-//! The platform writes its heartbeat as an event is written, with the last number alone: `{"seq":41}`.
+//! The platform writes a heartbeat as an event that holds the last sequence number only: `{"seq":41}`.
 
 use crate::common::Play;
 
 #[test]
-fn a_heartbeat_in_the_form_of_an_event_stands_for_no_event() {
+fn a_heartbeat_in_the_form_of_an_event_does_not_count_as_that_event() {
     let mut play = Play::new();
     play.log(1, r#"{"seq":1}"#);
     assert_eq!((play.applied(), play.take().as_str()), (1, ""));
-    // It names an event that has not come, as the connection that was to tell it broke off: that is asked for again.
+    // The heartbeat names an event that was not delivered, as when a connection breaks before it: it is requested
+    // again.
     play.log(1, r#"{"seq":2}"#);
     assert_eq!(play.applied(), 1);
     play.pass(1_000);
--- a/crates/dispatcher/tests/dispatcher/rules_text.rs
+++ b/crates/dispatcher/tests/dispatcher/rules_text.rs
@@ -1,4 +1,4 @@
-//! Versions as staff read them.
+//! The texts for operators that show, compare and check versions of the rules.
 
 use crate::common::CONFIG;
 use copperroute_config_rollout::version::{IssuedVersion, format_digest};
@@ -16,17 +16,17 @@
 
 fn version(version: u64, after: &str, ahead_ms: u64, rules: Value) -> IssuedVersion {
     let issued_ms = 1_000_000 * version;
-    let told = json!({"version": version, "after": after, "issuer": "ops", "issued_ms": issued_ms,
+    let value = json!({"version": version, "after": after, "issuer": "ops", "issued_ms": issued_ms,
         "from_ms": issued_ms + ahead_ms, "rules": rules});
-    IssuedVersion::from_value(&told).expect("a version")
+    IssuedVersion::from_value(&value).expect("a version")
 }
 
 #[test]
-fn a_version_and_what_it_changes() {
+fn show_prints_a_version_and_diff_prints_its_changes() {
     let (agreeing, first) =
         (agreeing(), version(1, "", 4_000, json!({"max_pulls": 3, "types": {"image": {"expiry_s": 1}}})));
     let second = version(2, &format_digest(1, first.digest()), 4_000, json!({"max_pulls": 2}));
-    let said =
+    let texts =
         [show(&agreeing, &first), diff(&agreeing, None, &first), diff(&agreeing, Some(&first), &second)];
     expect![[r#"
         version 1 of 'ops', digest 337c5a666c14f98d, issued at 1000000 ms, active from 1004000 ms
@@ -56,14 +56,14 @@
         max_pulls: 3 to 2, stricter, on receipt
         types.image.expiry_s: 1.0 to 5.0, looser, from 2004000 ms
     "#]]
-    .assert_eq(&said.map(|said| said.unwrap_or_else(|why| why)).join("\n"));
+    .assert_eq(&texts.map(|text| text.unwrap_or_else(|why| why)).join("\n"));
 }
 
 #[test]
-fn which_of_a_row_would_be_taken_and_what_to_do_where_not() {
+fn check_accepts_or_refuses_a_sequence_of_versions_and_names_the_remedy() {
     let (agreeing, first) = (agreeing(), version(1, "", 4_000, json!({"max_pulls": 3})));
     let after = format_digest(1, first.digest());
-    let said = [
+    let texts = [
         check(&agreeing, &[first.clone(), version(2, &after, 4_000, json!({}))]),
         check(&agreeing, &[first.clone(), version(2, &after, 3_000, json!({}))]),
         check(&agreeing, &[first.clone(), version(2, "", 4_000, json!({}))]),
@@ -71,7 +71,7 @@
         check(&agreeing, &[first.clone(), version(1, "", 4_000, json!({}))]),
         check(&agreeing, &[version(1, "", 4_000, json!({"max_pulls": 9}))]),
     ];
-    let said = said.map(|said| said.unwrap_or_else(|why| format!("refused: {why}\n")));
+    let texts = texts.map(|text| text.unwrap_or_else(|why| format!("refused: {why}\n")));
     expect![[r#"
         no two dispatchers act on contradicting rules for longer than 3.75 s: lease 3 s, clock error 0.25 s, propagation 0.5 s
         version 1: good, digest 756652ea1d3e641b
@@ -100,5 +100,5 @@
         refused: no two dispatchers act on contradicting rules for longer than 3.75 s: lease 3 s, clock error 0.25 s, propagation 0.5 s
         version 1: max_pulls: looser than the platform's settings
         to do: the platform's settings and a restart of all, then this version
-    "#]].assert_eq(&said.join("\n"));
+    "#]].assert_eq(&texts.join("\n"));
 }
--- a/crates/dispatcher/tests/dispatcher/run_line.rs
+++ b/crates/dispatcher/tests/dispatcher/run_line.rs
@@ -1,5 +1,5 @@
-//! What the bench's page rejects stays off as operators start the program: the `run` line of the deploy file, with the
-//! operator's file that it names. Looked at from outside, in /proc, while it serves.
+//! Started by the `run` line of the deploy file, with the operator's file named there, the program uses none of
+//! the features that the bench rejects. Checked through /proc while the program serves.
 
 use crate::common::CONFIG;
 use std::fs;
@@ -16,7 +16,7 @@
     let deploy = fs::read_to_string(Path::new(ROOT).join("deploy/balancer.toml")).expect("the deploy file");
     let line = deploy.lines().find_map(|line| line.strip_prefix("run = \"")).expect("a run line");
     let words: Vec<_> = line.split('"').next().unwrap_or_default().split(' ').map(str::to_string).collect();
-    assert_eq!(words[0], "exec", "the shell goes on beside the program");
+    assert_eq!(words[0], "exec", "without exec the shell stays as a second process");
     words[1..].to_vec()
 }
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// Starts what the run line says, here built for the test, and a client of it.
+/// Starts the test build of the program with the arguments of the run line, and connects a client to it.
 fn start(config: &Path, address: &str) -> (Running, TcpStream) {
     let words = run_line();
     assert!(words[0].ends_with("/copperroute"), "{words:?}");
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn as_operators_start_it_it_is_one_process_on_tcp_without_disk_or_children() {
+fn run_line_starts_one_process_without_unix_sockets_disk_writes_or_children() {
     let log = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = format!("127.{}.251.1:5050", 1 + std::process::id() % 250);
     let config = CONFIG
@@ -78,14 +78,14 @@
         let flags = flags.unwrap_or_default();
         let flags =
             flags.lines().find_map(|line| line.strip_prefix("flags:")).unwrap_or("0").trim().to_string();
-        let writes = u32::from_str_radix(&flags, 8).is_ok_and(|flags| flags & 3 != 0);
+        let writable = u32::from_str_radix(&flags, 8).is_ok_and(|flags| flags & 3 != 0);
         let on_disk = to.starts_with('/') && !to.starts_with("/dev/") && !to.starts_with("/proc/");
         let std_stream = ["0", "1", "2"].contains(&fd.file_name().to_string_lossy().as_ref());
-        assert!(std_stream || !(writes && on_disk), "{to} is open for writing");
+        assert!(std_stream || !(writable && on_disk), "{to} is open for writing");
     }
     for task in fs::read_dir(format!("{proc}/task")).expect("threads").flatten() {
         let children = fs::read_to_string(task.path().join("children")).unwrap_or_default();
-        assert_eq!(children.trim(), "", "it has started another program");
+        assert_eq!(children.trim(), "", "the program has a child process");
     }
     drop(program);
     let _ = fs::remove_file(file);
--- a/crates/dispatcher/tests/dispatcher/time_left.rs
+++ b/crates/dispatcher/tests/dispatcher/time_left.rs
@@ -1,36 +1,38 @@
-//! The time that an attempt tells its node is what its client has left as the first byte leaves. Events in, effects out.
+//! The time to live that an attempt sends to its node is the client's remaining time when the first byte is sent.
+//! Events in, effects out.
 
 use crate::common::{CONFIG, Play, request};
 use copperroute_dispatcher::effects::{Event, Peer};
 use copperroute_routing::interface::Nanos;
 use expect_test::expect;
 
-/// The time that the last attempt told.
-fn told(trace: &str) -> Option<u64> {
+/// The time to live of the last attempt in the trace, in milliseconds.
+fn sent_ttl_ms(trace: &str) -> Option<u64> {
     let line = trace.lines().rev().find(|line| line.contains("<- fetch"))?;
     line.split("ttl=").nth(1)?.split([',', ' ']).next()?.parse().ok()
 }
 
-/// A dispatcher on a network where nothing happens by itself.
+/// A dispatcher on a network where connections and writes complete only by events of the test.
 fn slow_network() -> Play {
     let mut play = Play::of(CONFIG);
     play.calm = false;
     play
 }
 
-/// The time that passes before a connection comes up is not told as left.
+/// Time spent on connecting is taken off the remaining time.
 #[test]
-fn what_waited_for_its_connection_tells_what_is_left() {
+fn an_attempt_that_waited_for_its_connection_sends_the_remaining_time() {
     let mut play = slow_network();
     play.client(&request(7, "image", "9b1f", ",need=100"));
     play.pass(200);
     play.event(Event::Connected(Peer::Node(1)));
-    assert_eq!(told(&play.take()), Some(1_300));
+    assert_eq!(sent_ttl_ms(&play.take()), Some(1_300));
 }
 
-/// An attempt was put into words as it was given to its connection, and left whenever that took bytes again.
+/// An attempt was encoded when it was queued on its connection, and sent unchanged once the connection took bytes
+/// again.
 #[test]
-fn what_waited_to_leave_tells_what_is_left() {
+fn a_queued_attempt_sends_the_remaining_time() {
     let mut play = slow_network();
     play.client(&request(7, "image", "9b1f", ",need=100"));
     play.event(Event::Connected(Peer::Node(1)));
@@ -44,11 +46,11 @@
     .assert_eq(&play.take());
 }
 
-/// Of several, those that have begun to leave stay; the others keep their order, behind them.
+/// Of several queued attempts, those partly sent stay as they are; the others keep their order behind them.
 #[test]
-fn what_has_begun_to_leave_is_not_put_into_other_words() {
+fn a_partly_sent_attempt_is_not_encoded_again() {
     let mut play = slow_network();
-    // As many connections as one node gets, and one more attempt on the first of them.
+    // One attempt on each connection that a node may have, and one more on the first connection.
     for tag in 7..12 {
         play.client(&request(tag, "image", &format!("9b{tag:02}"), ",need=100"));
     }
@@ -61,7 +63,7 @@
         retract Node(1) from 78
     "#]]
     .assert_eq(&play.take());
-    // The rest of the first has left: the second goes with what its client has left now.
+    // The rest of the first attempt was sent: the second is encoded with its client's remaining time.
     play.event(Event::Written(Peer::Node(1), 78));
     expect![[r#"
         Node(1) <- fetch 9b11 lane=image,name=7f3a,piece=0,ttl=1300,keep=1 0
@@ -69,13 +71,14 @@
     .assert_eq(&play.take());
 }
 
-/// A connection comes up as nearly all of the client's time is over: nothing is sent, and the client is answered.
+/// A connection comes up when nearly all of the client's time has passed: nothing is sent, and the client is
+/// answered.
 #[test]
-fn with_no_time_left_nothing_is_sent() {
+fn nothing_is_sent_when_no_time_remains() {
     for calm in [false, true] {
         let mut play = slow_network();
         play.calm = calm;
-        // Half a millisecond is left.
+        // Half a millisecond remains.
         play.event(Event::InputDelay(Nanos(99_500_000)));
         play.client(&request(7, "image", "9b1f", ",need=100,timeout=100"));
         play.event(Event::Connected(Peer::Node(1)));
@@ -86,16 +89,16 @@
     }
 }
 
-/// What lay unread while the machine held the program up is taken from the client's time.
+/// The time that a request lay unread while the program was not scheduled is taken off the remaining time.
 #[test]
-fn what_lay_unread_is_taken_from_the_time_left() {
+fn time_spent_unread_is_taken_off_the_remaining_time() {
     let mut play = Play::of(CONFIG);
     play.event(Event::InputDelay(Nanos(300_000_000)));
     play.client(&request(7, "image", "9b1f", ",need=100"));
-    assert_eq!(told(&play.take()), Some(1_200));
+    assert_eq!(sent_ttl_ms(&play.take()), Some(1_200));
     play.pass(1_200);
     assert_eq!(play.take().matches("Client(1) <-").count(), 1);
     play.event(Event::InputDelay(Nanos::ZERO));
     play.client(&request(8, "image", "9b20", ",need=100"));
-    assert_eq!(told(&play.take()), Some(1_500));
+    assert_eq!(sent_ttl_ms(&play.take()), Some(1_500));
 }
