--- a/crates/dispatcher/tests/dispatcher/gone.rs
+++ b/crates/dispatcher/tests/dispatcher/gone.rs
@@ -1,21 +1,21 @@
-//! A client that closes or cancels has gone: no attempt begins for it later, whatever its request was waiting for. Without
-//! sockets; `gone_sockets.rs` has what depends on them.
+//! No attempt begins for a client that has closed or cancelled, whatever its request was waiting for. Without
+//! sockets; the tests in `gone_sockets.rs` use sockets.
 
 use crate::common::{CONFIG, Play, message, request};
 use copperroute_dispatcher::effects::{Event, Peer};
 
-/// How a client goes.
+/// How a client leaves.
 #[derive(Debug, Clone, Copy)]
 enum Leave {
     Aborts,
-    /// It ends its sending side.
+    /// It shuts down its sending side.
     Ends,
     /// Its connection is closed or reset.
     Closes,
-    /// It aborts behind a tag that is open already, after which it may ask for nothing new.
+    /// It aborts after a message with a tag that is already open, which forbids new requests on the connection.
     AbortsBehindTagTwice,
     EndsBehindTagTwice,
-    /// It sends what can't be read, then ends or closes.
+    /// It sends unparsable bytes, then ends or closes.
     EndsBehindUnreadable,
     ClosesBehindUnreadable,
 }
@@ -55,26 +55,26 @@
     }
 }
 
-/// What a request waits for as its client leaves, and what then happens that leads to an attempt.
+/// What a request waits for when its client leaves, and the later event that would lead to an attempt.
 #[derive(Debug, Clone, Copy)]
 enum Wait {
     /// Its first attempt waits for a connection to come up.
     Connecting,
     /// The same, and the connection never comes up.
     ConnectOverdue,
-    /// Its first attempt was given to a connection that takes nothing.
+    /// Its first attempt is queued on a connection that takes no bytes.
     Unwritten,
-    /// A lookup is out, which misses.
+    /// A lookup is in flight, which misses.
     Lookup,
-    /// A lookup is out, and its connection is reset.
+    /// A lookup is in flight, and its connection is reset.
     LookupReset,
-    /// A lookup is out, and its node drains.
+    /// A lookup is in flight, and its node drains.
     LookupRefused,
-    /// A fill for another request is waited for.
+    /// It waits for the fill of another request.
     OtherFill,
-    /// A fill is out, which its source refuses.
+    /// A fill is in flight, which its source refuses.
     Fill,
-    /// The program is told to end while a lookup is out.
+    /// The program receives SIGTERM while a lookup is in flight.
     LookupAtEnd,
 }
 
@@ -91,7 +91,7 @@
 ];
 
 impl Wait {
-    /// Until the client leaves.
+    /// Plays the events before the client leaves.
     fn begin(self, play: &mut Play) {
         play.calm = !matches!(self, Wait::Connecting | Wait::ConnectOverdue | Wait::Unwritten);
         play.client(&request(7, "image", "9b1f", ",need=100,timeout=5000"));
@@ -104,7 +104,7 @@
         }
     }
 
-    /// What comes afterwards.
+    /// Plays the events after the client has left.
     fn go_on(self, play: &mut Play) {
         match self {
             Wait::Connecting => play.event(Event::Connected(Peer::Node(1))),
@@ -112,7 +112,7 @@
                 play.calm = true;
                 play.pass(500);
             }
-            // Its connection ends before a byte has left: another would be asked.
+            // Its connection closes before a byte was sent: the request would be retried at another node.
             Wait::Unwritten => {
                 play.calm = true;
                 play.event(Event::Closed(Peer::Node(1)));
@@ -127,24 +127,27 @@
     }
 }
 
-/// Whether attempts are cancelled or not.
-fn of(cancel: bool) -> Play {
+/// A dispatcher that cancels attempts or does not.
+fn with_cancel(cancel: bool) -> Play {
     Play::of(&CONFIG.replace("\"cancel\": true", &format!("\"cancel\": {cancel}")))
 }
 
 #[test]
-fn whatever_a_request_waits_for_no_attempt_begins_once_its_client_has_gone() {
+fn no_attempt_begins_for_a_client_that_left_whatever_its_request_waits_for() {
     for wait in WAITS {
         for cancel in [true, false] {
-            // Where the client waits on, an attempt begins.
-            let mut play = of(cancel);
+            // While the client still waits, an attempt begins.
+            let mut play = with_cancel(cancel);
             wait.begin(&mut play);
             play.take();
             wait.go_on(&mut play);
-            let waited_on = play.take();
-            assert!(waited_on.contains("fetch"), "{wait:?} shows nothing: {waited_on}");
+            let waiting_trace = play.take();
+            assert!(
+                waiting_trace.contains("fetch"),
+                "{wait:?}: no attempt for a client that waits: {waiting_trace}"
+            );
             for leave in LEAVES {
-                let mut play = of(cancel);
+                let mut play = with_cancel(cancel);
                 wait.begin(&mut play);
                 play.take();
                 leave.play(&mut play);
@@ -156,10 +159,10 @@
     }
 }
 
-/// An abort behind a tag that is used twice can be read: its request is cancelled, the connection ends, and nothing else that
-/// comes on it is heard.
+/// An abort behind a tag that is used twice is still read: its request is cancelled, the connection is closed, and
+/// nothing else on it is processed.
 #[test]
-fn an_abort_behind_a_tag_used_twice_is_heard() {
+fn an_abort_behind_a_tag_used_twice_is_processed() {
     let mut play = Play::new();
     play.client(&request(6, "post", "9b1e", ""));
     play.client(&request(7, "image", "9b1f", ",need=100"));
@@ -174,15 +177,15 @@
     assert!(trace.ends_with("shut Client(1)\n"), "{trace}");
 }
 
-/// As the program ends, what is open is answered before its deadline. Another attempt that is ordered in that moment must not
-/// follow, also where attempts are not cancelled.
+/// At shutdown, open requests are answered before their deadlines. A retry that is waiting for its connection at
+/// that time must not be sent, also where attempts are not cancelled.
 #[test]
-fn what_is_answered_at_the_end_of_the_program_is_not_sent_on() {
+fn requests_answered_at_shutdown_are_not_sent_to_nodes() {
     for cancel in [true, false] {
-        let mut play = of(cancel);
+        let mut play = with_cancel(cancel);
         play.client(&request(7, "image", "9b1f", ",need=100,timeout=5000"));
         play.event(Event::Terminate);
-        // Its node goes on answering others, so that it is not left out for silence.
+        // The node answers another request, so that it is not excluded as silent.
         play.client(&request(8, "image", "9b20", ",need=100,timeout=5000"));
         play.node("9b20 ok why=local 4");
         play.calm = false;
@@ -193,7 +196,7 @@
         play.pass(200);
         let ending = play.take();
         assert!(ending.contains("$1 7 $6 FAILED"), "{ending}");
-        assert!(ending.contains("connect Node"), "no other attempt was ordered: {ending}");
+        assert!(ending.contains("connect Node"), "no retry was started: {ending}");
         (2..9).for_each(|connection| play.event(Event::Connected(Peer::Node(connection))));
         let trace = play.take();
         assert!(!trace.contains("fetch"), "cancel {cancel}: {ending}{trace}");
