--- a/crates/dispatcher/tests/dispatcher/unread.rs
+++ b/crates/dispatcher/tests/dispatcher/unread.rs
@@ -1,5 +1,5 @@
-//! What was read from a client is answered, and what is shut is shut unread: each path on which a client's connection ends by
-//! the program's will. Events in, effects out, and the program on loopback sockets.
+//! On each path where the program itself closes a client's connection, every request that was read is answered,
+//! and nothing is read after the close. Events in, effects out, and the program on loopback sockets.
 
 use crate::common::{CONFIG, LOOPBACK, Play, message, request};
 use crate::rig::{Rig, UNHURRIED, answer, items, lies_unread, told};
@@ -9,7 +9,7 @@
 use std::thread;
 use std::time::Duration;
 
-/// What was written to a client, by tag: the words of its answers.
+/// The answers written to a client: tag and status word.
 fn answers(trace: &str, client: u32) -> Vec<(u64, String)> {
     let start = format!("Client({client}) <- ");
     let of_client = trace.lines().filter_map(|line| line.strip_prefix(&start));
@@ -17,9 +17,10 @@
     fields.map(|fields| (fields[2].parse().expect("a tag"), fields[4].to_string())).collect()
 }
 
-/// Half of a message, and then nothing: what was asked before on that connection was forsaken with no answer.
+/// A client sends half a message and then nothing: earlier requests on that connection were dropped without an
+/// answer.
 #[test]
-fn what_was_asked_before_half_of_something_is_answered() {
+fn requests_before_half_a_message_are_answered() {
     let mut play = Play::new();
     play.client(&request(7, "image", "9b1f", ",timeout=5000,need=100000"));
     play.client(&message("HEALTH", 8)[..9]);
@@ -31,9 +32,9 @@
     assert!(trace.contains("shut Client(1)\n"), "{trace}");
 }
 
-/// The same on sockets: the answer comes, and then the end.
+/// The same on sockets: the answer arrives, then the connection is closed.
 #[test]
-fn who_sends_half_of_something_is_answered_and_then_shut() {
+fn a_client_that_sends_half_a_message_is_answered_and_then_shut() {
     let (_rig, mut client, mut asked) = Rig::asked_for("image");
     client.write_all(&message("HEALTH", 8)[..9]).expect("the program reads");
     thread::sleep(Duration::from_millis(2_500));
@@ -42,15 +43,15 @@
     assert_eq!(client.read(&mut [0; 1]).expect("an end"), 0);
 }
 
-/// A client that never spoke is shut after two seconds. What it asks behind that stays unread.
+/// A client that never sent anything is shut after two seconds. Requests that it sends later stay unread.
 #[test]
-fn what_is_asked_behind_the_end_of_a_connection_stays_unread() {
+fn requests_after_the_connection_was_shut_stay_unread() {
     let rig = Rig::start();
     let mut client = rig.client();
     assert_eq!(client.read(&mut [0; 1]).expect("an end"), 0);
     client.write_all(&request(7, "image", "9b1f", UNHURRIED)).expect("its side is open");
     lies_unread(&client, false);
-    // Several turns later it lies there still.
+    // Several turns of the event loop later it is still unread.
     for tag in 1..4 {
         let mut other = rig.client();
         other.write_all(&message("HEALTH", tag)).expect("the program reads");
@@ -60,14 +61,14 @@
     assert!(rig.asked.try_recv().is_err());
 }
 
-/// A client that ends as well is let go of at once, though nothing is read from it any more.
+/// A shut connection is released at once when its client closes too, although it is no longer read.
 #[test]
-fn a_client_that_ends_behind_the_end_is_let_go_of() {
+fn a_shut_connection_is_released_when_its_client_closes() {
     let mut rig = Rig::start();
     let folder = format!("/proc/{}/fd", rig.program.id());
     let descriptors = || std::fs::read_dir(&folder).expect("it runs").count();
     let client = rig.client();
-    // The change log is heard all the while: else it would be called anew.
+    // Heartbeats keep the change log connected: a reconnect would change the number of descriptors.
     for _ in 0..6 {
         thread::sleep(Duration::from_millis(400));
         rig.tell("1\n");
@@ -79,10 +80,10 @@
     assert_eq!(descriptors(), before - 1);
 }
 
-/// Behind a tag used twice nothing new is begun, but each request that was read is answered, also where the connection could
-/// end in the middle of what came.
+/// After a tag that is used twice no new request is started, but each request that was read is answered, also if
+/// the connection could be closed in the middle of the received batch.
 #[test]
-fn what_was_read_behind_a_tag_used_twice_is_answered() {
+fn requests_read_behind_a_tag_used_twice_are_answered() {
     let mut play = Play::new();
     let ask = |tag, id| request(tag, "image", id, ",need=100");
     let batch =
@@ -93,9 +94,10 @@
     assert!(trace.contains("shut Client(1)\n"), "{trace}");
 }
 
-/// Memory has run out over a client that goes on asking: all that was read of it is answered before its connection ends.
+/// Memory runs out over a client that keeps sending requests: all requests read are answered before its connection
+/// is closed.
 #[test]
-fn who_takes_too_little_is_answered_all_that_was_read() {
+fn a_client_that_reads_too_slowly_gets_an_answer_to_every_request_read() {
     let mut play = Play::of(&CONFIG.replace("\"memory_mb\": 192", "\"memory_mb\": 4"));
     for tag in 7..11 {
         play.client(&request(tag, "image", &format!("9b{tag:02}"), ",need=100"));
@@ -124,9 +126,10 @@
     assert_eq!(answered, asked);
 }
 
-/// A client that has taken nothing for long is told what becomes of what is open, should it take it yet.
+/// A client that has read nothing for the idle time is sent an answer to its open request, and its connection is
+/// shut.
 #[test]
-fn who_takes_nothing_is_told_and_shut() {
+fn a_client_that_reads_nothing_is_answered_and_shut() {
     let mut play = Play::of(&CONFIG.replace("\"conn_idle_s\": 30.0", "\"conn_idle_s\": 1.0"));
     play.client(&request(7, "image", "9b07", ",need=100"));
     play.client(&request(8, "image", "9b08", ",timeout=5000,need=100000"));
@@ -139,9 +142,9 @@
     assert!(trace.contains("shut Client(1)\n"), "{trace}");
 }
 
-/// Clients that are ended for others' sake: none of it is read on, whether they are new, rest, or are one too many.
+/// Clients shut to free descriptors are not read again, whether they are new, idle, or beyond the limit.
 #[test]
-fn who_is_shut_for_want_of_room_is_shut_unread() {
+fn a_client_shut_to_free_descriptors_is_not_read_again() {
     let mut play = Play::of(&CONFIG.replace("\"sockets\": 1024", "\"sockets\": 8"));
     play.client(&message("HEALTH", 1));
     (2..=9).for_each(|client| play.event(Event::Accepted(client, LOOPBACK)));
@@ -156,9 +159,9 @@
     assert!(!trace.contains("read on"), "{trace}");
 }
 
-/// Requests come on more connections than there are descriptors: each is answered, or was never read.
+/// Requests on more connections than there are descriptors: each is answered, or was never read.
 #[test]
-fn under_want_of_descriptors_what_was_read_is_answered() {
+fn requests_read_without_free_descriptors_are_answered() {
     let rig = Rig::limited("ulimit -n 40", Stdio::null());
     let (mut answered, mut unread) = (0, 0);
     for round in 0..10 {
@@ -167,7 +170,9 @@
             .map(|number| {
                 let mut client = rig.client();
                 let id = format!("{:016x}", round * 100 + number);
-                client.write_all(&request(7, "nothing", &id, "")).expect("it is kept for the program");
+                client
+                    .write_all(&request(7, "nothing", &id, ""))
+                    .expect("the kernel buffers it for the program");
                 client
             })
             .collect();
@@ -183,7 +188,7 @@
                     assert_eq!(items(&mut reader)[1], b"FAILED");
                     answered += 1;
                 }
-                // Closed over what it had not read.
+                // Closed with unread data.
                 Err(fault) if fault.kind() == ErrorKind::ConnectionReset => unread += 1,
                 Err(fault) => panic!("round {round}: {fault}"),
             }
--- a/crates/dispatcher/tests/dispatcher/unsent.rs
+++ b/crates/dispatcher/tests/dispatcher/unsent.rs
@@ -1,4 +1,4 @@
-//! Events in, effects out: what was ordered and has not left is never sent once it must not be, without sockets.
+//! A queued attempt that must no longer be sent is withdrawn. Events in, effects out, without sockets.
 
 use crate::common::{CONFIG, LOOPBACK, Play, message, request};
 use copperroute_dispatcher::effects::{Event, Peer};
@@ -6,7 +6,7 @@
 use copperroute_routing::interface::Nanos;
 use expect_test::expect;
 
-/// A line of the change log on a cache.
+/// A change log event that lists one cache.
 fn listed(seq: u32, id: &str, port: u32, state: &str) -> String {
     format!(
         "{{\"seq\":{seq},\"fleet\":{{\"servers\":[{{\"id\":\"{id}\",\"addr\":\"127.0.0.1:{port}\",\"zone\":\"east\",\
@@ -14,8 +14,8 @@
     )
 }
 
-/// A request whose attempt was given to a connection that takes nothing.
-fn stuck(config: &str) -> Play {
+/// A request whose attempt is queued on a connection that takes no bytes.
+fn queued_attempt(config: &str) -> Play {
     let mut play = Play::of(config);
     play.calm = false;
     play.client(&request(7, "image", "9b1f", ",need=100,family=17"));
@@ -24,9 +24,9 @@
     play
 }
 
-/// Where attempts are not called off, one that waited for its connection was sent though its client had left.
+/// Where attempts are not cancelled, one that waited for its connection was sent although its client had left.
 #[test]
-fn who_leaves_while_a_pull_waits_for_its_connection_is_not_sent_for() {
+fn an_attempt_that_waits_for_its_connection_is_not_sent_after_its_client_left() {
     for cancel in ["true", "false"] {
         for leave in 0..3 {
             let mut play = Play::of(&CONFIG.replace("\"cancel\": true", &format!("\"cancel\": {cancel}")));
@@ -45,10 +45,10 @@
     }
 }
 
-/// The same for an attempt that was given to its connection: none of it had left.
+/// The same for an attempt that is queued on its connection, with no byte sent.
 #[test]
-fn who_leaves_while_a_pull_waits_to_leave_is_not_sent_for() {
-    let mut play = stuck(CONFIG);
+fn a_queued_attempt_is_withdrawn_when_its_client_leaves() {
+    let mut play = queued_attempt(CONFIG);
     play.client(&message("ABORT", 7));
     expect![[r#"
         retract Node(1) from 0
@@ -56,10 +56,10 @@
     .assert_eq(&play.take());
 }
 
-/// The bytes were kept for a node that takes nothing, and left for it whenever it took them, whatever was told meanwhile.
+/// Bytes queued for a node that takes none were sent once it took them, even if the node had started to drain.
 #[test]
-fn what_has_not_begun_to_leave_for_a_node_that_drains_goes_elsewhere() {
-    let mut play = stuck(CONFIG);
+fn an_unsent_attempt_for_a_draining_node_goes_to_another_node() {
+    let mut play = queued_attempt(CONFIG);
     play.log(1, &listed(2, "s-a", 6001, "leaving"));
     expect![[r#"
         retract Node(1) from 0
@@ -69,10 +69,10 @@
     .assert_eq(&play.take());
 }
 
-/// Of what has begun to leave the rest follows, as it can't be unsaid.
+/// The rest of a partly sent attempt is sent, as the sent part cannot be withdrawn.
 #[test]
-fn what_has_begun_to_leave_is_sent_whole() {
-    let mut play = stuck(CONFIG);
+fn a_partly_sent_attempt_is_sent_completely() {
+    let mut play = queued_attempt(CONFIG);
     play.event(Event::Written(Peer::Node(1), 10));
     play.log(1, &listed(2, "s-a", 6001, "leaving"));
     assert_eq!(play.take(), "");
@@ -85,12 +85,12 @@
     .assert_eq(&play.take());
 }
 
-/// Behind it others wait in the same bytes: they are said anew, and an abort among them too.
+/// Lines queued behind a withdrawn attempt are queued again, an abort included.
 #[test]
-fn what_was_behind_unsaid_bytes_is_said_anew() {
+fn lines_behind_a_withdrawn_attempt_are_queued_again() {
     let mut play = Play::new();
     play.event(Event::Accepted(2, LOOPBACK));
-    // All on one connection: others are turned away.
+    // All on one connection: more are refused.
     for tag in 7..11 {
         play.client(&request(tag, "image", &format!("9b{tag:02}"), ",need=100"));
     }
@@ -105,21 +105,21 @@
     play.client(&message("ABORT", 7));
     play.event(Event::Received(Peer::Client(2), &message("ABORT", 11)));
     let trace = first + &play.take();
-    let of_one: Vec<_> = trace.lines().filter(|line| line.contains("Node(1)")).collect();
+    let node_1_lines: Vec<_> = trace.lines().filter(|line| line.contains("Node(1)")).collect();
     expect![[r#"
         Node(1) <- fetch 9b11 lane=image,name=7f3a,piece=0,ttl=1500,keep=1 0
         Node(1) <- abort 9b07
         retract Node(1) from 78
         Node(1) <- abort 9b07"#]]
-    .assert_eq(&of_one.join("\n"));
+    .assert_eq(&node_1_lines.join("\n"));
 }
 
-/// Two attempts were given to a connection at once, and the client of the first leaves: the second is said anew.
+/// Two attempts are queued on a connection and the client of the first leaves: the second is queued again.
 #[test]
-fn a_pull_behind_one_that_is_unsaid_is_sent_all_the_same() {
+fn an_attempt_behind_a_withdrawn_one_is_still_sent() {
     let mut play = Play::new();
     play.calm = false;
-    // As many connections as one node gets, and one more attempt on the first of them.
+    // One attempt on each connection that a node may have, and one more on the first connection.
     for tag in 7..12 {
         play.client(&request(tag, "image", &format!("9b{tag:02}"), ",need=100"));
     }
@@ -133,10 +133,10 @@
     "#]].assert_eq(&play.take());
 }
 
-/// A purge is heard while the attempt waits to leave: it asks for a newer copy.
+/// A purge arrives while the attempt is queued: the attempt then asks for a newer copy.
 #[test]
-fn what_has_not_begun_to_leave_when_a_purge_is_heard_asks_for_a_newer_copy() {
-    let mut play = stuck(CONFIG);
+fn an_unsent_attempt_asks_for_a_newer_copy_after_a_purge() {
+    let mut play = queued_attempt(CONFIG);
     play.pass(100);
     play.log(1, r#"{"seq":2,"invalidate":{"bucket":17,"time":1764576000080}}"#);
     expect![[r#"
@@ -146,9 +146,9 @@
     .assert_eq(&play.take());
 }
 
-/// A node at the address of another: what waits for the other would reach the new one.
+/// A new node is listed at another node's address: an attempt that waits for the old node would reach the new one.
 #[test]
-fn what_waits_for_an_address_that_is_anothers_now_goes_elsewhere() {
+fn an_attempt_that_waits_for_an_address_now_used_by_another_node_goes_elsewhere() {
     let mut play = Play::new();
     play.calm = false;
     play.client(&request(7, "image", "9b1f", ",need=100"));
@@ -159,9 +159,10 @@
     assert!(!trace.contains("Node(1) <- fetch") && trace.contains("connect Node(2)"), "{trace}");
 }
 
-/// A node is listed with a new start while its connection comes up: the attempt for the one before is ordered anew.
+/// A node is listed at a new address while its connection comes up: the attempt for the old address is started
+/// again.
 #[test]
-fn what_waits_for_a_node_that_starts_anew_is_ordered_anew() {
+fn an_attempt_that_waits_for_a_moved_node_is_started_again() {
     let mut play = Play::new();
     play.calm = false;
     play.client(&request(7, "image", "9b1f", ",need=100"));
@@ -172,14 +173,14 @@
     assert!(!trace.contains("Node(1) <- fetch") && trace.contains("close Node(1)"), "{trace}");
 }
 
-/// Out of descriptors, the node that could not be connected to counted as dead and was set aside.
+/// Without free descriptors, the node that could not be connected to counted as dead and was ejected.
 #[test]
-fn a_connection_that_lacks_a_descriptor_is_held_against_nobody() {
+fn a_connect_failure_for_lack_of_descriptors_ejects_no_node() {
     let mut play = Play::new();
     play.calm = false;
     for tag in 7..12 {
         play.client(&request(tag, "image", &format!("9b{tag:02}"), ",need=100"));
-        // What comes of one that can't be had may be another.
+        // A connection that fails may be followed by another.
         loop {
             let trace = play.take();
             let numbers =
@@ -199,10 +200,11 @@
     assert!(trace.contains("127.0.0.1:6001"), "{trace}");
 }
 
-/// A second answer to the first attempt of a post came for that of the second, on the same connection: it counted as turned
-/// away, and a third was sent though the second may have run.
+/// The first attempt of a post is answered twice on its connection, the second time after the second attempt was
+/// started: that counted as a refusal of the second attempt, and a third was sent although the second may have
+/// run.
 #[test]
-fn a_second_answer_does_not_end_a_later_pull_of_what_may_run_once() {
+fn a_second_answer_does_not_end_a_later_attempt_of_a_post() {
     let config = CONFIG.replace("\"pass_through_ok\": true", "\"pass_through_ok\": false");
     let refused = b"9b1f000000000000 refused why=turned_away 0\r\n\r\n";
     let mut play = Play::of(&config);
@@ -220,11 +222,11 @@
     .assert_eq(&play.take());
 }
 
-/// The same answer again, before the second attempt has left: it ended an attempt that was never sent, the request was refused, and
-/// the attempt left all the same (found by the driver).
+/// The same answer arrives twice before the second attempt is sent: it ended an attempt that was never sent, the
+/// request was refused, and the attempt was sent all the same.
 #[test]
-fn a_second_answer_does_not_end_a_pull_that_has_not_left() {
-    let mut play = stuck(CONFIG);
+fn a_second_answer_does_not_end_an_unsent_attempt() {
+    let mut play = queued_attempt(CONFIG);
     play.event(Event::Written(Peer::Node(1), 78));
     let nothing = b"9b1f000000000000 nothing - 0\r\n\r\n";
     play.event(Event::Received(Peer::Node(1), nothing));
@@ -235,10 +237,10 @@
     .assert_eq(&play.take());
 }
 
-/// A deduped request broke off and goes again: what waits for its connection when its repeats are known no longer is not
+/// A retry of a deduplicated request waits for its connection until nodes no longer recognize repeats: it is not
 /// sent, however late the connection comes up.
 #[test]
-fn a_repeat_that_waits_past_its_time_is_not_sent() {
+fn a_retry_past_the_deduplication_window_is_not_sent() {
     let keyed = r#"{"name": "image", "effect": "keyed", "window_s": 0.3, "dedup_scope": "all","#;
     let config = CONFIG.replace(r#"{"name": "image", "effect": "safe","#, keyed);
     for (wait, sent) in [(250, true), (290, false), (350, false)] {
@@ -257,7 +259,7 @@
 }
 
 #[test]
-fn health_is_up_only_where_a_node_could_be_asked() {
+fn health_is_up_only_when_a_node_is_available() {
     let mut play = Play::new();
     play.client(&message("HEALTH", 1));
     play.log(1, r#"{"seq":2,"fleet":{"full":true,"servers":[]}}"#);
@@ -275,7 +277,7 @@
     let mut lingering = LingeringConnections::default();
     lingering.set_descriptor_limit(64);
     let closed: Vec<_> = (1..=6).filter_map(|number| lingering.begin(now, number)).collect();
-    // Four linger, whatever the limit of descriptors; then the oldest makes room.
+    // At most four linger, whatever the descriptor limit; a further one closes the oldest.
     assert_eq!((closed, lingering.count()), (vec![1, 2], 4));
     assert!(
         !lingering.received(3, 500_000) && lingering.received(3, 100_000) && !lingering.received(9, 1 << 30)
