--- a/crates/dispatcher/tests/dispatcher/life.rs
+++ b/crates/dispatcher/tests/dispatcher/life.rs
@@ -1,11 +1,11 @@
-//! Events in, effects out: the change log, the configuration, start and end, without sockets.
+//! The change log, reloads of the configuration, start and shutdown. Events in, effects out, without sockets.
 
 use crate::common::{CONFIG, LOOPBACK, Play, message, request};
 use copperroute_dispatcher::effects::{Event, Peer};
 use expect_test::expect;
 
-/// A dispatcher that knows no list at its start.
-fn unlisted() -> Play {
+/// A dispatcher that starts without a node list.
+fn without_node_list() -> Play {
     let empty = CONFIG.replace(r#""full": true, "servers""#, r#""full": true, "later""#);
     let empty = empty.replace(r#""later""#, r#""servers": [], "later""#).replace(r#""fleet""#, r#""other""#);
     Play::of(&empty)
@@ -16,23 +16,23 @@
     let mut play = Play::new();
     play.log(1, "1");
     play.log(1, "5");
-    play.trace.push_str("behind\n");
+    play.trace.push_str("heartbeat ahead of the events\n");
     play.pass(200);
     play.log(2, "{\"seq\":2");
     play.trace.push_str("a bad line\n");
     play.pass(400);
     play.log(3, r#"{"seq":2,"fleet":{"servers":[{"id":"s-a","state":"gone fishing"}]}}"#);
-    play.trace.push_str("an event that can't be used\n");
+    play.trace.push_str("an unusable event\n");
     play.pass(800);
     play.log(4, r#"{"seq":2,"fleet":{"servers":[{"id":"s-a","state":"gone fishing"}]}}"#);
     play.log(4, r#"{"seq":3,"invalidate":{"bucket":17,"time":1764576000480}}"#);
-    play.trace.push_str("passed over\n");
+    play.trace.push_str("unusable event skipped\n");
     play.log(4, "3");
     play.trace.push_str("silent\n");
     play.pass(4_500);
     expect![[r#"
         close ChangeLog(1)
-        behind
+        heartbeat ahead of the events
         connect ChangeLog(2) 127.0.0.1:2379
         ChangeLog(2) <- since 1\n
         close ChangeLog(2)
@@ -40,10 +40,10 @@
         connect ChangeLog(3) 127.0.0.1:2379
         ChangeLog(3) <- since 1\n
         close ChangeLog(3)
-        an event that can't be used
+        an unusable event
         connect ChangeLog(4) 127.0.0.1:2379
         ChangeLog(4) <- since 1\n
-        passed over
+        unusable event skipped
         silent
         shut Client(1)
         close Client(1)
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_new_node_at_the_address_of_one_that_has_gone_is_connected_to_anew() {
+fn a_new_node_at_the_address_of_a_removed_one_gets_a_new_connection() {
     let mut play = Play::new();
     play.client(&request(7, "image", "9b1f", ",need=100"));
     let old = if play.trace.contains(":6001") { ("s-a", 6001) } else { ("s-b", 6002) };
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_node_that_has_gone_is_forgotten_and_its_place_is_free_for_another() {
+fn a_removed_node_is_dropped_and_its_slot_is_reused() {
     let mut play = Play::new();
     let line = |seq: u32, id: &str, state: &str| {
         let node = "\"addr\":\"127.0.0.1:6009\",\"zone\":\"far\",\"kind\":\"box\"";
@@ -103,8 +103,8 @@
 }
 
 #[test]
-fn health_follows_the_phases_and_the_last_answer_comes_before_the_exit() {
-    let mut play = unlisted();
+fn health_follows_the_phases_and_the_last_answer_precedes_the_exit() {
+    let mut play = without_node_list();
     play.client(&message("HEALTH", 1));
     play.log(1, r#"{"seq":2,"fleet":{"full":true,"servers":[{"id":"s-a","addr":"127.0.0.1:6001","zone":"east","kind":"box","state":"active","weight":20}]}}"#);
     play.client(&message("HEALTH", 2));
@@ -116,7 +116,7 @@
     play.pass(400);
     play.client(&request(8, "image", "9b20", ",need=100"));
     play.pass(160);
-    play.trace.push_str("nothing new can come\n");
+    play.trace.push_str("no new connections\n");
     play.node("9b20 ok why=local 4");
     expect![[r#"
         Client(1) <- *4 $1 1 $4 DOWN $0  $0
@@ -126,7 +126,7 @@
         Node(1) <- fetch 9b1f lane=image,name=7f3a,piece=0,ttl=1500 0
         Client(1) <- *4 $1 7 $2 OK $0  $4 body
         Node(1) <- fetch 9b20 lane=image,name=7f3a,piece=0,ttl=1500,keep=1 0
-        nothing new can come
+        no new connections
         Client(1) <- *4 $1 8 $2 OK $0  $4 body
         read last
         shut Client(1)
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn a_new_configuration_moves_the_change_log_and_ends_nothing() {
+fn a_reload_moves_the_change_log_and_ends_no_request() {
     let mut play = Play::new();
     let moved = CONFIG.replace(":2379", ":2380").replace("\"max_attempts\": 6", "\"max_attempts\": 5");
     play.client(&request(7, "image", "9b1f", ",need=100"));
@@ -173,10 +173,10 @@
 }
 
 #[test]
-fn the_end_comes_by_the_longest_expiry_though_a_client_takes_nothing() {
+fn the_program_exits_by_the_longest_deadline_even_if_a_client_reads_nothing() {
     let short = CONFIG.replace("\"deadline_s\": 5.0", "\"deadline_s\": 1.0");
     let short = short.replace("\"deadline_s\": 3.0", "\"deadline_s\": 1.2");
-    let ends = |config: &str| {
+    let shutdown_trace = |config: &str| {
         let mut play = Play::of(config);
         play.event(Event::Terminate);
         play.calm = false;
@@ -218,12 +218,12 @@
         3400 ms
         3600 ms
     "#]]
-    .assert_eq(&[CONFIG, &short].map(ends).concat());
+    .assert_eq(&[CONFIG, &short].map(shutdown_trace).concat());
 }
 
 #[test]
-fn a_wrong_configuration_is_named_in_one_line() {
-    let wrong = [
+fn a_faulty_configuration_is_reported_in_one_line() {
+    let faulty = [
         CONFIG.replace("\"listen\": \"127.0.0.1:5050\"", "\"listen\": \"here\""),
         CONFIG.replace("\"seed\": \"8c1f30d27a5be964\"", "\"seed\": \"xyz\""),
         CONFIG.replace("\"max_attempts\": 6,", ""),
@@ -241,20 +241,20 @@
         options: rules.cold_s: expected a number, found 'soon'
         EOF while parsing an object at line 1 column 1
     "#]]
-    .assert_eq(&wrong.map(read).concat());
+    .assert_eq(&faulty.map(read).concat());
 }
 
 #[test]
-fn where_a_whole_list_stands_for_what_is_lost_older_copies_count_as_purged() {
+fn a_snapshot_that_replaces_lost_events_makes_older_copies_count_as_purged() {
     let mut play = Play::new();
     for _ in 0..3 {
         play.pass(1_000);
         play.log(1, "1");
     }
     play.pass(1_500);
-    // Its service holds three events only, and tells the list in place of those before.
-    let list = r#"{"seq":9,"fleet":{"version":9,"full":true,"servers":[{"id":"s-a","addr":"127.0.0.1:6001","zone":"east","kind":"box","state":"active"}]}}"#;
-    play.log(1, list);
+    // The change log keeps three events only, and sends a snapshot in place of earlier ones.
+    let snapshot = r#"{"seq":9,"fleet":{"version":9,"full":true,"servers":[{"id":"s-a","addr":"127.0.0.1:6001","zone":"east","kind":"box","state":"active"}]}}"#;
+    play.log(1, snapshot);
     play.take();
     play.event(Event::Accepted(1, LOOPBACK));
     play.client(&request(7, "image", "9b1f", ",need=100"));
@@ -265,10 +265,10 @@
     .assert_eq(&play.take());
 }
 
-/// Connected, and not a word from the first second on, or half a line: called anew within the time in which all counts as
-/// told.
+/// A connected change log that sends nothing, or half a line: the dispatcher reconnects before its knowledge
+/// counts as stale.
 #[test]
-fn a_change_log_that_is_silent_from_the_start_or_stops_in_a_line_is_called_anew() {
+fn a_change_log_that_is_silent_or_stops_within_a_line_is_reconnected() {
     for half in [false, true] {
         let mut play = Play::new();
         if half {
@@ -280,21 +280,21 @@
     }
 }
 
-/// Told to end before any list has come, and twice: it ends, and refuses what came.
+/// SIGTERM twice before any node list has arrived: the program refuses the open request and exits.
 #[test]
-fn told_to_end_before_a_list_has_come_it_ends() {
-    let mut play = unlisted();
+fn sigterm_before_any_node_list_ends_the_program() {
+    let mut play = without_node_list();
     play.client(&request(7, "image", "9b1f", ""));
     play.event(Event::Terminate);
     play.event(Event::Terminate);
     play.pass(740);
-    play.trace.push_str("nothing new can come\n");
+    play.trace.push_str("no new connections\n");
     play.pass(300);
     let trace = play.take();
     let trace: Vec<_> = trace.lines().filter(|line| !line.contains("ChangeLog")).collect();
     expect![[r#"
         Client(1) <- *4 $1 7 $4 BUSY $11 holdoff=185 $0
-        nothing new can come
+        no new connections
         read last
         shut Client(1)
         close Client(1)
@@ -302,9 +302,9 @@
     .assert_eq(&trace.join("\n"));
 }
 
-/// A client whose connection was ended just before does not hold up the end of the program.
+/// A client connection that was shut just before does not delay the exit of the program.
 #[test]
-fn who_lingers_already_does_not_hold_up_the_end() {
+fn a_lingering_client_does_not_delay_the_exit() {
     let mut play = Play::new();
     play.event(Event::Accepted(2, LOOPBACK));
     play.event(Event::Terminate);
--- a/crates/dispatcher/tests/dispatcher/relay_process.rs
+++ b/crates/dispatcher/tests/dispatcher/relay_process.rs
@@ -1,4 +1,4 @@
-//! Replicas as processes between a stand-in of the change log and a dispatcher.
+//! Replica processes between a stand-in for the change log and a dispatcher.
 
 use crate::common::{CONFIG, message};
 use crate::rig::{LONG, answer, processor_s};
@@ -22,7 +22,7 @@
         Program::failing(&FaultPlan::new(0), command, name, config)
     }
 
-    /// The same with system calls that fail as a plan says.
+    /// The same with system calls that fail according to a fault plan.
     fn failing(plan: &FaultPlan, command: &str, name: &str, config: &str) -> Program {
         let path = std::env::temp_dir().join(format!("copperroute-{}-{name}.json", std::process::id()));
         std::fs::write(&path, config).expect("a temporary file");
@@ -35,11 +35,11 @@
     }
 
     fn replica(name: &str, listen: &str, source: &str, kind: &str) -> Program {
-        Program::start("relay", name, &Program::of_replica(name, listen, source, kind))
+        Program::start("relay", name, &Program::replica_config(name, listen, source, kind))
     }
 
     /// A replica's configuration.
-    fn of_replica(name: &str, listen: &str, source: &str, kind: &str) -> String {
+    fn replica_config(name: &str, listen: &str, source: &str, kind: &str) -> String {
         let source = format!("{{\"address\":\"{source}\",\"kind\":\"{kind}\"}}");
         format!("{{\"name\":\"{name}\",\"listen\":\"{listen}\",\"sources\":[{source}]}}")
     }
@@ -53,33 +53,34 @@
     }
 }
 
-/// A change log: tells all its events behind what was asked for, and the last number each second.
+/// A stand-in for the change log: sends all events after the requested one, and the last sequence number each
+/// second.
 fn change_log() -> (String, Arc<Mutex<Vec<String>>>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("an address").to_string();
     let events = Arc::new(Mutex::new(Vec::new()));
-    let told = events.clone();
+    let shared = events.clone();
     thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
-            let told = told.clone();
-            thread::spawn(move || tell(stream, &told));
+            let shared = shared.clone();
+            thread::spawn(move || send_events(stream, &shared));
         }
     });
     (address, events)
 }
 
-fn tell(mut stream: TcpStream, events: &Mutex<Vec<String>>) {
+fn send_events(mut stream: TcpStream, events: &Mutex<Vec<String>>) {
     let mut ask = String::new();
     BufReader::new(stream.try_clone().expect("a handle")).read_line(&mut ask).expect("a line");
     let mut at: usize = ask.trim().trim_start_matches("since ").parse().expect("a number");
-    let mut beat = Instant::now();
+    let mut next_heartbeat = Instant::now();
     loop {
         let events = events.lock().expect("nobody panicked").clone();
         let mut text: String = events.iter().skip(at).map(|event| format!("{event}\n")).collect();
         at = at.max(events.len());
-        if beat <= Instant::now() {
+        if next_heartbeat <= Instant::now() {
             text += &format!("{}\n", events.len());
-            beat += Duration::from_secs(1);
+            next_heartbeat += Duration::from_secs(1);
         }
         if stream.write_all(text.as_bytes()).is_err() {
             return;
@@ -88,29 +89,29 @@
     }
 }
 
-/// An address of its own: a port that was free a moment ago may be another test's by now.
-fn own(test: u8, last: u8) -> String {
+/// A loopback address of its own: another test may take a port that was found free.
+fn own_address(test: u8, last: u8) -> String {
     format!("127.{}.25{test}.{last}:5050", 1 + std::process::id() % 250)
 }
 
-/// Asks the dispatcher until it says this.
+/// Asks the dispatcher for its health until the answer contains `wanted`.
 fn until_health(address: &str, wanted: &str) {
-    let begun = Instant::now();
-    let mut said = String::new();
-    while begun.elapsed() < LONG {
+    let started = Instant::now();
+    let mut health = String::new();
+    while started.elapsed() < LONG {
         if let Ok(mut client) = TcpStream::connect(address) {
             client.write_all(&message("HEALTH", 1)).expect("it reads");
-            said = answer(&client);
-            if said.contains(wanted) {
+            health = answer(&client);
+            if health.contains(wanted) {
                 return;
             }
         }
         thread::sleep(Duration::from_millis(50));
     }
-    panic!("{said} and not {wanted}");
+    panic!("last health answer {health:?}; expected {wanted}");
 }
 
-fn list(seq: u64, state: &str) -> String {
+fn node_list(seq: u64, state: &str) -> String {
     let node = |id: &str, kind: &str| {
         format!(
             "{{\"id\":\"{id}\",\"addr\":\"127.0.0.1:9\",\"zone\":\"east\",\"kind\":\"{kind}\",\"cell\":0,\
@@ -124,30 +125,30 @@
 }
 
 #[test]
-fn a_drain_reaches_a_dispatcher_through_two_replicas_also_when_one_was_killed() {
+fn a_dispatcher_receives_drains_through_two_replicas_after_one_is_killed() {
     let (log, events) = change_log();
-    events.lock().expect("nobody panicked").push(list(1, "active"));
-    let (first, second, listen) = (own(0, 1), own(0, 2), own(0, 3));
+    events.lock().expect("nobody panicked").push(node_list(1, "active"));
+    let (first, second, listen) = (own_address(0, 1), own_address(0, 2), own_address(0, 3));
     let replica = Program::replica("first", &first, &log, "change-log");
     let _second = Program::replica("second", &second, &first, "replica");
     let config = CONFIG.replace("127.0.0.1:5050", &listen).replace("127.0.0.1:2379", &second);
     let _dispatcher = Program::start("serve", "dispatcher", &config);
     until_health(&listen, "UP");
-    events.lock().expect("nobody panicked").push(list(2, "leaving"));
+    events.lock().expect("nobody panicked").push(node_list(2, "leaving"));
     until_health(&listen, "DOWN");
     drop(replica);
-    events.lock().expect("nobody panicked").push(list(3, "active"));
+    events.lock().expect("nobody panicked").push(node_list(3, "active"));
     let _again = Program::replica("first-again", &first, &log, "change-log");
     until_health(&listen, "UP");
 }
 
 #[test]
-fn a_replica_ends_with_0_at_sigterm() {
-    let listen = own(1, 1);
+fn a_replica_exits_with_0_on_sigterm() {
+    let listen = own_address(1, 1);
     let mut replica = Program::replica("ends", &listen, "127.0.0.1:9", "change-log");
-    let begun = Instant::now();
+    let started = Instant::now();
     while TcpStream::connect(&listen).is_err() {
-        assert!(begun.elapsed() < LONG, "it does not listen");
+        assert!(started.elapsed() < LONG, "the replica does not listen");
         thread::sleep(Duration::from_millis(10));
     }
     let kill = format!("kill -TERM {}", replica.child.id());
@@ -155,11 +156,11 @@
     assert_eq!(replica.child.wait().expect("it ends").code(), Some(0));
 }
 
-/// Whatever calls of the replica fail, each follower is told the list, and a drain comes through.
+/// Whichever system calls of the replica fail, each follower receives the node list, and a drain arrives.
 #[test]
 fn a_replica_whose_system_calls_fail_serves_all_its_followers() {
     let (log, events) = change_log();
-    events.lock().expect("nobody panicked").push(list(1, "active"));
+    events.lock().expect("nobody panicked").push(node_list(1, "active"));
     let accepts =
         [libc::ECONNABORTED, libc::EPROTO, libc::ETIMEDOUT, libc::ENETUNREACH, libc::ENFILE, libc::ENOBUFS];
     let plan = FaultPlan::new(4)
@@ -169,8 +170,8 @@
         .fail(Call::Send, &[libc::EINTR, libc::EAGAIN, libc::ENOBUFS], 3, Span::ALWAYS)
         .fail(Call::Setsockopt, &[libc::ENOBUFS], 3, Span::ALWAYS)
         .short(3);
-    let (first, listen) = (own(2, 1), own(2, 2));
-    let config = Program::of_replica("failing", &first, &log, "change-log");
+    let (first, listen) = (own_address(2, 1), own_address(2, 2));
+    let config = Program::replica_config("failing", &first, &log, "change-log");
     let replica = Program::failing(&plan, "relay", "failing", &config);
     let config = CONFIG.replace("127.0.0.1:5050", &listen).replace("127.0.0.1:2379", &first);
     let _dispatcher = Program::start("serve", "dispatcher-of-failing", &config);
@@ -185,11 +186,11 @@
         .collect();
     for (number, follower) in followers.iter().enumerate() {
         let mut lines = BufReader::new(follower).lines();
-        let told = lines.find(|line| line.as_ref().map_or(true, |line| line.contains("fleet")));
-        assert!(matches!(told, Some(Ok(_))), "follower {number}: {told:?}, {plan}");
+        let received = lines.find(|line| line.as_ref().map_or(true, |line| line.contains("fleet")));
+        assert!(matches!(received, Some(Ok(_))), "follower {number}: {received:?}, {plan}");
     }
-    events.lock().expect("nobody panicked").push(list(2, "leaving"));
+    events.lock().expect("nobody panicked").push(node_list(2, "leaving"));
     until_health(&listen, "DOWN");
     let used = processor_s(replica.child.id());
-    assert!(used < 5.0, "{used} s of the processor, {plan}");
+    assert!(used < 5.0, "{used} s of processor time, {plan}");
 }
--- a/crates/dispatcher/tests/dispatcher/two_streams.rs
+++ b/crates/dispatcher/tests/dispatcher/two_streams.rs
@@ -1,4 +1,4 @@
-//! The change log followed by streams from two replicas, seen from the reducer's connections.
+//! The change log is followed by one stream from each of two replicas. Events in, effects out.
 
 use crate::common::{CONFIG, LOOPBACK, Play, request};
 use copperroute_dispatcher::changes::stricter::stricter_part;
@@ -9,7 +9,7 @@
 use expect_test::expect;
 use serde_json::json;
 
-/// The example's configuration with replicas at these ports, each in a zone of its own.
+/// The example configuration with replicas at these ports, each in a zone of its own.
 fn config(ports: &[u16]) -> Config {
     let replica =
         |port| json!({"address": format!("127.0.0.1:{port}"), "region": "north", "zone": format!("z{port}")});
@@ -26,13 +26,13 @@
     config
 }
 
-/// A round of calls: 59 dispatchers, all of which follow both of two replicas, at 0.8 of 60 calls a second.
-const ROUND_MS: u64 = 1_230;
+/// The reconnect window: 59 dispatchers that all follow both replicas, at 0.8 of 60 connections per second.
+const RECONNECT_WINDOW_MS: u64 = 1_230;
 
-/// A dispatcher that follows two replicas and is caught up with both: by `ChangeLog(1)` and `ChangeLog(2)`.
+/// A dispatcher that follows two replicas by `ChangeLog(1)` and `ChangeLog(2)`, and is caught up with both.
 fn followed() -> Play {
     let mut play = Play::with(config(&[2381, 2382]));
-    play.pass(ROUND_MS);
+    play.pass(RECONNECT_WINDOW_MS);
     expect![[r#"
         connect ChangeLog(1) 127.0.0.1:2382
         ChangeLog(1) <- since 1\n
@@ -41,33 +41,33 @@
     "#]]
     .assert_eq(&streams(&mut play));
     ["1", "1"].iter().zip(1..).for_each(|(line, connection)| play.log(connection, line));
-    // From two seconds on they count as steady: one that ends sooner may pass over rounds.
-    (0..3).for_each(|_| both(&mut play, &[1, 2], 1));
+    // Streams count as steady after two seconds; one that closes sooner may skip reconnect windows.
+    (0..3).for_each(|_| heartbeats(&mut play, &[1, 2], 1));
     assert_eq!(streams(&mut play), "");
     play
 }
 
-/// What was done about streams since the last call, with the marks of the test.
+/// The trace lines about streams since the trace was last taken, with the test's own lines.
 fn streams(play: &mut Play) -> String {
     let trace = play.take();
     let of_streams = trace.lines().filter(|line| !line.contains("Client(") && !line.contains("Node("));
     of_streams.map(|line| format!("{line}\n")).collect()
 }
 
-/// A client that has just come asks: the first may have been idle for too long.
+/// A new client sends a request: the first client may have been idle for too long.
 fn ask(play: &mut Play, tag: u64, id: &str, more: &str) {
     let client = 100 + tag as u32;
     play.event(Event::Accepted(client, LOOPBACK));
     play.event(Event::Received(Peer::Client(client), &request(tag, "image", id, more)));
 }
 
-/// A second's line from each of these connections.
-fn both(play: &mut Play, connections: &[u32], last: u64) {
+/// One second passes, and each of these connections delivers a heartbeat.
+fn heartbeats(play: &mut Play, connections: &[u32], last: u64) {
     play.pass(1_000);
     connections.iter().for_each(|connection| play.log(*connection, &last.to_string()));
 }
 
-/// It happened when `followed` returns: told then, nothing is wrong with the clocks.
+/// A purge at the time when `followed` returns, so that it agrees with the wall clock.
 fn purge(seq: u64, object: &str) -> String {
     format!(r#"{{"seq":{seq},"invalidate":{{"object":"{object}","time":1764576004230}}}}"#)
 }
@@ -79,48 +79,48 @@
 }
 
 /// Which nodes of the location are asked, over several requests.
-fn asked(play: &mut Play) -> String {
+fn asked_nodes(play: &mut Play) -> String {
     play.take();
     for tag in 0..6 {
         ask(play, tag, &format!("{tag:04x}"), &format!(",need=100,block={tag}"));
     }
     let trace = play.take();
-    let asks = |port: &str| trace.contains(&format!("127.0.0.1:{port}"));
-    format!("s-a {}, s-b {}", asks("6001"), asks("6002"))
+    let is_asked = |port: &str| trace.contains(&format!("127.0.0.1:{port}"));
+    format!("s-a {}, s-b {}", is_asked("6001"), is_asked("6002"))
 }
 
 #[test]
-fn events_keep_coming_while_one_stream_is_lost_and_that_one_is_called_in_rounds() {
+fn events_keep_arriving_while_one_lost_stream_reconnects_in_its_window() {
     let mut play = followed();
     play.event(Event::Closed(Peer::ChangeLog(1)));
-    play.trace.push_str("not called at once\n");
+    play.trace.push_str("no immediate reconnect\n");
     play.log(2, &purge(2, "7f3a"));
     assert_eq!(play.applied(), 2);
-    play.pass(ROUND_MS);
+    play.pass(RECONNECT_WINDOW_MS);
     play.log(2, "2");
-    play.trace.push_str("within a round\n");
+    play.trace.push_str("within the reconnect window\n");
     play.log(3, "2");
-    both(&mut play, &[2, 3], 2);
-    for told in [3, 2] {
-        play.log(told, &purge(3, "7f3b"));
+    heartbeats(&mut play, &[2, 3], 2);
+    for connection in [3, 2] {
+        play.log(connection, &purge(3, "7f3b"));
         assert_eq!(play.applied(), 3);
     }
-    both(&mut play, &[2, 3], 3);
-    play.trace.push_str("the other is silent\n");
-    both(&mut play, &[3], 3);
-    both(&mut play, &[3], 3);
+    heartbeats(&mut play, &[2, 3], 3);
+    play.trace.push_str("the other stream is silent\n");
+    heartbeats(&mut play, &[3], 3);
+    heartbeats(&mut play, &[3], 3);
     play.trace.push_str("for two seconds\n");
     play.log(3, &purge(4, "7f3c"));
     assert_eq!(play.applied(), 4);
-    both(&mut play, &[3], 4);
-    play.pass(ROUND_MS);
+    heartbeats(&mut play, &[3], 4);
+    play.pass(RECONNECT_WINDOW_MS);
     expect![[r#"
         close ChangeLog(1)
-        not called at once
+        no immediate reconnect
         connect ChangeLog(3) 127.0.0.1:2382
         ChangeLog(3) <- since 2\n
-        within a round
-        the other is silent
+        within the reconnect window
+        the other stream is silent
         for two seconds
         connect ChangeLog(4) 127.0.0.1:2381
         ChangeLog(4) <- since 4\n
@@ -128,11 +128,11 @@
     .assert_eq(&streams(&mut play));
 }
 
-/// The call of a trace, if there is one: its connection, and the event that it asks from.
-fn call_in(trace: &str) -> Option<(u32, u64)> {
+/// The reconnect in a trace, if there is one: its connection, and the event that it resumes from.
+fn reconnect_in(trace: &str) -> Option<(u32, u64)> {
     let asked: Vec<_> = trace.lines().filter(|line| line.contains("since")).collect();
     let [line] = asked[..] else {
-        assert!(asked.is_empty(), "called once a round, {trace}");
+        assert!(asked.is_empty(), "one reconnect per window, {trace}");
         return None;
     };
     let connection = line["ChangeLog(".len()..].split(')').next().and_then(|n| n.parse().ok());
@@ -141,26 +141,26 @@
 }
 
 #[test]
-fn both_streams_silent_in_turn_lose_nothing() {
+fn streams_that_are_silent_in_turn_lose_no_event() {
     const STEP_MS: u64 = 50;
     let mut play = followed();
     let (mut connections, mut seq) = ([1, 2], 1);
     for turn in 0..6 {
-        let (silent, heard) = (turn % 2, 1 - turn % 2);
-        let mut call = None;
+        let (silent, active) = (turn % 2, 1 - turn % 2);
+        let mut reconnect = None;
         for _ in 0..4 {
             seq += 1;
-            play.log(connections[heard], &purge(seq, "7f3a"));
+            play.log(connections[active], &purge(seq, "7f3a"));
             assert_eq!(play.applied(), seq, "turn {turn}");
-            call.into_iter().for_each(|connection| play.log(connection, &purge(seq, "7f3a")));
+            reconnect.into_iter().for_each(|connection| play.log(connection, &purge(seq, "7f3a")));
             for _ in 0..1_000 / STEP_MS {
                 play.pass(STEP_MS);
                 let trace = play.take();
-                let Some((connection, since)) = call_in(&trace) else { continue };
-                assert_eq!(call, None, "turn {turn}: called once a round, {trace}");
-                call = Some(connection);
+                let Some((connection, since)) = reconnect_in(&trace) else { continue };
+                assert_eq!(reconnect, None, "turn {turn}: one reconnect per window, {trace}");
+                reconnect = Some(connection);
                 assert!((seq - 4..=seq).contains(&since), "turn {turn}: {trace}");
-                // It tells all from there, which is known already; the silent one was left open until then.
+                // The new stream repeats events that are already known; the silent stream stays open until then.
                 (since + 1..=seq).for_each(|seq| play.log(connection, &purge(seq, "7f3a")));
                 play.log(connection, &seq.to_string());
                 assert_eq!(
@@ -169,43 +169,43 @@
                     "turn {turn}"
                 );
             }
-            let standing = [Some(connections[heard]), call];
-            standing.into_iter().flatten().for_each(|connection| play.log(connection, &seq.to_string()));
+            let open_streams = [Some(connections[active]), reconnect];
+            open_streams.into_iter().flatten().for_each(|connection| play.log(connection, &seq.to_string()));
         }
-        connections[silent] = call.unwrap_or_else(|| panic!("turn {turn}: not called"));
-        both(&mut play, &connections, seq);
+        connections[silent] = reconnect.unwrap_or_else(|| panic!("turn {turn}: no reconnect"));
+        heartbeats(&mut play, &connections, seq);
         assert_eq!(streams(&mut play), "", "turn {turn}");
     }
     assert_eq!(play.applied(), seq);
 }
 
 #[test]
-fn a_gap_on_one_stream_is_filled_by_the_other_before_anything_acts() {
+fn a_gap_on_one_stream_is_filled_by_the_other_before_later_events_apply() {
     let mut play = followed();
     play.log(1, &leaving(3, "s-b", 6002));
-    assert_eq!((play.applied(), asked(&mut play).as_str()), (1, "s-a true, s-b true"));
+    assert_eq!((play.applied(), asked_nodes(&mut play).as_str()), (1, "s-a true, s-b true"));
     play.log(2, &leaving(2, "s-a", 6001));
-    assert_eq!((play.applied(), asked(&mut play).as_str()), (3, "s-a false, s-b false"));
+    assert_eq!((play.applied(), asked_nodes(&mut play).as_str()), (3, "s-a false, s-b false"));
     play.log(2, &leaving(3, "s-b", 6002));
-    both(&mut play, &[1, 2], 3);
+    heartbeats(&mut play, &[1, 2], 3);
     assert_eq!(streams(&mut play), "");
 }
 
 #[test]
-fn a_gap_that_nobody_fills_is_asked_for_once_more() {
+fn a_gap_that_no_stream_fills_is_requested_once_more() {
     let mut play = followed();
     play.log(1, &purge(3, "7f3a"));
     play.pass(900);
     play.log(2, "1");
     assert_eq!((play.applied(), streams(&mut play).as_str()), (1, ""));
-    // It is looked for each quarter of a second.
+    // A gap is checked for every 250 ms.
     play.pass(350);
     assert_eq!(play.applied(), 1);
     play.trace.push_str("after a second\n");
-    play.pass(ROUND_MS);
+    play.pass(RECONNECT_WINDOW_MS);
     play.log(2, "1");
-    play.trace.push_str("within a round\n");
-    // It comes so again: the other has its second once more, then what lies between is not to be had.
+    play.trace.push_str("within the reconnect window\n");
+    // The same gap again: the other stream gets one more second to fill it, then the missing event counts as lost.
     play.log(3, &purge(3, "7f3a"));
     play.pass(900);
     play.log(2, "1");
@@ -217,13 +217,13 @@
         after a second
         connect ChangeLog(3) 127.0.0.1:2382
         ChangeLog(3) <- since 1\n
-        within a round
+        within the reconnect window
     "#]]
     .assert_eq(&streams(&mut play));
 }
 
 #[test]
-fn what_contradicts_under_one_number_both_acts() {
+fn contradicting_events_with_one_number_both_apply() {
     let mut play = followed();
     play.log(1, &leaving(2, "s-a", 6001));
     play.log(2, &leaving(2, "s-b", 6002));
@@ -231,8 +231,8 @@
     let mut alone = followed();
     alone.log(1, &leaving(2, "s-a", 6001));
     alone.log(2, &leaving(2, "s-a", 6001));
-    let mut trace = format!("one content: {}\n", asked(&mut alone));
-    trace += &format!("two contents: {}\n", asked(&mut play));
+    let mut trace = format!("one content: {}\n", asked_nodes(&mut alone));
+    trace += &format!("two contents: {}\n", asked_nodes(&mut play));
     expect![[r#"
         one content: s-a false, s-b true
         two contents: s-a false, s-b false
@@ -241,7 +241,7 @@
 }
 
 #[test]
-fn of_a_second_content_what_restricts_is_taken() {
+fn of_a_contradicting_event_the_restricting_part_applies() {
     let contents = [
         r#"{"seq":2,"invalidate":{"object":"7f3a","time":1}}"#,
         r#"{"seq":2,"fleet":{"version":9,"full":true,"servers":[{"id":"a","state":"active"},{"id":"b","state":"left"},{"id":"c","state":"leaving"}]}}"#,
@@ -264,7 +264,8 @@
     "#]].assert_eq(&taken.concat());
 }
 
-/// How many attempts one request is allowed: two for a dispatcher that is out of touch, more for one in touch.
+/// The number of attempts of one request: two for a dispatcher without a lease (the floor), more for one with a
+/// lease.
 fn attempts(play: &mut Play) -> usize {
     play.take();
     ask(play, 7, "0001", ",need=100");
@@ -274,8 +275,9 @@
 
 #[test]
 fn a_stream_that_is_behind_renews_no_lease() {
-    // Event 2 comes by one stream, which ends; for 3.1 s what is left says that it knows of events up to this one.
-    let left_says = |last: u64| {
+    // Event 2 arrives on one stream, which closes; for 3.1 s the other stream sends heartbeats with the number
+    // `last`.
+    let attempts_at_heartbeat = |last: u64| {
         let mut play = followed();
         play.log(1, &purge(2, "7f3a"));
         if last == 2 {
@@ -283,47 +285,54 @@
         }
         play.event(Event::Closed(Peer::ChangeLog(1)));
         for _ in 0..2 {
-            both(&mut play, &[2], last);
+            heartbeats(&mut play, &[2], last);
         }
         play.pass(1_100);
         attempts(&mut play)
     };
-    assert_eq!(format!("in touch {}, behind {}", left_says(2), left_says(1)), "in touch 4, behind 2");
+    assert_eq!(
+        format!("caught up {}, behind {}", attempts_at_heartbeat(2), attempts_at_heartbeat(1)),
+        "caught up 4, behind 2"
+    );
 }
 
 #[test]
-fn a_heartbeat_that_waited_on_its_way_renews_no_lease() {
-    // One stream is heard each second or is held for 1.9 s on its way; the other, which is behind, is heard meanwhile.
-    let is_held = |held: bool| {
+fn a_delayed_heartbeat_renews_no_lease() {
+    // The heartbeats of one stream arrive each second, or are delayed by 1.9 s; the other stream is behind and not
+    // delayed.
+    let attempts_if_delayed = |delayed: bool| {
         let mut play = followed();
         play.log(1, &purge(2, "7f3a"));
-        both(&mut play, &[2], 1);
-        if !held {
+        heartbeats(&mut play, &[2], 1);
+        if !delayed {
             play.log(1, "2");
         }
         play.pass(900);
         play.log(2, "1");
         play.log(1, "2");
-        if held {
+        if delayed {
             play.log(1, "2");
         }
         play.pass(1_200);
         attempts(&mut play)
     };
-    assert_eq!(format!("in time {}, held {}", is_held(false), is_held(true)), "in time 4, held 2");
+    assert_eq!(
+        format!("in time {}, delayed {}", attempts_if_delayed(false), attempts_if_delayed(true)),
+        "in time 4, delayed 2"
+    );
 }
 
 #[test]
-fn a_stream_from_a_replica_that_stays_lives_on_when_others_are_told() {
+fn a_reload_keeps_the_stream_from_a_replica_that_stays_configured() {
     let mut play = followed();
     play.event(Event::Reload(&config(&[2381, 2382])));
     assert_eq!(streams(&mut play), "");
     play.event(Event::Reload(&config(&[2381, 2383])));
-    play.trace.push_str("another one instead of 2382\n");
-    play.pass(ROUND_MS);
+    play.trace.push_str("2383 instead of 2382\n");
+    play.pass(RECONNECT_WINDOW_MS);
     ["1", "1"].iter().zip(2..).for_each(|(line, connection)| play.log(connection, line));
     for _ in 0..3 {
-        both(&mut play, &[2, 3], 1);
+        heartbeats(&mut play, &[2, 3], 1);
     }
     play.log(2, &purge(2, "7f3a"));
     assert_eq!(play.applied(), 2);
@@ -331,11 +340,11 @@
     play.event(Event::Reload(&Config::parse(CONFIG).expect("good")));
     play.trace.push_str("two replicas again\n");
     play.event(Event::Reload(&config(&[2381, 2382])));
-    play.trace.push_str("in their places of the round\n");
-    play.pass(ROUND_MS);
+    play.trace.push_str("in their slots of the reconnect window\n");
+    play.pass(RECONNECT_WINDOW_MS);
     expect![[r#"
         close ChangeLog(1)
-        another one instead of 2382
+        2383 instead of 2382
         connect ChangeLog(3) 127.0.0.1:2383
         ChangeLog(3) <- since 1\n
         one address again
@@ -345,7 +354,7 @@
         close ChangeLog(2)
         two replicas again
         close ChangeLog(4)
-        in their places of the round
+        in their slots of the reconnect window
         connect ChangeLog(5) 127.0.0.1:2382
         ChangeLog(5) <- since 2\n
         connect ChangeLog(6) 127.0.0.1:2381
@@ -355,24 +364,25 @@
 }
 
 #[test]
-fn a_log_that_begins_anew_is_read_from_its_first_event_by_both() {
+fn a_restarted_log_is_read_from_its_first_event_by_both_streams() {
     let mut play = followed();
     play.log(1, &purge(2, "7f3a"));
     play.log(2, &purge(2, "7f3a"));
-    both(&mut play, &[1, 2], 2);
-    // For two seconds either vouches for event 2 by what it said before, and after that each says three times less.
+    heartbeats(&mut play, &[1, 2], 2);
+    // For two seconds the earlier heartbeats of both streams still confirm event 2; after that each stream sends a
+    // lower number three times.
     for _ in 0..4 {
-        both(&mut play, &[1, 2], 1);
+        heartbeats(&mut play, &[1, 2], 1);
     }
     assert_eq!((play.applied(), streams(&mut play).as_str()), (2, ""));
-    both(&mut play, &[1, 2], 1);
+    heartbeats(&mut play, &[1, 2], 1);
     assert_eq!(play.applied(), 0);
-    play.trace.push_str("not called at once\n");
-    play.pass(ROUND_MS);
+    play.trace.push_str("no immediate reconnect\n");
+    play.pass(RECONNECT_WINDOW_MS);
     expect![[r#"
         close ChangeLog(2)
         close ChangeLog(1)
-        not called at once
+        no immediate reconnect
         connect ChangeLog(3) 127.0.0.1:2382
         ChangeLog(3) <- since 0\n
         connect ChangeLog(4) 127.0.0.1:2381
--- a/crates/dispatcher/tests/dispatcher/two_streams_sum.rs
+++ b/crates/dispatcher/tests/dispatcher/two_streams_sum.rs
@@ -1,4 +1,4 @@
-//! The calls of 590 dispatchers, each of which follows two of six replicas, counted at each replica.
+//! Counts, at each replica, the connections of 590 dispatchers that each follow two of six replicas.
 
 use copperroute_dispatcher::changes::{ChangeLog, ChangeLogSettings};
 use copperroute_dispatcher::effects::{Effect, Peer, TimerKind};
@@ -10,41 +10,41 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Calls a second that each replica bears.
-const BEARS: f64 = 60.0;
+/// Connections per second that each replica can accept.
+const CAPACITY_PER_S: f64 = 60.0;
 const DISPATCHERS: u32 = 590;
-/// 225 followers at 0.8 of what a replica bears.
-const ROUND: Nanos = Nanos(4_687_500_000);
-/// Dispatchers are named by their deployment, and so follow other replicas in each.
+/// The reconnect window: 225 followers at 0.8 of the capacity of a replica.
+const RECONNECT_WINDOW: Nanos = Nanos(4_687_500_000);
+/// The names of dispatchers include their deployment, so dispatchers follow different replicas in each.
 const DEPLOYMENTS: u64 = 20;
 const SECOND: Nanos = Nanos(1_000_000_000);
 
-/// The calls at each replica.
-type Calls = BTreeMap<SocketAddr, Vec<Nanos>>;
+/// Times of the connections at each replica.
+type Connections = BTreeMap<SocketAddr, Vec<Nanos>>;
 
 /// Six replicas in three zones.
 fn operator() -> OperatorFile {
     let replica = |at: u8| json!({"address": format!("10.0.{at}.1:2379"), "region": "north", "zone": format!("z{}", at / 2)});
     let replicas: Vec<_> = (0..6).map(replica).collect();
-    let lists = json!({"calls_per_s": BEARS, "dispatchers": DISPATCHERS, "replicas": replicas});
+    let lists = json!({"calls_per_s": CAPACITY_PER_S, "dispatchers": DISPATCHERS, "replicas": replicas});
     OperatorFile::parse(&json!({ "lists": lists }).to_string()).expect("a good file")
 }
 
-/// One dispatcher's change log, and when it wants to be looked at.
+/// The change log connections of one dispatcher, and its armed timers.
 struct Follower {
     log: ChangeLog,
     armed: Vec<Nanos>,
-    /// Where its connections go to.
+    /// The replica of each connection.
     connections: BTreeMap<u32, SocketAddr>,
 }
 
 impl Follower {
-    fn new(name: &str, replicas: &[Replica], calls: ReconnectSettings, unix_zero: u64) -> Follower {
+    fn new(name: &str, replicas: &[Replica], reconnect: ReconnectSettings, unix_zero: u64) -> Follower {
         let two = select_replicas(replicas, name).expect("two or more");
         let settings = ChangeLogSettings {
             addresses: two.map(|replica| replica.address).to_vec(),
             applied: 1,
-            calls,
+            calls: reconnect,
             seed: stable_hash(name.as_bytes()),
             unix_zero,
             slack: Nanos(500_000_000),
@@ -53,13 +53,13 @@
         Follower { log: ChangeLog::new(settings), armed: Vec::new(), connections: BTreeMap::new() }
     }
 
-    /// Notes what it asks for.
-    fn take(&mut self, now: Nanos, effects: Vec<Effect>, calls: &mut Calls) {
+    /// Records the timers and connections that it asks for.
+    fn take(&mut self, now: Nanos, effects: Vec<Effect>, connects: &mut Connections) {
         for effect in effects {
             match effect {
                 Effect::Arm(at, TimerKind::ConnectChangeLog) => self.armed.push(at),
                 Effect::Connect(Peer::ChangeLog(connection), address) => {
-                    calls.entry(address).or_default().push(now);
+                    connects.entry(address).or_default().push(now);
                     self.connections.insert(connection, address);
                 }
                 _ => (),
@@ -67,24 +67,24 @@
         }
     }
 
-    fn start(&mut self, has_list: bool, now: Nanos, calls: &mut Calls) {
+    fn start(&mut self, has_list: bool, now: Nanos, connects: &mut Connections) {
         let mut effects = Vec::new();
         self.log.start(has_list, now, &mut effects);
-        self.take(now, effects, calls);
+        self.take(now, effects, connects);
     }
 
-    /// Calls in the order of its timers, until none is left.
-    fn play(&mut self, calls: &mut Calls) {
+    /// Fires its timers in order, until none is left.
+    fn play(&mut self, connects: &mut Connections) {
         self.armed.sort();
         for at in std::mem::take(&mut self.armed) {
             let mut effects = Vec::new();
             self.log.connect_due(at, &mut effects);
-            self.take(at, effects, calls);
+            self.take(at, effects, connects);
         }
     }
 
-    /// All streams come up and tell a line each second for so many seconds, until this moment.
-    fn hears(&mut self, until: Nanos, seconds: u64) {
+    /// All streams come up and deliver a line each second for `seconds` seconds, up to `until`.
+    fn receive_heartbeats(&mut self, until: Nanos, seconds: u64) {
         let connections: Vec<_> = self.connections.keys().copied().collect();
         for before in (0..=seconds).rev() {
             let now = Nanos(until.0 - before * SECOND.0);
@@ -99,14 +99,14 @@
         }
     }
 
-    /// The stream from a replica ends, if it follows it.
-    fn loses(&mut self, replica: SocketAddr, now: Nanos, calls: &mut Calls) {
+    /// Closes the stream from a replica, if it follows that one.
+    fn lose_stream(&mut self, replica: SocketAddr, now: Nanos, connects: &mut Connections) {
         let Some((connection, _)) = self.connections.iter().find(|(_, address)| **address == replica) else {
             return;
         };
         let mut effects = Vec::new();
         self.log.closed(*connection, now, &mut effects);
-        self.take(now, effects, calls);
+        self.take(now, effects, connects);
     }
 }
 
@@ -118,74 +118,74 @@
         delivered_after: Nanos::ZERO,
         window_range: [0.0, 1.0],
     };
-    let (replicas, calls) =
+    let (replicas, reconnect) =
         (operator.replicas().expect("good"), operator.reconnect_settings(known).expect("good"));
     let unix_zero = 1_764_576_000_000_000_000 + deployment * 377_000_000;
-    let follower = |at| Follower::new(&format!("d{deployment}-{at}"), &replicas, calls, unix_zero);
+    let follower = |at| Follower::new(&format!("d{deployment}-{at}"), &replicas, reconnect, unix_zero);
     (0..DISPATCHERS).map(follower).collect()
 }
 
-/// The most of these in any second, wherever it begins.
-fn peak(calls: &mut [Nanos]) -> usize {
-    calls.sort();
-    let in_a_second = |at: usize| calls.partition_point(|call| *call < calls[at].after(SECOND)) - at;
-    (0..calls.len()).map(in_a_second).max().unwrap_or(0)
+/// The largest number of connections within any second.
+fn peak(connects: &mut [Nanos]) -> usize {
+    connects.sort();
+    let in_a_second = |at: usize| connects.partition_point(|call| *call < connects[at].after(SECOND)) - at;
+    (0..connects.len()).map(in_a_second).max().unwrap_or(0)
 }
 
-/// No replica gets more than it bears: not over the round, and not in its worst second, wherever that begins, but for
-/// the chance of places that are drawn: four roots over what rounds are laid out for.
-fn within_what_is_borne(calls: &mut Calls, what: &str) {
-    let most = 0.8 * BEARS + 4.0 * (0.8 * BEARS).sqrt();
-    for (replica, calls) in calls {
-        let over_the_round = calls.len() as f64 / ROUND.secs();
-        assert!(over_the_round <= BEARS, "{what}: {over_the_round:.1} a second at {replica}");
-        let peak = peak(calls);
-        assert!(peak as f64 <= most, "{what}: {peak} in a second at {replica}");
+/// No replica gets more connections than its capacity over the reconnect window. In any one second the bound is
+/// four standard deviations (square roots of the mean) above 0.8 of the capacity, as slots are random.
+fn assert_within_capacity(connects: &mut Connections, what: &str) {
+    let most = 0.8 * CAPACITY_PER_S + 4.0 * (0.8 * CAPACITY_PER_S).sqrt();
+    for (replica, connects) in connects {
+        let average = connects.len() as f64 / RECONNECT_WINDOW.secs();
+        assert!(average <= CAPACITY_PER_S, "{what}: {average:.1} connections per second at {replica}");
+        let peak = peak(connects);
+        assert!(peak as f64 <= most, "{what}: {peak} connections in a second at {replica}");
     }
 }
 
 #[test]
-fn starts_at_one_moment_call_within_a_round_with_a_list_or_without() {
+fn simultaneous_starts_connect_within_the_reconnect_window_with_or_without_a_node_list() {
     for deployment in 0..DEPLOYMENTS {
-        for with_lists in [1, 2, 3] {
-            // All have a list, or half of them, or a third.
-            let (now, mut calls) = (Nanos(86_400 * SECOND.0), Calls::new());
+        for list_every in [1, 2, 3] {
+            // All have a node list, or half of them, or a third.
+            let (now, mut connects) = (Nanos(86_400 * SECOND.0), Connections::new());
             for (at, follower) in followers(deployment).iter_mut().enumerate() {
-                follower.start(at % with_lists == 0, now, &mut calls);
-                follower.play(&mut calls);
-                assert_eq!(follower.connections.len(), 2, "each calls two replicas, each once");
+                follower.start(at % list_every == 0, now, &mut connects);
+                follower.play(&mut connects);
+                assert_eq!(follower.connections.len(), 2, "each connects to two replicas, once each");
             }
-            let latest = calls.values().flatten().max().expect("calls").since(now);
-            assert!(latest <= ROUND, "deployment {deployment}: {latest:?}");
-            within_what_is_borne(
-                &mut calls,
-                &format!("deployment {deployment}, one in {with_lists} with a list"),
+            let latest = connects.values().flatten().max().expect("connections").since(now);
+            assert!(latest <= RECONNECT_WINDOW, "deployment {deployment}: {latest:?}");
+            assert_within_capacity(
+                &mut connects,
+                &format!("deployment {deployment}, one in {list_every} with a node list"),
             );
         }
     }
 }
 
 #[test]
-fn streams_lost_at_one_moment_are_called_within_a_round_and_not_at_once() {
+fn simultaneously_lost_streams_reconnect_spread_over_the_reconnect_window() {
     for deployment in 0..DEPLOYMENTS {
-        let (now, mut before) = (Nanos(86_400 * SECOND.0), Calls::new());
+        let (now, mut before) = (Nanos(86_400 * SECOND.0), Connections::new());
         let mut followers = followers(deployment);
         for follower in &mut followers {
             follower.start(true, now, &mut before);
             follower.play(&mut before);
         }
-        let (lost, _) = before.first_key_value().expect("calls");
-        let at = now.after(ROUND).after(Nanos(4 * SECOND.0));
-        let mut calls = Calls::new();
+        let (lost, _) = before.first_key_value().expect("connections");
+        let at = now.after(RECONNECT_WINDOW).after(Nanos(4 * SECOND.0));
+        let mut connects = Connections::new();
         for follower in &mut followers {
-            follower.hears(at, 3);
-            follower.loses(*lost, at, &mut calls);
-            follower.play(&mut calls);
+            follower.receive_heartbeats(at, 3);
+            follower.lose_stream(*lost, at, &mut connects);
+            follower.play(&mut connects);
         }
-        assert_eq!(calls.keys().collect::<Vec<_>>(), [lost], "nobody else is called");
-        assert_eq!(calls[lost].len(), before[lost].len(), "by all who lost it");
-        let latest = calls[lost].iter().max().expect("calls").since(at);
-        assert!(latest <= ROUND, "deployment {deployment}: {latest:?}");
-        within_what_is_borne(&mut calls, &format!("deployment {deployment}, lost"));
+        assert_eq!(connects.keys().collect::<Vec<_>>(), [lost], "only the lost replica gets connections");
+        assert_eq!(connects[lost].len(), before[lost].len(), "from each dispatcher that lost it");
+        let latest = connects[lost].iter().max().expect("connections").since(at);
+        assert!(latest <= RECONNECT_WINDOW, "deployment {deployment}: {latest:?}");
+        assert_within_capacity(&mut connects, &format!("deployment {deployment}, lost"));
     }
 }
