--- a/crates/dispatcher/tests/dispatcher/loopback.rs
+++ b/crates/dispatcher/tests/dispatcher/loopback.rs
@@ -1,4 +1,4 @@
-//! The program itself on loopback sockets, against small stand-ins of nodes and the change log.
+//! The program on loopback sockets, with small stand-ins for nodes and the change log.
 
 use crate::common::{message, request};
 use crate::rig::{Rig, UNHURRIED, answer, followed, items, shown, told};
@@ -10,7 +10,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 #[test]
-fn a_download_is_served_though_a_node_dies_midway() {
+fn a_request_is_served_although_a_node_fails_midway() {
     let rig = Rig::start();
     let mut client = rig.client();
     client.write_all(&message("HEALTH", 1)).expect("the program reads");
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_purge_and_a_drain_are_heeded() {
+fn a_purge_and_a_drain_apply() {
     let mut rig = Rig::start();
     let mut client = rig.client();
     client.write_all(&request(7, "image", "9b1f", UNHURRIED)).expect("the program reads");
@@ -49,7 +49,7 @@
         first.node
     );
     rig.tell(&drains);
-    // The change log is heard when the next request names an age.
+    // The program has read the change log once an attempt carries an age limit.
     let mut second = loop {
         client.write_all(&request(8, "image", "9b20", UNHURRIED)).expect("the program reads");
         let asked = rig.asked();
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn told_to_end_it_answers_what_is_open_and_ends_well() {
+fn on_sigterm_open_requests_are_answered_and_the_program_exits_with_0() {
     let mut rig = Rig::start();
     let mut client = rig.client();
     client.write_all(&request(7, "post", "9b1f", UNHURRIED)).expect("the program reads");
@@ -103,20 +103,20 @@
 }
 
 #[test]
-fn told_to_read_its_configuration_again_it_ends_nothing_and_follows_the_log_elsewhere() {
+fn a_reload_ends_no_request_and_follows_the_change_log_at_its_new_address() {
     let rig = Rig::start();
     let mut client = rig.client();
     client.write_all(&request(7, "post", "9b1f", UNHURRIED)).expect("the program reads");
     let mut asked = rig.asked();
     let text = std::fs::read_to_string(&rig.config).expect("the configuration");
-    std::fs::write(&rig.config, "{").expect("a wrong one");
+    std::fs::write(&rig.config, "{").expect("a faulty configuration");
     rig.signal("HUP");
     client.write_all(&message("HEALTH", 8)).expect("the program reads");
     let mut trace = answer(&client);
     let elsewhere = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = |address: std::io::Result<std::net::SocketAddr>| address.expect("an address").to_string();
     let moved = text.replace(&address(rig.log.local_addr()), &address(elsewhere.local_addr()));
-    std::fs::write(&rig.config, moved).expect("a new one");
+    std::fs::write(&rig.config, moved).expect("a new configuration");
     rig.signal("HUP");
     followed(&elsewhere);
     asked.back.write_all(&told("9b1f ok - 4", b"done\r\n")).expect("the program reads");
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn running_out_of_descriptors_ends_nothing() {
+fn running_out_of_descriptors_ends_no_request() {
     let rig = Rig::limited("ulimit -n 24", Stdio::null());
     let mut busy = rig.client();
     busy.write_all(&request(7, "image", "9b1f", UNHURRIED)).expect("the program reads");
@@ -149,35 +149,35 @@
 }
 
 #[test]
-fn a_client_that_reads_late_gets_every_byte() {
+fn a_client_that_reads_slowly_gets_every_byte() {
     let rig = Rig::start();
     let mut client = rig.client();
-    let sized = |tag: u64| vec![b'a' + (tag % 26) as u8; 240_000 - tag as usize];
+    let body_of = |tag: u64| vec![b'a' + (tag % 26) as u8; 240_000 - tag as usize];
     for tag in 1..=32 {
         client
             .write_all(&request(tag, "image", &format!("9b{tag:02}"), UNHURRIED))
             .expect("the program reads");
     }
-    let mut given = 0;
-    while given < 32 {
+    let mut served = 0;
+    while served < 32 {
         let mut asked = rig.asked();
         let id = asked.line.split(' ').nth(1).expect("an id").to_string();
-        let body = sized(id[2..4].parse().expect("a tag"));
+        let body = body_of(id[2..4].parse().expect("a tag"));
         asked.back.write_all(&told(&format!("{id} ok why=local {}", body.len()), b"")).expect("it reads");
         asked.back.write_all(&body).expect("it reads");
         asked.back.write_all(b"\r\n").expect("it reads");
-        given += 1;
+        served += 1;
     }
     let mut reader = BufReader::new(&client);
     let mut whole: Vec<_> = (0..32).map(|_| items(&mut reader)).collect();
     whole.sort_by_key(|items| String::from_utf8_lossy(&items[0]).parse::<u64>().expect("a tag"));
     for (at, items) in whole.iter().enumerate() {
-        assert!(items[1] == b"OK" && items[3] == sized(at as u64 + 1), "answer {}", at + 1);
+        assert!(items[1] == b"OK" && items[3] == body_of(at as u64 + 1), "answer {}", at + 1);
     }
 }
 
 #[test]
-fn what_was_answered_before_a_client_is_closed_still_reaches_it() {
+fn answers_written_before_a_client_is_closed_reach_it() {
     let rig = Rig::start();
     let mut client = rig.client();
     let mut bytes = message("HEALTH", 1);
@@ -190,14 +190,17 @@
 }
 
 #[test]
-fn after_a_pause_of_its_own_it_reads_before_it_calls_a_node_silent() {
+fn after_a_pause_the_program_reads_before_it_counts_a_node_as_silent() {
     let rig = Rig::start();
     let mut client = rig.client();
     client.write_all(&request(7, "image", "9b1f", ",need=1500,timeout=15000")).expect("the program reads");
     let mut asked = rig.asked();
     rig.signal("STOP");
-    asked.back.write_all(&told("9b1f ok why=local 1", b"x\r\n")).expect("it is kept for the program");
-    // The attempt is overdue after 0.9 s.
+    asked
+        .back
+        .write_all(&told("9b1f ok why=local 1", b"x\r\n"))
+        .expect("the kernel buffers it for the program");
+    // The attempt is overdue after 0.9 s, while the program is stopped.
     thread::sleep(Duration::from_millis(1_200));
     rig.signal("CONT");
     let mut trace = answer(&client);
@@ -211,9 +214,9 @@
 }
 
 #[test]
-fn a_log_that_nobody_reads_holds_up_nothing() {
+fn an_unread_log_pipe_does_not_block_the_program() {
     let mut rig = Rig::limited("true", Stdio::piped());
-    // Each costs a line, far more in all than a pipe holds.
+    // Each event costs a log line; together they exceed the capacity of a pipe by far.
     let node = "{\"id\":\"s-z\",\"addr\":\"127.0.0.1:6009\",\"zone\":\"far\",\"kind\":\"other\",\"state\":\"active\"}";
     for seq in 2..=1_500 {
         rig.tell(&format!("{{\"seq\":{seq},\"fleet\":{{\"servers\":[{node}]}}}}\n"));
--- a/crates/dispatcher/tests/dispatcher/rig.rs
+++ b/crates/dispatcher/tests/dispatcher/rig.rs
@@ -1,4 +1,4 @@
-//! The program itself with small stand-ins of nodes and the change log around it, on loopback sockets.
+//! Test rig: runs the program on loopback sockets with small stand-ins for nodes and the change log.
 
 use crate::common::{CONFIG, answered, message, request, short};
 use copperroute_fault_injection::{self as fault_injection, FaultPlan, VARIABLE};
@@ -13,20 +13,21 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Nothing here takes nearly as long; it only ends a test that hangs.
+/// Time limit of each wait: far longer than any takes; it only ends a test that hangs.
 pub(crate) const LONG: Duration = Duration::from_secs(20);
 
-/// A request so large that no stand-in counts as slow, however busy the machine is.
+/// Fields of a request with such a size and timeout that no stand-in counts as slow, however busy the machine is.
 pub(crate) const UNHURRIED: &str = ",need=25000,timeout=15000";
 
-/// What a stand-in of a node was sent, and its way to answer.
+/// A line that a stand-in for a node received, and the connection to answer it on.
 pub(crate) struct Asked {
     pub node: &'static str,
     pub line: String,
     pub back: TcpStream,
 }
 
-/// A node: tells each line that it is sent, and answers nothing by itself.
+/// Starts a stand-in for a node, which reports each line that it receives and sends no answers itself; returns its
+/// address.
 pub(crate) fn stand_in(node: &'static str, asked: Sender<Asked>) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("an address").to_string();
@@ -50,10 +51,10 @@
     address
 }
 
-/// So many programs listen at addresses that differ in the third number; the numbers from here on are other tests'.
+/// Number of values of the third byte of the listen address that rigs use; other tests use the values from 100 on.
 const RIGS_PER_HOST: u32 = 100;
 
-/// A program that serves, with stand-ins all around.
+/// A running program with stand-ins for its nodes and its change log.
 pub(crate) struct Rig {
     pub program: Child,
     pub address: String,
@@ -67,7 +68,7 @@
         Rig::limited("true", Stdio::null())
     }
 
-    /// The same with a client that has asked for one request, under tag 7, and the attempt that came of it.
+    /// Starts a rig with a client that has sent one request, with tag 7; returns the attempt at a node too.
     pub(crate) fn asked_for(content_type: &str) -> (Rig, TcpStream, Asked) {
         let rig = Rig::start();
         let mut client = rig.client();
@@ -76,17 +77,17 @@
         (rig, client, asked)
     }
 
-    /// The same with system calls that fail as a plan says.
+    /// Starts a rig with system calls that fail according to a fault plan.
     pub(crate) fn failing(plan: &FaultPlan, errors: Stdio) -> Rig {
         let library = fault_injection::library();
         Rig::limited(&format!("export LD_PRELOAD='{}' {VARIABLE}='{plan}'", library.display()), errors)
     }
 
-    /// The same after a command of the shell has set limits.
+    /// Starts a rig after a shell command that sets limits.
     pub(crate) fn limited(limits: &str, errors: Stdio) -> Rig {
-        let (tell, asked) = channel();
+        let (sender, asked) = channel();
         let log = TcpListener::bind("127.0.0.1:0").expect("a free port");
-        // An address of its own: a port that was free a moment ago may be another test's by now.
+        // A loopback address of its own: another test may take a port that was found free.
         static RIGS: AtomicU32 = AtomicU32::new(0);
         let rig = RIGS.fetch_add(1, Ordering::Relaxed);
         let (net, host) = (rig % RIGS_PER_HOST, 1 + rig / RIGS_PER_HOST);
@@ -97,7 +98,7 @@
             config = config.replace(&format!("\"deadline_s\": {expiry}"), "\"deadline_s\": 15.0");
         }
         for (node, port) in [("s-a", 6001), ("s-b", 6002), ("p-1", 6003), ("p-2", 6004), ("o-1", 6005)] {
-            config = config.replace(&format!("127.0.0.1:{port}"), &stand_in(node, tell.clone()));
+            config = config.replace(&format!("127.0.0.1:{port}"), &stand_in(node, sender.clone()));
         }
         let path = std::env::temp_dir().join(format!("copperroute-{}.json", address.replace(':', "-")));
         std::fs::write(&path, config).expect("a temporary file");
@@ -123,19 +124,19 @@
         self.asked.recv_timeout(LONG).expect("a node is asked")
     }
 
-    /// The change log is well from now on: it tells this number, and then what this returns holds, each second.
+    /// Sends a heartbeat each second from now on, with the number `last` until the returned value is changed.
     pub(crate) fn beats(&self, last: u64) -> Arc<AtomicU64> {
         let last = Arc::new(AtomicU64::new(last));
-        let (told, mut log) = (last.clone(), self.log.try_clone().expect("a second handle"));
+        let (number, mut log) = (last.clone(), self.log.try_clone().expect("a second handle"));
         thread::spawn(move || {
-            while log.write_all(format!("{}\n", told.load(Ordering::Relaxed)).as_bytes()).is_ok() {
+            while log.write_all(format!("{}\n", number.load(Ordering::Relaxed)).as_bytes()).is_ok() {
                 thread::sleep(Duration::from_secs(1));
             }
         });
         last
     }
 
-    /// The change log tells something.
+    /// Sends text on the change log connection.
     pub(crate) fn tell(&mut self, line: &str) {
         self.log.write_all(line.as_bytes()).expect("the program reads");
     }
@@ -143,7 +144,8 @@
     pub(crate) fn signal(&self, name: &str) {
         let kill = format!("kill -{name} {}", self.program.id());
         assert!(Command::new("sh").args(["-c", &kill]).status().expect("a shell").success());
-        // A stop takes effect a moment later: what comes before would be found apart from what comes after.
+        // SIGSTOP takes effect with a delay: until then the program would read earlier input apart from later
+        // input.
         let stat = format!("/proc/{}/stat", self.program.id());
         while name == "STOP" && !std::fs::read_to_string(&stat).expect("it runs").contains(") T ") {
             thread::sleep(Duration::from_millis(1));
@@ -159,7 +161,7 @@
     }
 }
 
-/// A stand-in of the change log that is followed from its first event.
+/// Accepts the connection of the program to a stand-in for the change log, which it follows from event 1.
 pub(crate) fn followed(log: &TcpListener) -> TcpStream {
     log.set_nonblocking(true).expect("a listener");
     let until = Instant::now() + LONG;
@@ -177,7 +179,7 @@
     stream
 }
 
-/// A node's answer and what follows its line.
+/// The bytes of a node's answer line and of the data behind it.
 pub(crate) fn told(answer: &str, rest: &[u8]) -> Vec<u8> {
     let mut bytes = answered(answer).into_bytes();
     bytes.extend_from_slice(b"\r\n");
@@ -185,7 +187,7 @@
     bytes
 }
 
-/// An answer's four bulk strings.
+/// Reads an answer: its four bulk strings.
 pub(crate) fn items(reader: &mut impl BufRead) -> Vec<Vec<u8>> {
     let mut line = String::new();
     reader.read_line(&mut line).expect("an answer");
@@ -202,26 +204,27 @@
     (0..4).map(|_| item()).collect()
 }
 
-/// An answer as a line.
+/// Reads an answer and joins its strings to one line.
 pub(crate) fn answer(stream: &TcpStream) -> String {
     let words: Vec<_> =
         items(&mut BufReader::new(stream)).iter().map(|w| w.escape_ascii().to_string()).collect();
     words.join(" ").trim_end().to_string() + "\n"
 }
 
-/// Who is asked depends on hashes that are the same in every run; what varies from run to run is the wait.
+/// The node and line of an attempt, with the time to live replaced by T: only that differs between runs, as hashes
+/// are the same in each.
 pub(crate) fn shown(asked: &Asked) -> String {
     let wait = asked.line.split("ttl=").nth(1).map_or("", |rest| rest.split([',', ' ']).next().unwrap_or(""));
     short(&format!("{}: {}\n", asked.node, asked.line.replace(&format!("ttl={wait}"), "ttl=T")))
 }
 
-/// Ends a connection by a reset.
+/// Resets a connection.
 pub(crate) fn reset(stream: &TcpStream) {
     SockRef::from(stream).set_linger(Some(Duration::ZERO)).expect("an option");
     SockRef::from(stream).shutdown(Shutdown::Both).ok();
 }
 
-/// All that still comes on a connection, and how it ends.
+/// Reads a connection to its end; returns the bytes and how it ended.
 pub(crate) fn rest(mut stream: &TcpStream) -> String {
     let mut all = Vec::new();
     let end = stream.read_to_end(&mut all);
@@ -232,8 +235,8 @@
     )
 }
 
-/// Waits until what was written on this side lies unread at the stopped program, or the end where the sending side has ended:
-/// under load a kernel takes its time over loopback too.
+/// Waits until bytes written on this side are unread in the socket of the stopped program, or with `ended` until
+/// the end of the sending side has arrived there: under load, loopback is delayed too.
 pub(crate) fn lies_unread(stream: &TcpStream, ended: bool) {
     let port = |address: std::io::Result<std::net::SocketAddr>| {
         format!(":{:04X}", address.expect("an address").port())
@@ -244,18 +247,19 @@
         let table = std::fs::read_to_string("/proc/net/tcp").expect("a table of sockets");
         let found = table.lines().map(|line| line.split_whitespace().collect::<Vec<_>>()).any(|fields| {
             let of_it = fields.len() > 4 && fields[1].ends_with(&theirs) && fields[2].ends_with(&ours);
-            // State 8 has seen the end; else bytes are in the queue to be read.
+            // State 08 (CLOSE_WAIT) has received the end; otherwise the receive queue holds bytes.
             of_it && if ended { fields[3] == "08" } else { !fields[4].ends_with(":00000000") }
         });
         if found {
             return;
         }
-        assert!(Instant::now() < until, "nothing comes to the program");
+        assert!(Instant::now() < until, "the written bytes or the end did not arrive at the program");
         thread::sleep(Duration::from_millis(1));
     }
 }
 
-/// The program has read all that came before this: a client of its own is answered, and no node was asked anything.
+/// Waits until a new client is answered, so that earlier input was read; returns that answer and the attempt at a
+/// node, if any.
 pub(crate) fn quiet(rig: &Rig) -> String {
     let mut client = rig.client();
     client.write_all(&message("HEALTH", 8)).expect("the program reads");
@@ -267,7 +271,7 @@
     trace
 }
 
-/// The processor time that a process has used.
+/// The processor time that a process has used, in seconds.
 pub(crate) fn processor_s(pid: u32) -> f64 {
     let text = std::fs::read_to_string(format!("/proc/{pid}/stat")).expect("it runs");
     let fields: Vec<&str> = text.rsplit(") ").next().unwrap_or_default().split(' ').collect();
@@ -278,10 +282,11 @@
     matches!((&*stream).read(&mut [0; 16]), Err(fault) if fault.kind() == ErrorKind::WouldBlock)
 }
 
-/// All that was told to the program before this has been read.
+/// Waits until the program has read all input sent before this.
 pub(crate) fn lies_read(rig: &Rig) {
     let mut client = rig.client();
-    // The change log is read before clients in a turn, and one turn may have begun before it was told.
+    // A turn of the event loop reads the change log before clients, and one turn may have begun before the event
+    // was sent.
     for tag in 1..4 {
         client.write_all(&message("HEALTH", tag)).expect("the program reads");
         answer(&client);
