--- a/crates/dispatcher/tests/dispatcher/attempts.rs
+++ b/crates/dispatcher/tests/dispatcher/attempts.rs
@@ -1,11 +1,11 @@
-//! Events in, effects out: attempts and their ends, without sockets.
+//! Attempts and how they end: reducer events in, effects out, without sockets.
 
 use crate::common::{LOOPBACK, Play, last_connection, request};
 use copperroute_dispatcher::effects::{Event, Peer};
 use expect_test::expect;
 
 #[test]
-fn a_download_is_looked_for_filled_and_answered_once() {
+fn a_request_is_looked_up_filled_and_answered_once() {
     let mut play = Play::new();
     play.client(&request(7, "image", "9b1f", ",need=100"));
     play.node("9b1f nothing - 0");
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_node_that_dies_midway_is_replaced() {
+fn a_node_that_fails_during_an_answer_is_replaced() {
     let mut play = Play::new();
     play.client(&request(7, "image", "9b1f", ",need=100"));
     let first = last_connection(&play.trace);
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_post_that_may_have_run_is_not_sent_again() {
+fn a_post_that_may_have_run_is_not_retried() {
     let mut play = Play::new();
     play.client(&request(7, "post", "9b1f", ""));
     play.event(Event::Closed(Peer::Node(1)));
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_post_that_was_not_written_whole_goes_again() {
+fn a_post_that_was_not_fully_written_is_retried() {
     let mut play = Play::new();
     play.calm = false;
     play.client(&request(7, "post", "9b1f", ""));
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_connection_that_never_comes_up_proves_that_nothing_ran() {
+fn a_post_is_retried_after_a_connect_timeout() {
     let mut play = Play::new();
     play.calm = false;
     play.client(&request(7, "post", "9b1f", ""));
@@ -86,13 +86,13 @@
 }
 
 #[test]
-fn what_waits_for_a_node_that_drains_goes_elsewhere() {
+fn an_attempt_waiting_for_a_draining_node_moves_to_another() {
     let mut play = Play::new();
     play.calm = false;
     play.client(&request(7, "image", "9b1f", ",need=100"));
-    let waits_for_a = play.trace.contains(":6001");
-    let drains = if waits_for_a { "s-a" } else { "s-b" };
-    play.log(1, &format!("{{\"seq\":2,\"fleet\":{{\"servers\":[{{\"id\":\"{drains}\",\"addr\":\"127.0.0.1:6001\",\"zone\":\"east\",\"kind\":\"box\",\"state\":\"leaving\"}}]}}}}"));
+    let waits_for_s_a = play.trace.contains(":6001");
+    let draining = if waits_for_s_a { "s-a" } else { "s-b" };
+    play.log(1, &format!("{{\"seq\":2,\"fleet\":{{\"servers\":[{{\"id\":\"{draining}\",\"addr\":\"127.0.0.1:6001\",\"zone\":\"east\",\"kind\":\"box\",\"state\":\"leaving\"}}]}}}}"));
     expect![[r#"
         connect Node(1) 127.0.0.1:6001
         close Node(1)
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn a_connection_that_finishes_no_answer_takes_no_further_pulls() {
+fn a_connection_with_an_unfinished_answer_takes_no_new_attempts() {
     let mut play = Play::new();
     play.beats(1, 1);
     play.client(&request(7, "image", "9b1f", ",need=100"));
@@ -134,17 +134,17 @@
 }
 
 #[test]
-fn a_download_that_expires_is_answered_once_whatever_comes_after() {
+fn an_expired_request_is_answered_once_and_a_late_answer_is_ignored() {
     let mut play = Play::new();
     play.client(&request(7, "post", "9b1f", ""));
     play.pass(1_499);
-    play.trace.push_str("now\n");
+    play.trace.push_str("just before the timeout\n");
     play.pass(1);
     play.node("9b1f ok why=pulled_far 4");
     expect![[r#"
         connect Node(1) 127.0.0.1:6005
         Node(1) <- fetch 9b1f lane=post,name=7f3a,piece=0,ttl=1500 0
-        now
+        just before the timeout
         Node(1) <- abort 9b1f
         close Node(1)
         Client(1) <- *4 $1 7 $6 FAILED $0  $0
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn a_copy_that_the_client_holds_costs_no_bytes() {
+fn a_copy_that_the_client_has_is_not_sent_again() {
     let mut play = Play::new();
     play.client(&request(7, "image", "9b1f", ",need=100,cached=4b00000000000000"));
     play.node("9b1f current etag=4b00000000000000,made=1764,why=local 0");
@@ -166,12 +166,12 @@
 }
 
 #[test]
-fn after_a_purge_the_copy_may_be_no_older() {
+fn after_a_purge_attempts_limit_the_age_of_copies() {
     let mut play = Play::new();
     play.pass(1_000);
     play.log(1, r#"{"seq":2,"invalidate":{"object":"7f3a000000000000","time":1764576000400}}"#);
     play.client(&request(7, "image", "9b1f", ",need=100"));
-    // The same event again changes nothing; the group's purge is the later one.
+    // A repeated event has no effect. The purge of the object's group is later than that of the object.
     play.log(1, r#"{"seq":2,"invalidate":{"object":"7f3a000000000000","time":1764576000999}}"#);
     play.log(1, r#"{"seq":3,"invalidate":{"bucket":17,"time":1764576000900}}"#);
     play.client(&request(8, "image", "9b20", ",need=100,family=17"));
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn what_waits_to_be_sent_when_a_purge_is_heard_asks_for_a_newer_copy() {
+fn an_attempt_still_unsent_at_a_purge_asks_for_a_newer_copy() {
     let mut play = Play::new();
     play.calm = false;
     play.client(&request(7, "image", "9b1f", ",need=100"));
@@ -202,7 +202,7 @@
 }
 
 #[test]
-fn what_cannot_be_read_ends_one_connection_only() {
+fn malformed_input_ends_one_connection_only() {
     let mut play = Play::new();
     play.event(Event::Accepted(2, LOOPBACK));
     play.event(Event::Received(Peer::Client(2), b"GET / HTTP/1.1\r\n"));
@@ -227,15 +227,15 @@
 }
 
 #[test]
-fn an_answer_that_cannot_be_ends_its_connection_and_goes_elsewhere() {
-    for spoilt in ["9b1f ok why=local", "9b1f current etag=4b00000000000000,made=1764"] {
+fn an_invalid_answer_ends_its_connection_and_its_request_moves_to_another_node() {
+    for invalid in ["9b1f ok why=local", "9b1f current etag=4b00000000000000,made=1764"] {
         let mut play = Play::new();
         play.client(&request(7, "image", "9b1f", ",need=100"));
         play.client(&request(8, "image", "9b20", ",need=100"));
         play.take();
-        // What belongs to nobody is passed over.
+        // An answer to an unknown request is ignored.
         play.node("9b99 ok why=local 4");
-        let line = spoilt.replace("9b1f", "9b1f000000000000") + " 0\r\n\r\n";
+        let line = invalid.replace("9b1f", "9b1f000000000000") + " 0\r\n\r\n";
         play.event(Event::Received(Peer::Node(1), line.as_bytes()));
         let trace = play.take();
         assert!(trace.starts_with("close Node(1)\nconnect Node(3) 127.0.0.1:6002\n"), "{trace}");
@@ -244,7 +244,7 @@
 }
 
 #[test]
-fn what_may_run_once_uses_no_connection_that_rested() {
+fn an_unsafe_request_uses_no_idle_connection() {
     let mut play = Play::new();
     play.beats(1, 1);
     for (tag, kind) in [(7, "post"), (8, "post"), (9, "image"), (10, "image")] {
@@ -253,7 +253,7 @@
         play.node(&format!("{id} ok why=local 4"));
         play.pass(100);
     }
-    // A node ends a connection that rested just as an attempt comes: none that rested is used for a while.
+    // The node closes an idle connection just as an attempt is sent: idle connections are not reused for a while.
     play.client(&request(11, "image", "9b11", ",need=100"));
     let last = last_connection(&play.trace);
     play.event(Event::Closed(Peer::Node(last)));
@@ -296,13 +296,13 @@
 }
 
 #[test]
-fn an_answer_that_does_not_go_on_ends_its_connection() {
+fn a_stalled_answer_ends_its_connection() {
     let mut play = Play::new();
     play.client(&request(7, "image", "9b1f", ",need=100000"));
     play.node_bytes("9b1f ok - 4", "bo");
     play.take();
     play.pass(300);
-    // Further attempts on it do not keep it alive.
+    // New attempts on the connection do not extend its timeout.
     play.client(&request(8, "image", "9b20", ",need=100000"));
     play.pass(400);
     expect![[r#"
@@ -314,15 +314,15 @@
     .assert_eq(&play.take());
 }
 
-/// A node that takes connections and ends them at once: asked ten times a second, it is connected to ever more rarely, and
-/// what is asked for is answered at once.
+/// A node that accepts connections and closes them at once, under ten requests per second: the reconnect backoff grows,
+/// so that fewer connections are opened in the second half.
 #[test]
-fn a_node_that_turns_connections_away_is_connected_to_more_and_more_rarely() {
+fn connections_to_a_node_that_closes_them_at_once_back_off() {
     let mut play = Play::new();
     let mut opened = [0; 2];
     for number in 0..200 {
         play.client(&request(7, "image", &format!("{number:04x}"), ",need=100"));
-        // Whatever was connected to ends; what comes of that too.
+        // Closes every new connection, and those opened in response.
         for _ in 0..8 {
             let trace = play.take();
             let connected =
--- a/crates/dispatcher/tests/dispatcher/broken_connections.rs
+++ b/crates/dispatcher/tests/dispatcher/broken_connections.rs
@@ -1,5 +1,5 @@
-//! Connections to nodes that break as a network does it, with `ETIMEDOUT`, `EHOSTUNREACH` or `ENETUNREACH`: of what may have
-//! run they tell as little as a reset does. Judged by what clients and stand-ins of nodes saw.
+//! Connections to nodes that fail with a network error (`ETIMEDOUT`, `EHOSTUNREACH` or `ENETUNREACH`). Like a reset,
+//! such an error doesn't show whether the request ran. Checked by what clients and stand-in nodes receive.
 
 use crate::common::{message, request};
 use crate::rig::{LONG, Rig, UNHURRIED, items, quiet, reset, shown, told};
@@ -10,12 +10,12 @@
 use std::process::Stdio;
 use std::thread::sleep;
 
-/// What reads and writes end with when the network is gone.
+/// Errors that reads and writes return when the network fails.
 const ERRORS: [i32; 3] = [libc::ETIMEDOUT, libc::EHOSTUNREACH, libc::ENETUNREACH];
 
-/// A request's connection to its node breaks while the answer is waited for, by this error of `recv` or by a reset.
-/// Returns who was asked, the answer, and whether anybody is asked still.
-fn broken_while_waiting(content_type: &str, error: Option<i32>) -> String {
+/// Fails the connection to a request's node while the answer is awaited, by this error of `recv` or by a reset.
+/// Returns a trace of the nodes asked, the client's answer, and any later attempt.
+fn fail_connection_while_waiting(content_type: &str, error: Option<i32>) -> String {
     let name = format!("copperroute-broken-{}-{content_type}-{error:?}.plan", std::process::id());
     let path = std::env::temp_dir().join(name);
     let write = |plan: FaultPlan| {
@@ -31,13 +31,16 @@
     match error {
         None => reset(&asked.back),
         Some(error) => {
-            // Nobody else says anything now: only this node's connection is read.
+            // No other peer sends anything now, so the fault hits only this node's connection.
             write(FaultPlan::new(0).fail(Call::Recv, &[error], 1, Span::ALWAYS));
-            asked.back.write_all(b"*").expect("it is kept for the program");
+            asked.back.write_all(b"*").expect("the kernel buffers it");
             asked.back.set_read_timeout(Some(LONG)).expect("a timeout");
             let end = asked.back.read(&mut [0; 1]);
             assert!(!matches!(&end, Ok(1..)), "{end:?}");
-            assert!(!matches!(&end, Err(fault) if fault.kind() == ErrorKind::WouldBlock), "it stands still");
+            assert!(
+                !matches!(&end, Err(fault) if fault.kind() == ErrorKind::WouldBlock),
+                "the connection was not closed"
+            );
             write(FaultPlan::new(0));
         }
     }
@@ -48,7 +51,7 @@
     }
     let mut reader = BufReader::new(&client);
     trace += &format!("{}\n", next_answer(&mut reader));
-    // A second answer would come before this one.
+    // A second answer to the request would come before the health answer.
     (&client).write_all(&message("HEALTH", 8)).expect("the program reads");
     trace += &format!("{}\n", next_answer(&mut reader));
     trace += &quiet(&rig);
@@ -57,18 +60,18 @@
 }
 
 #[test]
-fn a_connection_that_breaks_in_a_read_counts_as_one_that_was_reset() {
+fn a_read_error_is_handled_like_a_reset() {
     for content_type in ["post", "image"] {
-        let by_reset = broken_while_waiting(content_type, None);
+        let by_reset = fail_connection_while_waiting(content_type, None);
         println!("{by_reset}");
         assert!(by_reset.ends_with("nobody is asked\n"), "{by_reset}");
         for error in ERRORS {
-            assert_eq!(broken_while_waiting(content_type, Some(error)), by_reset, "error {error}");
+            assert_eq!(fail_connection_while_waiting(content_type, Some(error)), by_reset, "error {error}");
         }
     }
 }
 
-/// The next answer on a connection, all of whose answers this reads.
+/// Reads the next answer. All reads of a connection must use the same reader, as it buffers.
 fn next_answer(reader: &mut BufReader<&TcpStream>) -> String {
     let words: Vec<_> = items(reader).iter().map(|word| word.escape_ascii().to_string()).collect();
     words.join(" ").trim_end().to_owned()
--- a/crates/dispatcher/tests/dispatcher/change_log_calls.rs
+++ b/crates/dispatcher/tests/dispatcher/change_log_calls.rs
@@ -1,4 +1,4 @@
-//! Calls of the change log that stay open beside each other, seen from the reducer's connections.
+//! Several connections to the change log open at the same time, seen from the reducer's effects.
 
 use crate::common::{CONFIG, Play, request};
 use copperroute_dispatcher::config::Config;
@@ -6,7 +6,7 @@
 
 const PURGE: &str = r#"{"seq":2,"invalidate":{"bucket":17,"time":1764576000000}}"#;
 
-/// The connections that were made and closed, in order, since the trace was taken.
+/// The change log connections opened and closed, each in order, since the trace was last taken.
 fn connections(play: &mut Play) -> (Vec<u32>, Vec<u32>) {
     let trace = play.take();
     let of = |word: &str| {
@@ -18,27 +18,27 @@
 }
 
 #[test]
-fn a_call_that_is_answered_late_brings_events_and_the_next_one_in_time_is_followed() {
+fn a_slow_connection_delivers_events_until_a_newer_one_answers() {
     let mut play = Play::new();
     play.pass(5_000);
     let (made, closed) = connections(&mut play);
     assert!(made.len() == 2 && closed.is_empty(), "{made:?} {closed:?}");
     play.log(1, PURGE);
     assert_eq!((play.applied(), connections(&mut play)), (2, (vec![], vec![])));
-    // A newer call answers at once: the others end.
+    // A newer connection delivers at once: the others are closed.
     play.pass(3_000);
     let (newer, _) = connections(&mut play);
-    let newest = *newer.last().expect("called beside the late one");
+    let newest = *newer.last().expect("a second connection opened beside the slow one");
     play.log(newest, "2");
     let (_, closed) = connections(&mut play);
     assert!(closed.contains(&1) && !closed.contains(&newest), "{closed:?}");
-    // What comes on a call that has ended is nobody's.
+    // Events on a closed connection are ignored.
     play.log(1, r#"{"seq":3,"invalidate":{"bucket":17,"time":1764576000000}}"#);
     assert_eq!(play.applied(), 2);
 }
 
 #[test]
-fn no_more_than_three_calls_are_open_and_the_oldest_stays_for_half_a_minute() {
+fn at_most_three_connections_are_open_and_the_oldest_stays_for_30_s() {
     let mut play = Play::new();
     let mut open = vec![1];
     for second in 0..60 {
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn part_of_a_line_is_kept_while_newer_calls_bring_nothing() {
+fn part_of_a_line_is_kept_while_newer_connections_deliver_nothing() {
     let mut play = Play::new();
     let (first, rest) = PURGE.as_bytes().split_at(20);
     play.event(Event::Received(Peer::ChangeLog(1), first));
@@ -65,12 +65,12 @@
 }
 
 #[test]
-fn own_copies_are_left_alone_in_doubt_and_good_again_after_it() {
-    let mut config = Config::parse(CONFIG).expect("a good configuration");
+fn the_local_cache_is_used_only_while_knowledge_is_not_stale() {
+    let mut config = Config::parse(CONFIG).expect("a valid configuration");
     config.copy_memory_bytes = 1_000_000;
     let mut play = Play::with(config);
     play.beats(1, 1);
-    let asks_a_node = |play: &mut Play, number: u64| {
+    let sends_attempt = |play: &mut Play, number: u64| {
         play.take();
         let id = format!("{number:04x}");
         play.client(&request(number, "image", &id, ",family=17"));
@@ -81,14 +81,15 @@
         play.pass(100);
         asked
     };
-    let before = (1..8).map(|number| asks_a_node(&mut play, number)).collect::<Vec<_>>();
-    assert!(!before[6], "not served from here: {before:?}");
-    // The stream breaks; what it would have told counts 2 s later, and purges are to be heeded within 1 s.
+    let before = (1..8).map(|number| sends_attempt(&mut play, number)).collect::<Vec<_>>();
+    assert!(!before[6], "not served from the local cache: {before:?}");
+    // The connection fails. Missed events count from 2 s later on and a purge must take effect
+    // within 1 s, so the knowledge is stale after 3 s.
     play.beats = None;
     play.calm = false;
     play.event(Event::Closed(Peer::ChangeLog(1)));
     play.pass(2_000);
-    assert!(!asks_a_node(&mut play, 20));
+    assert!(!sends_attempt(&mut play, 20));
     play.pass(1_000);
-    assert!(asks_a_node(&mut play, 21));
+    assert!(sends_attempt(&mut play, 21));
 }
--- a/crates/dispatcher/tests/dispatcher/clients.rs
+++ b/crates/dispatcher/tests/dispatcher/clients.rs
@@ -1,11 +1,11 @@
-//! Events in, effects out: clients, without sockets.
+//! Client connections: reducer events in, effects out, without sockets.
 
 use crate::common::{CONFIG, LOOPBACK, Play, message, request};
 use copperroute_dispatcher::effects::{Event, Peer};
 use expect_test::expect;
 
 #[test]
-fn a_client_that_leaves_is_owed_nothing() {
+fn a_client_that_leaves_is_sent_nothing() {
     let mut play = Play::new();
     play.client(&request(7, "image", "9b1f", ",need=100"));
     play.client(&request(8, "image", "9b20", ",need=100"));
@@ -29,17 +29,17 @@
 }
 
 #[test]
-fn an_id_that_comes_again_reaches_no_node_until_it_is_forgotten() {
+fn a_repeated_id_reaches_no_node_until_it_expires() {
     let mut play = Play::new();
     play.beats(1, 1);
     play.event(Event::Accepted(2, LOOPBACK));
     play.client(&request(7, "image", "9b1f", ",need=100"));
     play.client(&message("ABORT", 7));
-    // Again on the same connection, and on another.
+    // The same id again, on the same connection and on another.
     play.client(&request(8, "image", "9b1f", ",need=100"));
     play.event(Event::Received(Peer::Client(2), &request(1, "image", "9b1f", ",need=100")));
     play.pass(5_000);
-    play.trace.push_str("forgotten\n");
+    play.trace.push_str("id expired\n");
     play.event(Event::Accepted(3, LOOPBACK));
     play.event(Event::Received(Peer::Client(3), &request(1, "image", "9b1f", ",need=100")));
     expect![[r#"
@@ -48,19 +48,19 @@
         Node(1) <- abort 9b1f
         Client(1) <- *4 $1 8 $6 FAILED $0  $0
         Client(2) <- *4 $1 1 $6 FAILED $0  $0
-        forgotten
+        id expired
         Node(1) <- fetch 9b1f lane=image,name=7f3a,piece=0,ttl=1500,keep=1 0
     "#]]
     .assert_eq(&play.take());
 }
 
 #[test]
-fn without_descriptors_idle_clients_go_and_busy_ones_stay() {
+fn without_descriptors_idle_clients_are_closed_and_busy_ones_stay() {
     let mut play = Play::new();
     play.event(Event::Accepted(2, LOOPBACK));
     play.client(&request(7, "image", "9b1f", ",need=100"));
     play.take();
-    // A request of who has just come may be on its way.
+    // A new client is kept, since its request may be on its way.
     play.event(Event::NoDescriptors);
     play.trace.push_str("later\n");
     play.pass(100);
@@ -72,8 +72,8 @@
     .assert_eq(&play.take());
 }
 
-/// Answers of the greatest size to requests with these ids.
-fn large(play: &mut Play, ids: &[&str]) -> String {
+/// Sends answers of 240,000 bytes to requests with these ids; returns the trace without the bodies.
+fn send_large_answers(play: &mut Play, ids: &[&str]) -> String {
     let body = "x".repeat(240_000);
     for id in ids {
         play.node_bytes(&format!("{id} ok - {}", body.len()), &format!("{body}\r\n"));
@@ -81,16 +81,17 @@
     play.take().replace(&body, "(240000 bytes)")
 }
 
-/// Guards against attempts for clients that have left unseen: one that reads slowly was not read from before.
+/// Guards against attempts for clients that have left: if the dispatcher stops reading from a client that reads slowly,
+/// it misses its abort and its end of stream.
 #[test]
-fn who_reads_slowly_is_still_heard() {
+fn a_slow_readers_abort_and_end_of_stream_are_handled() {
     let mut play = Play::new();
     for tag in 7..10 {
         play.client(&request(tag, "image", &format!("9b{tag:02}"), ",need=100"));
     }
     play.calm = false;
     play.take();
-    let mut trace = large(&mut play, &["9b07", "9b08", "9b09"]);
+    let mut trace = send_large_answers(&mut play, &["9b07", "9b08", "9b09"]);
     play.client(&request(10, "image", "9b10", ",need=100"));
     play.client(&message("ABORT", 10));
     play.event(Event::EndOfStream(Peer::Client(1)));
@@ -106,15 +107,16 @@
     .assert_eq(&trace);
 }
 
-/// Who reads slowly and asks for ever more is refused where memory is short, and closed where it has run out.
+/// A client that reads slowly and keeps sending requests is refused when memory runs short and closed when it is used
+/// up.
 #[test]
-fn who_reads_slowly_and_goes_on_asking_takes_bounded_memory() {
+fn a_slow_reader_that_keeps_sending_requests_uses_bounded_memory() {
     let mut play = Play::of(&CONFIG.replace("\"memory_mb\": 192", "\"memory_mb\": 4"));
     for tag in 7..10 {
         play.client(&request(tag, "image", &format!("9b{tag:02}"), ",need=100"));
     }
     play.calm = false;
-    let _ = large(&mut play, &["9b07", "9b08", "9b09"]);
+    let _ = send_large_answers(&mut play, &["9b07", "9b08", "9b09"]);
     let mut busy = 0;
     for tag in 100.. {
         play.client(&request(tag, "image", &format!("{tag:06x}"), ",need=100"));
@@ -153,11 +155,11 @@
         read Node(3) false
         read Node(4) false
     "#]]
-    .assert_eq(&large(&mut play, &["9b07", "9b08", "9b09", "9b10", "9b11", "9b12"]));
+    .assert_eq(&send_large_answers(&mut play, &["9b07", "9b08", "9b09", "9b10", "9b11", "9b12"]));
 }
 
 #[test]
-fn a_client_that_has_vanished_is_closed() {
+fn a_client_that_takes_no_bytes_is_closed() {
     let mut play = Play::new();
     play.client(&request(7, "image", "9b1f", ",need=100"));
     play.calm = false;
@@ -173,7 +175,7 @@
 }
 
 #[test]
-fn a_request_that_the_settings_do_not_allow_reaches_no_node() {
+fn a_request_outside_the_limits_reaches_no_node() {
     let mut play = Play::new();
     play.client(&request(1, "image", "9b1f", ",timeout=5001"));
     play.client(&request(2, "image", "9b1f", ",family=256"));
@@ -183,12 +185,12 @@
             .replace("$0\r\n", "$1\r\nx")
             .into_bytes(),
     );
-    // What it sent before does not keep a client's requests from being taken.
+    // Invalid requests do not keep later ones on the connection from being admitted.
     play.client(&request(4, "post", "9b20", ""));
-    // The id of an open request, with another object; then a number that is open.
+    // The id of an open request with another part; then the tag of an open request.
     play.client(&request(5, "image", "9b20", ",block=1"));
     play.client(&request(4, "image", "9b21", ""));
-    // Nothing more is heard from it; what it asked before is answered, then its connection ends.
+    // Later requests are refused; the open one is answered, then the connection ends.
     play.client(&request(6, "image", "9b22", ""));
     play.node("9b20 ok - 4");
     expect![[r#"
@@ -221,11 +223,11 @@
 }
 
 #[test]
-fn clients_that_say_nothing_or_half_of_something_are_closed() {
+fn clients_that_send_nothing_or_half_a_message_are_closed() {
     let mut play = Play::new();
     (2..=5).for_each(|client| play.event(Event::Accepted(client, LOOPBACK)));
     let whole = message("HEALTH", 1);
-    // Client 1 says nothing, 2 half of something, 3 half of something after a whole, 4 rests, 5 waits.
+    // Client 1 sends nothing, 2 half a message, 3 a whole and a half message, 4 a whole one, 5 waits for an answer.
     play.event(Event::Received(Peer::Client(2), &whole[..9]));
     play.event(Event::Received(Peer::Client(3), &[&whole[..], &whole[..9]].concat()));
     play.event(Event::Received(Peer::Client(4), &whole));
@@ -260,7 +262,7 @@
 }
 
 #[test]
-fn without_descriptors_those_who_never_asked_go_first() {
+fn without_descriptors_clients_that_sent_no_request_are_closed_first() {
     let mut play = Play::of(&CONFIG.replace("\"sockets\": 1024", "\"sockets\": 8"));
     play.client(&message("HEALTH", 1));
     play.event(Event::Accepted(2, LOOPBACK));
--- a/crates/dispatcher/tests/dispatcher/common.rs
+++ b/crates/dispatcher/tests/dispatcher/common.rs
@@ -1,4 +1,4 @@
-//! A reducer played by hand: events go in, and what it asks for is printed.
+//! Drives a reducer without sockets: tests hand in events, and each effect is printed to a trace.
 
 use copperroute_dispatcher::clock::Epoch;
 use copperroute_dispatcher::config::Config;
@@ -9,16 +9,16 @@
 use std::fmt::Write as _;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
-/// A small fleet: two caches, two parents, an origin.
+/// The example configuration: two caches, two parents, an origin.
 pub(crate) const CONFIG: &str = include_str!("../../../../deploy/example.json");
 
-/// Where clients come from.
+/// The address of all clients.
 pub(crate) const LOOPBACK: IpAddr = IpAddr::V4(Ipv4Addr::LOCALHOST);
 
-/// The clock shows this when it starts.
-const EPOCH_NS: u64 = 86_400_000_000_000;
+/// Monotonic time at the start of a scenario, in nanoseconds.
+const START_NS: u64 = 86_400_000_000_000;
 
-/// A request as a client writes it.
+/// A request in the client protocol; `more` holds further fields, which replace the defaults of `timeout` and `block`.
 pub(crate) fn request(tag: u64, content_type: &str, id: &str, more: &str) -> Vec<u8> {
     let usual = |name: &str, field| if more.contains(name) { "" } else { field };
     let (timeout, block) = (usual("timeout=", "timeout=1500,"), usual("block=", ",block=0"));
@@ -33,8 +33,8 @@
     .into_bytes()
 }
 
-/// A node's answer as it is written here, without what every one has: zeros to the length of ids and tags, the
-/// tag and time of a copy.
+/// Expands a node's answer from the short form of the tests: pads the id with zeros and adds the etag and the time at
+/// which the copy was made.
 pub(crate) fn answered(answer: &str) -> String {
     let (id, rest) = answer.split_once(' ').unwrap_or((answer, ""));
     let rest = rest.replace("ok why", "ok etag=4b00000000000000,made=1764,why");
@@ -42,76 +42,87 @@
     format!("{id:0<16} {rest}")
 }
 
-/// A trace without the zeros that make ids long enough.
+/// Removes the zeros that pad ids from a trace.
 pub(crate) fn short(trace: &str) -> String {
     trace.replace("000000000000", "")
 }
 
-/// A message of a verb and a tag.
+/// A client message of only a verb and a tag.
 pub(crate) fn message(verb: &str, tag: u64) -> Vec<u8> {
     let tag = tag.to_string();
     format!("*2\r\n${}\r\n{verb}\r\n${}\r\n{tag}\r\n", verb.len(), tag.len()).into_bytes()
 }
 
-/// The connection that the last attempt went out on.
+/// The number of the connection that the last attempt was sent on.
 pub(crate) fn last_connection(trace: &str) -> u32 {
     let line = trace.lines().rev().find(|line| line.contains("<- fetch")).unwrap_or_default();
     line.split(['(', ')']).nth(1).and_then(|number| number.parse().ok()).unwrap_or_default()
 }
 
-/// The Unix millisecond that it is outside as a play begins.
+/// External Unix time at the start of a scenario, in milliseconds.
 pub(crate) const START_MS: u64 = 1_764_576_000_000;
 
-/// The heartbeats of a change log that is well.
+/// Heartbeats of a change log that works: its connection, last sequence number, and the time of the next one.
 pub(crate) struct Heartbeats {
     connection: u32,
     last: u64,
     next: Nanos,
 }
 
-/// A reducer, the timers it asked for, and the trace.
+/// A reducer, its armed timers, and the trace of its effects.
 pub(crate) struct Play {
     reducer: Reducer,
     now: Nanos,
     armed: Vec<(Nanos, TimerKind)>,
-    /// Bytes given to each connection.
-    given: HashMap<Peer, u64>,
-    /// Where each connection leads.
-    places: HashMap<Peer, SocketAddr>,
-    /// The connections that requests were last asked for on, by their ids.
-    carried: HashMap<String, u32>,
-    /// Connections come up and bytes leave by themselves, as on a calm network.
+    /// Bytes written to each connection.
+    bytes_written: HashMap<Peer, u64>,
+    /// The address that each connection goes to.
+    addresses: HashMap<Peer, SocketAddr>,
+    /// The node connection of the last attempt of each request, by request id.
+    last_connections: HashMap<String, u32>,
+    /// Whether connects and writes complete at once.
     pub calm: bool,
-    /// The change log is well on this connection: it tells its last number each second while time passes.
+    /// If set, `pass` delivers a heartbeat of the change log each second.
     pub beats: Option<Heartbeats>,
     pub trace: String,
-    /// What the disk was asked under.
+    /// Tickets of the reads from disk, in order.
     pub tickets: Vec<u64>,
-    /// The last good list, as it was last kept.
+    /// The node list snapshot that was last saved.
     pub kept: Option<Vec<u8>>,
 }
 
 impl Play {
     /// A dispatcher with this configuration that has started, with one client connected.
     pub(crate) fn of(config: &str) -> Play {
-        Play::with(Config::parse(config).expect("a good configuration"))
+        Play::with(Config::parse(config).expect("a valid configuration"))
     }
 
-    /// The same with one that was parsed.
+    /// The same with a parsed configuration.
     pub(crate) fn with(config: Config) -> Play {
         Play::with_clock_off(config, 0)
     }
 
-    /// The same on a machine whose wall clock is off by so many milliseconds, ahead of the outside's where over 0.
+    /// The same on a machine whose wall clock is wrong by `off_ms` (ahead of external time if positive).
     pub(crate) fn with_clock_off(config: Config, off_ms: i64) -> Play {
         let wall_ms = START_MS.saturating_add_signed(off_ms);
         let reducer = Reducer::new(config, Epoch::at(wall_ms * 1_000_000));
-        let (armed, given, carried, places) = Default::default();
-        let (now, trace, tickets) = (Nanos(EPOCH_NS), String::new(), Vec::new());
+        let (armed, bytes_written, last_connections, addresses) = Default::default();
+        let (now, trace, tickets) = (Nanos(START_NS), String::new(), Vec::new());
         let (calm, kept) = (true, None);
         let beats = None;
-        let mut play =
-            Play { reducer, now, armed, given, places, carried, calm, beats, trace, tickets, kept };
+        let mut play = Play {
+            reducer,
+            now,
+            armed,
+            bytes_written,
+            addresses,
+            last_connections,
+            calm,
+            beats,
+            trace,
+            tickets,
+            kept,
+        };
         play.event(Event::Started);
         play.event(Event::Accepted(1, LOOPBACK));
         play.trace.clear();
@@ -123,14 +134,14 @@
         Play::of(CONFIG)
     }
 
-    /// Hands in an event and prints what it brings.
+    /// Hands in an event and appends its effects to the trace.
     pub(crate) fn event(&mut self, event: Event<'_>) {
         let effects = self.reducer.reduce(self.now, event);
         for effect in effects {
             match effect {
                 Effect::Connect(peer, address) => {
                     let _ = writeln!(self.trace, "connect {peer:?} {address}");
-                    self.places.insert(peer, address);
+                    self.addresses.insert(peer, address);
                     if self.calm {
                         self.event(Event::Connected(peer));
                     }
@@ -140,9 +151,9 @@
                     let _ = writeln!(self.trace, "{peer:?} <- {}", text.trim_end());
                     if let Peer::Node(number) = peer {
                         let ids = text.split("fetch ").skip(1).filter_map(|rest| rest.split(' ').next());
-                        self.carried.extend(ids.map(|id| (id.to_string(), number)));
+                        self.last_connections.extend(ids.map(|id| (id.to_string(), number)));
                     }
-                    let total = self.given.entry(peer).or_default();
+                    let total = self.bytes_written.entry(peer).or_default();
                     *total += bytes.len() as u64;
                     let total = *total;
                     if self.calm {
@@ -151,7 +162,7 @@
                 }
                 Effect::TruncateOutput(peer, from) => {
                     let _ = writeln!(self.trace, "retract {peer:?} from {from}");
-                    self.given.insert(peer, from);
+                    self.bytes_written.insert(peer, from);
                 }
                 Effect::CloseLingering(peer, behind) => {
                     let reads_on = if behind == TrailingInput::Discard { ", read on" } else { "" };
@@ -190,32 +201,32 @@
         }
     }
 
-    /// A client's bytes.
+    /// Delivers bytes from client 1.
     pub(crate) fn client(&mut self, bytes: &[u8]) {
         self.event(Event::Received(Peer::Client(1), bytes));
     }
 
-    /// A node's answer line, and its bytes if it has any, where its request was last asked for.
+    /// Delivers a node's answer with its body, if it has one, on the connection of the request's last attempt.
     pub(crate) fn node(&mut self, answer: &str) {
         let body = if answer.ends_with(" 0") { "" } else { "body" };
         self.node_bytes(answer, &format!("{body}\r\n"));
     }
 
-    /// A node's answer line with what follows it.
+    /// Delivers a node's answer line and the bytes after it.
     pub(crate) fn node_bytes(&mut self, answer: &str, rest: &str) {
         let id = answer.split(' ').next().unwrap_or_default();
-        let peer = Peer::Node(self.carried.get(id).copied().unwrap_or(1));
+        let peer = Peer::Node(self.last_connections.get(id).copied().unwrap_or(1));
         self.event(Event::Received(peer, format!("{}\r\n{rest}", answered(answer)).as_bytes()));
     }
 
-    /// From now on the change log is well on a connection, and has told all up to this event.
+    /// Delivers a heartbeat with sequence number `last` now and, while time passes, each second.
     pub(crate) fn beats(&mut self, connection: u32, last: u64) {
         self.log(connection, &last.to_string());
         let next = self.now.after(Nanos(1_000_000_000));
         self.beats = Some(Heartbeats { connection, last, next });
     }
 
-    /// The next second's line, if it is due by then.
+    /// Delivers the next heartbeat if it is due by `end` and before any timer; returns whether it was.
     fn beat(&mut self, end: Nanos) -> bool {
         let first_timer = self.armed.iter().map(|timer| timer.0).min();
         let Some(Heartbeats { connection, last, next }) = self
@@ -232,27 +243,27 @@
         true
     }
 
-    /// A line of the change log.
+    /// Delivers a line of the change log.
     pub(crate) fn log(&mut self, connection: u32, line: &str) {
         self.event(Event::Received(Peer::ChangeLog(connection), format!("{line}\n").as_bytes()));
     }
 
-    /// The configuration is read again.
+    /// Reloads the configuration.
     pub(crate) fn reload(&mut self, config: &str) {
-        self.event(Event::Reload(&Config::parse(config).expect("a good configuration")));
+        self.event(Event::Reload(&Config::parse(config).expect("a valid configuration")));
     }
 
-    /// The number of the last event of the change log that was applied.
+    /// The sequence number of the last event of the change log that was applied.
     pub(crate) fn applied(&self) -> u64 {
         self.reducer.applied()
     }
 
-    /// How many nodes there is a place for.
+    /// The number of node slots in use.
     pub(crate) fn nodes_kept(&self) -> u32 {
         self.reducer.node_slot_count()
     }
 
-    /// Lets time pass, with all that falls due.
+    /// Advances time, firing the timers and heartbeats that fall due.
     pub(crate) fn pass(&mut self, millis: u64) {
         let end = self.now.after(Nanos(millis * 1_000_000));
         loop {
@@ -268,33 +279,33 @@
         self.now = end;
     }
 
-    /// The process is stopped for so long: nothing falls due meanwhile.
+    /// Advances time as if the process were stopped: no timer fires meanwhile.
     pub(crate) fn stop(&mut self, millis: u64) {
         self.now = self.now.after(Nanos(millis * 1_000_000));
     }
 
-    /// How many milliseconds have passed since the play began.
+    /// Milliseconds since the start of the scenario.
     pub(crate) fn passed_ms(&self) -> u64 {
-        (self.now.0 - EPOCH_NS) / 1_000_000
+        (self.now.0 - START_NS) / 1_000_000
     }
 
-    /// The port of the node that the last attempt of a trace went to.
+    /// The port of the node that the last attempt in a trace was sent to.
     pub(crate) fn pulled_at(&self, trace: &str) -> Option<u16> {
-        self.places.get(&Peer::Node(last_connection(trace))).map(SocketAddr::port)
+        self.addresses.get(&Peer::Node(last_connection(trace))).map(SocketAddr::port)
     }
 
-    /// How many objects there is a place for.
+    /// The number of object slots in use.
     pub(crate) fn objects_kept(&self) -> u32 {
         self.reducer.object_slot_count()
     }
 
-    /// Forgets what this helper keeps of connections and ids, so that what is left is the dispatcher's.
+    /// Frees the trace and the record of request ids, so that the memory in use is the dispatcher's.
     pub(crate) fn forget(&mut self) {
-        self.carried.clear();
+        self.last_connections.clear();
         self.trace.clear();
     }
 
-    /// What was printed since the last call.
+    /// Takes the trace since the last call.
     pub(crate) fn take(&mut self) -> String {
         std::mem::take(&mut self.trace)
     }
--- a/crates/dispatcher/tests/dispatcher/copies.rs
+++ b/crates/dispatcher/tests/dispatcher/copies.rs
@@ -1,4 +1,5 @@
-//! Copies of the dispatcher's own: kept, served, and let go, as reducer traces.
+//! The local cache of a dispatcher, in memory and on disk: when copies are stored, served and dropped, as reducer
+//! traces.
 
 use crate::common::{CONFIG, Play, message, request};
 use copperroute_cache_store::record::Facts;
@@ -7,20 +8,20 @@
 use expect_test::expect;
 
 fn play(bytes: usize) -> Play {
-    let config = Config::parse(CONFIG).expect("a good configuration");
+    let config = Config::parse(CONFIG).expect("a valid configuration");
     Play::with(Config { copy_memory_bytes: bytes, ..config })
 }
 
-/// Asks for the object under a tag; where a node is asked, it holds the object.
-fn ask(play: &mut Play, tag: u64, more: &str) -> String {
+/// Requests the object; if a node is asked, it answers with a copy. Returns the trace.
+fn request_object(play: &mut Play, tag: u64, more: &str) -> String {
     play.client(&request(tag, "image", &format!("{tag}f1f"), more));
     let asked = play.take();
     if asked.contains("fetch") {
         play.node(&format!("{tag}f1f ok why=local 4"));
     }
     play.pass(100);
-    let told = if asked.contains("fetch") { "a node was asked" } else { "no node was asked" };
-    format!("{tag}: {told}; {}", asked.replace("connect", "\n  connect") + &play.take())
+    let outcome = if asked.contains("fetch") { "a node was asked" } else { "no node was asked" };
+    format!("{tag}: {outcome}; {}", asked.replace("connect", "\n  connect") + &play.take())
 }
 
 fn answers(trace: &str) -> String {
@@ -29,11 +30,11 @@
 }
 
 #[test]
-fn what_is_asked_for_again_is_kept_and_served_without_a_pull() {
+fn a_repeatedly_requested_object_is_cached_and_served_without_an_attempt() {
     let mut play = play(1_000_000);
-    let trace: String = (1..=4).map(|tag| answers(&ask(&mut play, tag, ""))).collect();
-    let held = answers(&ask(&mut play, 5, ",cached=4b00000000000000"));
-    let other = answers(&ask(&mut play, 6, ",block=2"));
+    let trace: String = (1..=4).map(|tag| answers(&request_object(&mut play, tag, ""))).collect();
+    let revalidated = answers(&request_object(&mut play, 5, ",cached=4b00000000000000"));
+    let other_part = answers(&request_object(&mut play, 6, ",block=2"));
     expect![[r#"
         1: a node was asked; 
         Client(1) <- *4 $1 1 $2 OK $0  $4 body
@@ -45,18 +46,18 @@
         6: a node was asked; Node(1) <-
         Client(1) <- *4 $1 6 $2 OK $0  $4 body
     "#]]
-    .assert_eq(&(trace + &held + &other));
+    .assert_eq(&(trace + &revalidated + &other_part));
 }
 
 #[test]
-fn a_purge_lets_it_go_and_forbids_what_was_made_before() {
+fn a_purge_drops_the_cached_copy_and_older_copies_are_not_cached() {
     let mut play = play(1_000_000);
-    (1..=3).for_each(|tag| drop(ask(&mut play, tag, ",family=17")));
-    let before = answers(&ask(&mut play, 4, ",family=17"));
+    (1..=3).for_each(|tag| drop(request_object(&mut play, tag, ",family=17")));
+    let before = answers(&request_object(&mut play, 4, ",family=17"));
     play.log(1, r#"{"seq":2,"invalidate":{"bucket":17,"time":1764576001000}}"#);
     play.take();
-    // Made in 1970, by its time: older than the purge, so it is passed on and not kept.
-    let after: String = (5..=7).map(|tag| answers(&ask(&mut play, tag, ",family=17"))).collect();
+    // The copy was made in 1970, before the purge, so it is served but not cached.
+    let after: String = (5..=7).map(|tag| answers(&request_object(&mut play, tag, ",family=17"))).collect();
     expect![[r#"
         4: no node was asked; Client(1) <- *4 $1 4 $2 OK $0  $4 body
         5: a node was asked; Node(1) <-
@@ -70,14 +71,14 @@
 }
 
 #[test]
-fn with_no_room_for_it_nothing_is_kept() {
+fn without_enough_memory_nothing_is_cached() {
     let mut play = play(100);
-    let trace: String = (1..=4).map(|tag| answers(&ask(&mut play, tag, ""))).collect();
+    let trace: String = (1..=4).map(|tag| answers(&request_object(&mut play, tag, ""))).collect();
     assert_eq!(trace.matches("a node was asked").count(), 4);
 }
 
 #[test]
-fn what_must_not_run_twice_is_never_kept() {
+fn answers_to_unsafe_requests_are_never_cached() {
     let mut play = play(1_000_000);
     for tag in 1..=4 {
         play.client(&request(tag, "post", &format!("{tag}f1f"), ""));
@@ -91,7 +92,7 @@
 
 const FACTS: Facts = Facts { etag: [b'e'; 16], made_ms: 1_764_576_000_000, group: Some(17) };
 
-/// A disk that has the object's first part, as its print says, and a change log that has told all.
+/// A dispatcher whose disk has the object's first part, with all purges up to event 1 marked.
 fn with_disk() -> Play {
     let mut play = play(1_000_000);
     let key = copperroute_cache_store::record::Key { content_type: 0, object: *b"7f3a000000000000", part: 0 };
@@ -99,8 +100,8 @@
     play
 }
 
-/// The lines on the disk and to the client, and whether a node was asked.
-fn of_disk(trace: &str) -> String {
+/// The trace lines about the disk and the clients; attempts are shown as "a node is asked".
+fn disk_and_client_lines(trace: &str) -> String {
     let lines = trace
         .lines()
         .filter(|line| line.contains("disk:") || line.contains("Client") || line.contains("fetch"));
@@ -108,22 +109,22 @@
 }
 
 #[test]
-fn the_disk_is_asked_once_the_change_log_has_told_all() {
+fn the_disk_is_read_once_the_change_log_has_caught_up() {
     let mut play = with_disk();
     play.client(&request(1, "image", "1f1f", ""));
-    let mut trace = of_disk(&play.take()) + "all is told\n";
+    let mut trace = disk_and_client_lines(&play.take()) + "change log caught up\n";
     play.log(1, "1");
     play.client(&request(2, "image", "2f1f", ""));
-    trace += &of_disk(&play.take());
+    trace += &disk_and_client_lines(&play.take());
     let asked = play.tickets[0];
     play.event(Event::CopyRead(asked, Some((FACTS, b"bytes"))));
-    // An answer that comes again, or under another ticket, is nobody's.
+    // A repeated answer, and one with an unknown ticket, is ignored.
     play.event(Event::CopyRead(asked, Some((FACTS, b"bytes"))));
     play.event(Event::CopyRead(asked + 1, None));
-    trace += &of_disk(&play.take());
+    trace += &disk_and_client_lines(&play.take());
     expect![[r#"
         a node is asked
-        all is told
+        change log caught up
         disk: read part 0
         Client(1) <- *4 $1 2 $2 OK $0  $5 bytes
     "#]]
@@ -131,16 +132,16 @@
 }
 
 #[test]
-fn what_the_disk_lacks_or_is_late_with_goes_to_a_node() {
+fn a_node_is_asked_when_the_disk_is_slow_or_lacks_the_copy() {
     let mut play = with_disk();
     play.log(1, "1");
     play.client(&request(1, "image", "1f1f", ""));
     play.pass(60);
-    let late = of_disk(&play.take()) + "late\n";
+    let late = disk_and_client_lines(&play.take()) + "late\n";
     play.event(Event::CopyRead(play.tickets[0], Some((FACTS, b"bytes"))));
     play.client(&request(2, "image", "2f1f", ""));
     play.event(Event::CopyRead(play.tickets[1], None));
-    let lacks = of_disk(&play.take()) + "known to lack it\n";
+    let lacks = disk_and_client_lines(&play.take()) + "known to be missing\n";
     play.client(&request(3, "image", "3f1f", ""));
     expect![[r#"
         disk: read part 0
@@ -148,14 +149,14 @@
         late
         disk: read part 0
         a node is asked
-        known to lack it
+        known to be missing
         a node is asked
     "#]]
-    .assert_eq(&(late + &lacks + &of_disk(&play.take())));
+    .assert_eq(&(late + &lacks + &disk_and_client_lines(&play.take())));
 }
 
 #[test]
-fn a_purge_while_the_disk_reads_forbids_what_it_brings() {
+fn a_copy_purged_during_its_read_from_disk_is_not_served() {
     let mut play = with_disk();
     play.log(1, "1");
     play.client(&request(1, "image", "1f1f", ",family=17"));
@@ -168,26 +169,26 @@
         disk: mark 3, an object at 1764576000400
         a node is asked
     "#]]
-    .assert_eq(&of_disk(&play.take()));
+    .assert_eq(&disk_and_client_lines(&play.take()));
 }
 
 #[test]
-fn where_purges_may_be_lost_what_the_disk_is_reading_is_not_served() {
+fn a_copy_being_read_from_disk_is_not_served_if_purges_may_be_missing() {
     let mut play = with_disk();
     play.log(1, "1");
     play.client(&request(1, "image", "1f1f", ""));
-    // A whole list stands for events that are no longer told: of what was purged among them nothing is known.
+    // A snapshot replaces events that are no longer sent, so purges among them are unknown.
     play.log(1, r#"{"seq":9,"fleet":{"full":true,"servers":[{"id":"s-a","addr":"127.0.0.1:6001","zone":"east","kind":"box","state":"active","weight":2.0}]}}"#);
     play.event(Event::CopyRead(play.tickets[0], Some((FACTS, b"bytes"))));
     expect![[r#"
         disk: read part 0
         a node is asked
     "#]]
-    .assert_eq(&of_disk(&play.take()));
+    .assert_eq(&disk_and_client_lines(&play.take()));
 }
 
 #[test]
-fn a_disk_that_came_back_empty_is_used_and_marked_on_from_then() {
+fn a_disk_that_returns_empty_is_used_and_marked_from_then_on() {
     let mut play = with_disk();
     play.log(1, "1");
     play.event(Event::DiskOff);
@@ -201,11 +202,11 @@
         a node is asked
         Client(1) <- *4 $1 1 $2 OK $0  $4 body
     "#]]
-    .assert_eq(&of_disk(&play.take()));
+    .assert_eq(&disk_and_client_lines(&play.take()));
 }
 
 #[test]
-fn who_leaves_or_expires_while_the_disk_reads_leaves_nothing_behind() {
+fn a_request_that_ends_during_a_read_from_disk_leaves_no_state() {
     let mut play = with_disk();
     play.log(1, "1");
     play.client(&request(1, "image", "1f1f", ""));
@@ -214,7 +215,7 @@
     play.client(&request(2, "image", "2f1f", ",timeout=20"));
     play.pass(30);
     play.event(Event::CopyRead(play.tickets[1], Some((FACTS, b"bytes"))));
-    // Its slot serves the next one.
+    // The slot is free for the next request.
     play.client(&request(3, "image", "3f1f", ""));
     play.event(Event::DiskOff);
     play.client(&request(4, "image", "4f1f", ""));
@@ -226,11 +227,11 @@
         a node is asked
         a node is asked
     "#]]
-    .assert_eq(&of_disk(&play.take()));
+    .assert_eq(&disk_and_client_lines(&play.take()));
 }
 
 #[test]
-fn what_is_asked_for_again_goes_to_disk_too() {
+fn a_repeatedly_requested_object_is_stored_on_disk() {
     let mut play = with_disk();
     play.log(1, "1");
     for tag in 1..=3 {
@@ -241,6 +242,6 @@
             play.log(1, "1");
         });
     }
-    let trace = of_disk(&play.take());
+    let trace = disk_and_client_lines(&play.take());
     assert!(trace.contains("disk: keep part 5, 4 bytes"), "{trace}");
 }
