--- a/crates/dispatcher/tests/dispatcher/clocks_process.rs
+++ b/crates/dispatcher/tests/dispatcher/clocks_process.rs
@@ -1,4 +1,4 @@
-//! The program itself on a machine whose wall clock is an hour off, from its start or while it runs.
+//! The program on a machine whose wall clock is wrong by 5 s or an hour, from its start or from a step while it runs.
 
 use crate::common::request;
 use crate::rig::{Rig, UNHURRIED, answer, told};
@@ -9,17 +9,18 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 const HOUR_MS: i64 = 3_600_000;
-/// The example's purges are heeded for so long: older copies lie about for 6 s, and all hear of one within 1 s.
-const HEEDED: Duration = Duration::from_secs(7);
-/// The purge's time, the age so far and the limit are in whole milliseconds.
-const ROUNDED_MS: u128 = 2;
-/// The plans' clocks have stepped by then.
+/// How long attempts limit the age of copies after a purge in the example configuration: copies from before it may
+/// exist for 6 s, and every node receives it within 1 s.
+const PURGE_LIMITS_AGE: Duration = Duration::from_secs(7);
+/// Tolerance for rounding: the purge's time, its age and the limit are in whole milliseconds.
+const ROUNDING_MS: u128 = 2;
+/// The clocks of the plans that step have stepped by then.
 const STEPPED_AFTER: Duration = Duration::from_millis(700);
-/// What a loaded machine may take for a request.
-const LATE: Duration = Duration::from_secs(1);
+/// Longest time that a request may take on a loaded machine.
+const REQUEST_MAX: Duration = Duration::from_secs(1);
 
-/// Asks for a request; returns the age limit of its attempt in milliseconds, if it has one.
-fn limit(rig: &Rig, number: u64) -> Option<u64> {
+/// Sends a request and answers it; returns the age limit of its attempt in milliseconds, if it has one.
+fn age_limit_ms(rig: &Rig, number: u64) -> Option<u64> {
     let mut client = rig.client();
     let id = format!("9b{number:02x}");
     client.write_all(&request(number, "image", &id, UNHURRIED)).expect("the program reads");
@@ -29,11 +30,12 @@
     asked.line.split("maxage=").nth(1)?.split([',', ' ']).next()?.parse().ok()
 }
 
-/// A purge is told to a program under this plan: it is heeded at once, by its age at the most, and no longer than it has to be.
-fn heeds_a_purge_for_its_time(plan: &FaultPlan) {
+/// Sends a purge to a program under this plan. Attempts must limit the age of copies at once, to no more than the age
+/// of the purge, and must stop doing so after `PURGE_LIMITS_AGE`.
+fn check_age_limit_after_purge(plan: &FaultPlan) {
     let mut rig = Rig::failing(plan, Stdio::null());
     let last = rig.beats(1);
-    limit(&rig, 1);
+    age_limit_ms(&rig, 1);
     std::thread::sleep(STEPPED_AFTER);
     let purged = Instant::now();
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).expect("a time after 1970").as_millis();
@@ -41,19 +43,19 @@
     last.store(2, Ordering::Relaxed);
     let first = (2..80).find_map(|number| {
         std::thread::sleep(Duration::from_millis(20));
-        limit(&rig, number)
+        age_limit_ms(&rig, number)
     });
-    let age_ms = purged.elapsed().as_millis() + ROUNDED_MS;
+    let age_ms = purged.elapsed().as_millis() + ROUNDING_MS;
     assert!(
         first.is_some_and(|limit_ms| u128::from(limit_ms) <= age_ms),
         "{plan}: {first:?} after {age_ms} ms"
     );
-    std::thread::sleep((HEEDED + LATE).saturating_sub(purged.elapsed()));
-    assert_eq!(limit(&rig, 90), None, "{plan}: heeded for too long");
+    std::thread::sleep((PURGE_LIMITS_AGE + REQUEST_MAX).saturating_sub(purged.elapsed()));
+    assert_eq!(age_limit_ms(&rig, 90), None, "{plan}: the age of copies is limited for too long");
 }
 
 #[test]
-fn a_purge_is_heeded_for_its_time_whatever_the_wall_clock_says() {
+fn the_age_limit_after_a_purge_does_not_depend_on_the_wall_clock() {
     let plans = [
         FaultPlan::default(),
         FaultPlan::default().wall(HOUR_MS, 0),
@@ -63,6 +65,6 @@
         FaultPlan::default().wall(-HOUR_MS, 500),
     ];
     std::thread::scope(|scope| {
-        plans.iter().for_each(|plan| drop(scope.spawn(|| heeds_a_purge_for_its_time(plan))));
+        plans.iter().for_each(|plan| drop(scope.spawn(|| check_age_limit_after_purge(plan))));
     });
 }
--- a/crates/dispatcher/tests/dispatcher/deadlines.rs
+++ b/crates/dispatcher/tests/dispatcher/deadlines.rs
@@ -1,4 +1,4 @@
-//! The event loop's deadlines: their order, what is due, what is forgotten, and what each costs.
+//! The event loop's deadlines: their order, which are due, pruning, and the cost of each.
 
 use copperroute_dispatcher::deadlines::{Deadlines, PRUNE_THRESHOLD};
 use copperroute_routing::interface::Nanos;
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn what_is_due_comes_in_the_order_of_its_times() {
+fn due_deadlines_come_in_the_order_of_their_times() {
     let mut deadlines = Deadlines::default();
     for at in [30, 10, 20, 40] {
         deadlines.arm(Nanos(at), at);
@@ -30,27 +30,27 @@
     let mut deadlines = Deadlines::default();
     (0..100).for_each(|number| deadlines.arm(Nanos(7), number));
     assert_eq!(due_by(&mut deadlines, 7), (0..100).collect::<Vec<_>>());
-    // Also those armed after some of their time were taken.
+    // Also those armed after deadlines of the same time were taken.
     (100..105).for_each(|number| deadlines.arm(Nanos(7), number));
     assert_eq!(due_by(&mut deadlines, 7), [100, 101, 102, 103, 104]);
 }
 
 #[test]
-fn after_a_stop_all_that_is_overdue_comes_in_order_behind_what_was_put_off() {
+fn overdue_deadlines_are_appended_in_order_to_postponed_ones() {
     let mut deadlines = Deadlines::default();
     (0..1_000).for_each(|number| deadlines.arm(Nanos(1_000 - number), number));
     let mut due = vec![5_000];
     deadlines.take_due(Nanos(u64::MAX), &mut due);
     assert_eq!(due[0], 5_000);
     assert_eq!(due[1..], (0..1_000).rev().collect::<Vec<_>>());
-    // One armed in the past is the next to come.
+    // A deadline in the past comes first.
     deadlines.arm(Nanos(2_000), 2);
     deadlines.arm(Nanos(1), 1);
     assert_eq!(due_by(&mut deadlines, 2_000), [1, 2]);
 }
 
 #[test]
-fn what_nobody_waits_for_is_forgotten_and_the_rest_stays_in_order() {
+fn pruning_removes_unneeded_deadlines_and_keeps_the_order() {
     let mut deadlines = Deadlines::default();
     (0..10).for_each(|number| deadlines.arm(Nanos(7 + number / 4), number));
     deadlines.prune(|number| number % 3 == 0);
@@ -58,9 +58,10 @@
     assert_eq!(due_by(&mut deadlines, 20), [0, 3, 6, 9]);
 }
 
-/// Requests that end long before their time-out: 50,000 a second and 60 s would leave 3,000,000 behind.
+/// Requests that end long before their timeout: without pruning, 50,000 a second with a timeout of 60 s would leave
+/// 3,000,000 deadlines.
 #[test]
-fn of_requests_that_end_early_no_more_stand_than_the_bound() {
+fn deadlines_of_requests_that_end_early_stay_within_the_bound() {
     const OPEN: u64 = 3_000;
     let mut deadlines = Deadlines::default();
     let (mut most, mut passes) = (0, 0);
@@ -72,14 +73,14 @@
         }
         most = most.max(deadlines.count());
     }
-    assert!(most <= 2 * OPEN as usize, "{most} stand at most");
-    // Each pass looks at twice what is open, and comes after half of that was armed.
+    assert!(most <= 2 * OPEN as usize, "at most {most} deadlines armed");
+    // Each pass visits twice as many deadlines as requests are open, after half of them were armed since the last pass.
     assert!(passes <= 300_000 / OPEN, "{passes} passes");
 }
 
-/// After a crowd has gone the bound follows: it is twice what stands now, not what stood then.
+/// After a peak the bound falls again: it is twice the number of deadlines that are armed now, not at the peak.
 #[test]
-fn the_bound_falls_with_what_stands() {
+fn the_bound_falls_with_the_number_of_deadlines() {
     let mut deadlines = Deadlines::default();
     for number in 0..100_000 {
         deadlines.arm(Nanos(number), number);
@@ -87,7 +88,7 @@
             deadlines.prune(|_| true);
         }
     }
-    assert!(!deadlines.needs_pruning(), "all are waited for");
+    assert!(!deadlines.needs_pruning(), "all deadlines are needed");
     assert_eq!(due_by(&mut deadlines, 99_999).len(), 100_000);
     (0..PRUNE_THRESHOLD as u64 - 1).for_each(|number| deadlines.arm(Nanos(number), number));
     assert!(!deadlines.needs_pruning());
@@ -95,40 +96,40 @@
     assert!(deadlines.needs_pruning());
 }
 
-/// What a deadline costs, armed and taken when due, with so many standing: the best of three times.
-fn cost(standing: u64) -> Duration {
-    const CALLS: u64 = 50_000;
+/// The time that 50,000 deadlines take to be armed and taken when due, with `armed` others: the shortest of three runs.
+fn time_of_arming_and_taking(armed: u64) -> Duration {
+    const DEADLINES: u64 = 50_000;
     let (mut deadlines, mut due) = (Deadlines::default(), Vec::new());
-    (0..standing).for_each(|at| deadlines.arm(Nanos(at), at));
-    let mut next = standing;
+    (0..armed).for_each(|at| deadlines.arm(Nanos(at), at));
+    let mut next = armed;
     let times = [(); 3].map(|()| {
-        let begun = Instant::now();
-        for _ in 0..CALLS {
+        let started = Instant::now();
+        for _ in 0..DEADLINES {
             deadlines.arm(Nanos(next), next);
-            deadlines.take_due(Nanos(next - standing), &mut due);
+            deadlines.take_due(Nanos(next - armed), &mut due);
             next += 1;
         }
-        assert_eq!(due.len() as u64, CALLS);
+        assert_eq!(due.len() as u64, DEADLINES);
         due.clear();
-        begun.elapsed()
+        started.elapsed()
     });
     times.into_iter().min().unwrap_or_default()
 }
 
-/// As 1,000 requests a second with a time-out of 3 s, and 50,000 with one of 60 s. With a source for each deadline, which is
-/// searched for among all, the second cost hundreds of times the first.
+/// The two sizes are 1,000 requests a second with a timeout of 3 s, and 50,000 with one of 60 s. With an event source
+/// per deadline, found by a search among all, the second cost hundreds of times the first.
 #[test]
-fn a_deadline_costs_the_same_with_a_thousand_times_as_many_standing() {
-    let (few, many) = (cost(3_000), cost(3_000_000));
+fn a_deadline_costs_the_same_with_a_thousand_times_as_many_armed() {
+    let (few, many) = (time_of_arming_and_taking(3_000), time_of_arming_and_taking(3_000_000));
     assert!(many < 4 * few, "{few:?} with few, {many:?} with many");
 }
 
-/// What may be done with deadlines.
+/// An operation on deadlines.
 #[derive(Debug, Clone)]
 enum Step {
     Arm(u64),
     Pass(u64),
-    /// Forgets what has not this remainder by 3.
+    /// Keeps only deadlines whose number has this remainder modulo 3.
     Forget(u64),
 }
 
@@ -141,9 +142,9 @@
 }
 
 proptest! {
-    /// The simplest model: a list in the order of arming, sorted by time wherever something is due.
+    /// The model: a list in the order of arming, stably sorted by time before due deadlines are taken.
     #[test]
-    fn deadlines_are_as_in_a_list_that_is_sorted(steps in prop::collection::vec(step(), 1..200)) {
+    fn deadlines_match_a_sorted_list(steps in prop::collection::vec(step(), 1..200)) {
         let (mut deadlines, mut model) = (Deadlines::default(), Vec::<(u64, u64)>::new());
         let (mut now, mut armed) = (25, 0);
         for step in steps {
--- a/crates/dispatcher/tests/dispatcher/ending.rs
+++ b/crates/dispatcher/tests/dispatcher/ending.rs
@@ -1,4 +1,4 @@
-//! The end of the program under short deadlines and hanging nodes: all that is owed is answered before it can be killed.
+//! Shutdown with short deadlines and hanging nodes: every request is answered before the program may be killed.
 
 use crate::common::{CONFIG, LOOPBACK, Play, request};
 use crate::rig::{Rig, items};
@@ -7,12 +7,13 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Requests come for 0.6 s after the signal, and the program may be killed 0.7 s after the longest deadline, 3 s at most.
-const KILLED_AFTER_MS: u64 = 700;
-const LONGEST_MS: u64 = 3_000;
+/// Requests arrive for 0.6 s after the signal. The program may be killed this long after the longest deadline, of which
+/// at most `MAX_COUNTED_DEADLINE_MS` counts.
+const KILL_DELAY_MS: u64 = 700;
+const MAX_COUNTED_DEADLINE_MS: u64 = 3_000;
 
 #[test]
-fn whatever_the_deadlines_all_is_answered_before_the_program_is_killed() {
+fn with_any_deadline_all_requests_are_answered_before_the_kill() {
     for deadline_ms in [50, 100, 300, 700, 1_500, 3_000, 8_000] {
         let deadline = format!("\"deadline_s\": {:?}", deadline_ms as f64 / 1e3);
         let config =
@@ -24,15 +25,16 @@
             let timeout = format!(",need=100,timeout={deadline_ms}");
             play.event(Event::Received(Peer::Client(client), &request(of.len() as u64, of, &id, &timeout)));
         };
-        // Nodes take what is asked and answer nothing.
-        let both = |play: &mut Play, client| ["image", "post"].iter().for_each(|of| ask(play, client, of));
-        both(&mut play, 1);
+        // Nodes accept attempts and answer none.
+        let image_and_post =
+            |play: &mut Play, client| ["image", "post"].iter().for_each(|of| ask(play, client, of));
+        image_and_post(&mut play, 1);
         play.event(Event::Terminate);
         for client in 2..=14 {
             play.pass(46);
-            both(&mut play, client);
+            image_and_post(&mut play, client);
         }
-        play.pass(deadline_ms.min(LONGEST_MS) + KILLED_AFTER_MS - 13 * 46 - 1);
+        play.pass(deadline_ms.min(MAX_COUNTED_DEADLINE_MS) + KILL_DELAY_MS - 13 * 46 - 1);
         let trace = play.take();
         for client in 1..=14 {
             let answers = trace.matches(&format!("Client({client}) <- ")).count();
@@ -42,9 +44,9 @@
     }
 }
 
-/// The same on sockets, with nodes that hang through the whole of it.
+/// The same on sockets, with nodes that never answer.
 #[test]
-fn what_hangs_through_the_end_is_answered_before_the_program_is_killed() {
+fn requests_at_hanging_nodes_are_answered_before_the_kill() {
     let mut rig = Rig::start();
     let ask = |tag: u64, id: u64| {
         let of = if tag.is_multiple_of(2) { "image" } else { "post" };
@@ -56,14 +58,16 @@
     }
     let _ = rig.asked();
     rig.signal("TERM");
-    let signalled = Instant::now();
-    while signalled.elapsed() < Duration::from_millis(550) {
+    let signalled_at = Instant::now();
+    while signalled_at.elapsed() < Duration::from_millis(550) {
         thread::sleep(Duration::from_millis(50));
     }
     for (number, client) in (0..).zip(&mut clients) {
         (5..=8).for_each(|tag| client.write_all(&ask(tag, number * 100 + tag)).expect("the program reads"));
     }
-    thread::sleep(Duration::from_millis(LONGEST_MS + KILLED_AFTER_MS).saturating_sub(signalled.elapsed()));
+    thread::sleep(
+        Duration::from_millis(MAX_COUNTED_DEADLINE_MS + KILL_DELAY_MS).saturating_sub(signalled_at.elapsed()),
+    );
     rig.program.kill().expect("a child");
     for client in &clients {
         let mut reader = BufReader::new(client);
