--- a/crates/dispatcher/tests/dispatcher/crossings.rs
+++ b/crates/dispatcher/tests/dispatcher/crossings.rs
@@ -1,6 +1,6 @@
-//! Rare moments on real sockets: what comes in the very moment in which a connection, a client or the program ends. The
-//! program is stopped where two things are to be found by it at once, so that no test waits and hopes. Each line of
-//! `docs/crossings.md` names its test.
+//! Races on real sockets: input that arrives just as a connection, a client or the program ends. Where two events must
+//! be found in one turn of the event loop, the program is stopped with SIGSTOP meanwhile, so that no test depends on
+//! timing. Each line of `docs/crossings.md` names its test.
 
 use crate::common::{message, request};
 use crate::rig::{Rig, UNHURRIED, answer, items, lies_unread, quiet, reset, rest, shown, told};
@@ -11,10 +11,10 @@
 use std::thread;
 use std::time::Duration;
 
-/// A client that sends far more than is read in one turn behind what can't be read: what was answered reaches it, and then
-/// an end, no reset. A close over unread bytes would be one, and take the answer with it.
+/// A client sends malformed input and then far more bytes than are read in one turn. It must receive the answer to its
+/// earlier message and then an end of stream. Closing with unread bytes would send a reset, which discards the answer.
 #[test]
-fn what_was_answered_reaches_a_client_that_goes_on_sending_what_cannot_be_read() {
+fn an_answer_reaches_a_client_that_goes_on_sending_malformed_input() {
     for _ in 0..10 {
         let rig = Rig::start();
         let mut client = rig.client();
@@ -22,7 +22,7 @@
         bytes.extend_from_slice(b"GET / HTTP/1.1\r\n");
         bytes.extend(std::iter::repeat_n(b'x', 400_000));
         rig.signal("STOP");
-        client.write_all(&bytes).expect("it is kept for the program");
+        client.write_all(&bytes).expect("the kernel buffers it");
         rig.signal("CONT");
         assert_eq!(
             rest(&client),
@@ -31,9 +31,9 @@
     }
 }
 
-/// What was asked before a line that can't be read is owed its answer.
+/// A request that was sent before malformed input is still answered.
 #[test]
-fn what_was_asked_before_a_line_that_cannot_be_read_is_answered() {
+fn a_request_before_malformed_input_is_answered() {
     let rig = Rig::start();
     let mut client = rig.client();
     let mut bytes = request(7, "post", "9b1f", UNHURRIED);
@@ -50,16 +50,17 @@
     .assert_eq(&trace);
 }
 
-/// A client that ends its sending side may have left: nothing is sent on for it any more. One that still reads is told so.
+/// A client that shuts down its sending side may have left: its requests fail at once, which it sees if it still reads,
+/// and no further attempts are sent.
 #[test]
-fn a_client_that_ends_its_sending_side_is_told_at_once_and_nothing_goes_on() {
+fn a_client_that_shuts_down_its_sending_side_is_answered_at_once_and_no_attempt_follows() {
     let (rig, client, mut first) = Rig::asked_for("image");
     client.shutdown(Shutdown::Write).expect("an end");
     let mut trace = answer(&client);
     trace += &rest(&client);
     let abort = rig.asked();
     trace += &shown(&abort);
-    // The miss that would have led to a fill.
+    // A miss, which would lead to a fill if the request were still open.
     first.back.write_all(&told("9b1f nothing - 0", b"\r\n")).expect("the program reads");
     trace += &quiet(&rig);
     expect![[r#"
@@ -72,13 +73,13 @@
     .assert_eq(&trace);
 }
 
-/// A node's miss and its client's end are found in one turn, the miss first: no fill is asked for.
+/// A node's miss and the client's end of stream are found in one turn, the miss first: no fill is sent.
 #[test]
-fn a_miss_and_its_clients_end_in_one_turn_lead_to_no_fill() {
+fn a_miss_and_the_clients_end_in_one_turn_lead_to_no_fill() {
     for _ in 0..10 {
         let (rig, client, mut first) = Rig::asked_for("image");
         rig.signal("STOP");
-        first.back.write_all(&told("9b1f nothing - 0", b"\r\n")).expect("it is kept for the program");
+        first.back.write_all(&told("9b1f nothing - 0", b"\r\n")).expect("the kernel buffers it");
         lies_unread(&first.back, false);
         client.shutdown(Shutdown::Write).expect("an end");
         lies_unread(&client, true);
@@ -89,9 +90,9 @@
     }
 }
 
-/// A request and its client's end lie waiting together, on a connection that is new or not: nothing is sent on.
+/// A request and its client's end of stream are found together, on a new or an older connection: no attempt is sent.
 #[test]
-fn a_request_whose_client_has_left_is_not_sent_on() {
+fn a_request_whose_client_has_left_leads_to_no_attempt() {
     for round in 0..10 {
         let rig = Rig::start();
         let mut old = rig.client();
@@ -99,7 +100,7 @@
         assert_eq!(answer(&old), "1 UP\n");
         rig.signal("STOP");
         let mut client = if round % 2 == 0 { old } else { rig.client() };
-        client.write_all(&request(7, "image", "9b1f", UNHURRIED)).expect("it is kept for the program");
+        client.write_all(&request(7, "image", "9b1f", UNHURRIED)).expect("the kernel buffers it");
         client.shutdown(Shutdown::Write).expect("an end");
         lies_unread(&client, true);
         rig.signal("CONT");
@@ -108,13 +109,13 @@
     }
 }
 
-/// A drain and a miss are found in one turn, the miss first: the fill is not asked of the node that drains.
+/// A drain and a miss are found in one turn, the miss first: the fill is not sent to the draining node.
 #[test]
-fn a_miss_and_a_drain_in_one_turn_lead_to_no_pull_there() {
+fn a_miss_and_a_drain_in_one_turn_lead_to_no_attempt_there() {
     for _ in 0..10 {
         let (mut rig, _client, mut first) = Rig::asked_for("image");
         rig.signal("STOP");
-        first.back.write_all(&told("9b1f nothing - 0", b"\r\n")).expect("it is kept for the program");
+        first.back.write_all(&told("9b1f nothing - 0", b"\r\n")).expect("the kernel buffers it");
         lies_unread(&first.back, false);
         let node = first.node;
         rig.tell(&format!(
@@ -127,9 +128,10 @@
     }
 }
 
-/// An abort lies behind more than is read in a turn, and a timer that would ask another node falls due in the same one.
+/// An abort follows more bytes than are read in one turn, and a timer that would try another node is due in the same
+/// turn: the abort must be handled first.
 #[test]
-fn an_abort_behind_many_bytes_is_heard_before_time_is_called() {
+fn an_abort_after_many_bytes_is_handled_before_a_due_timer() {
     let rig = Rig::start();
     let mut client = rig.client();
     client.write_all(&request(7, "image", "9b1f", ",need=1500,timeout=15000")).expect("the program reads");
@@ -138,14 +140,14 @@
     let body = "x".repeat(40_000);
     let mut bytes = Vec::new();
     for tag in 100..107 {
-        let unusable = request(tag, "nothing-known", &format!("9c{tag}"), "");
-        let text = String::from_utf8(unusable).expect("text").replace("$0\r\n", &format!("$40000\r\n{body}"));
+        let invalid = request(tag, "nothing-known", &format!("9c{tag}"), "");
+        let text = String::from_utf8(invalid).expect("text").replace("$0\r\n", &format!("$40000\r\n{body}"));
         bytes.extend(text.into_bytes());
     }
     bytes.extend(message("ABORT", 7));
     SockRef::from(&client).set_send_buffer_size(1_000_000).expect("an option");
-    client.write_all(&bytes).expect("it is kept for the program");
-    // The attempt is overdue after 0.9 s, and its node silent: all that is out there would go elsewhere.
+    client.write_all(&bytes).expect("the kernel buffers it");
+    // The attempt times out after 0.9 s without an answer: all requests in flight there would move to another node.
     thread::sleep(Duration::from_millis(1_200));
     rig.signal("CONT");
     let next = rig.asked();
@@ -155,12 +157,12 @@
     assert_eq!(quiet(&rig), "8 UP\nnobody is asked\n");
 }
 
-/// Connections and requests that lie unread in the kernel as the program ends are answered, and each connection ends
-/// without a reset. Before, the listener and all connections were dropped over them.
+/// Connections and requests that are unread in the kernel as the program ends are answered, and each connection ends
+/// without a reset. Guards against dropping the listener and all connections with unread input.
 #[test]
-fn what_lies_unread_at_the_end_is_refused_and_every_connection_ends_in_order() {
+fn requests_unread_at_shutdown_are_refused_and_no_connection_is_reset() {
     let mut rig = Rig::start();
-    let resting = rig.client();
+    let idle = rig.client();
     let mut client = rig.client();
     client.write_all(&message("HEALTH", 1)).expect("the program reads");
     let mut trace = answer(&client);
@@ -171,12 +173,12 @@
     } {}
     rig.signal("STOP");
     let mut late = rig.client();
-    late.write_all(&request(8, "image", "9b20", UNHURRIED)).expect("it is kept for the program");
-    // Nothing new is waited for 0.75 s after the signal.
+    late.write_all(&request(8, "image", "9b20", UNHURRIED)).expect("the kernel buffers it");
+    // The program stops waiting for new input 0.75 s after the signal.
     thread::sleep(Duration::from_millis(900));
     rig.signal("CONT");
     trace += &answer(&late);
-    trace += &rest(&resting);
+    trace += &rest(&idle);
     trace += &rest(&client);
     trace += &rest(&late);
     trace += &format!("{:?}\n", rig.program.wait().expect("the program ends").code());
@@ -191,9 +193,9 @@
     .assert_eq(&trace);
 }
 
-/// Told to end twice, and to read its configuration in between, it answers what is open and ends well.
+/// After repeated signals to terminate and to reload, the program answers open requests and exits with status 0.
 #[test]
-fn further_signals_change_nothing_of_the_end() {
+fn repeated_signals_do_not_change_the_shutdown() {
     let (mut rig, client, mut asked) = Rig::asked_for("post");
     ["TERM", "HUP", "TERM", "HUP"].iter().for_each(|name| rig.signal(name));
     let mut late = rig.client();
@@ -213,13 +215,13 @@
     .assert_eq(&trace);
 }
 
-/// An answer and a reset behind it are found in one turn: the answer counts, and the request runs once.
+/// An answer and a reset after it are found in one turn: the answer is used, and the request is not retried.
 #[test]
-fn an_answer_with_a_reset_behind_it_counts() {
+fn an_answer_followed_by_a_reset_is_used() {
     for _ in 0..10 {
         let (rig, client, mut asked) = Rig::asked_for("post");
         rig.signal("STOP");
-        asked.back.write_all(&told("9b1f ok - 4", b"done\r\n")).expect("it is kept for the program");
+        asked.back.write_all(&told("9b1f ok - 4", b"done\r\n")).expect("the kernel buffers it");
         lies_unread(&asked.back, false);
         reset(&asked.back);
         rig.signal("CONT");
--- a/crates/dispatcher/tests/dispatcher/crossings_full.rs
+++ b/crates/dispatcher/tests/dispatcher/crossings_full.rs
@@ -1,4 +1,4 @@
-//! Rare moments on real sockets where something is full: descriptors, a node's connection, the program's time.
+//! Resource limits on real sockets: floods of requests, exhausted file descriptors, and a node that reads nothing.
 
 use crate::common::request;
 use crate::rig::{LONG, Rig, UNHURRIED, answer, lies_read, processor_s, quiet, reset, still_there, told};
@@ -9,9 +9,9 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Clients send much at once and reset: nothing of it holds up others.
+/// Clients send many requests at once and reset their connections: other clients are not held up.
 #[test]
-fn floods_that_leave_by_a_reset_hold_up_nobody() {
+fn floods_of_requests_that_end_in_a_reset_hold_up_no_other_client() {
     let rig = Rig::start();
     for round in 0..20 {
         let mut flood = Vec::new();
@@ -33,12 +33,12 @@
     assert_eq!(answer(&client), "7 OK  done\n");
 }
 
-/// Idle clients up to the limit of descriptors while the list service is down: once it is back it is reached, so are
-/// nodes, and others are served. The processor's time shows that nothing spins.
+/// Idle clients use up the file descriptors while the change log is down: once it is back, the program connects to it
+/// and to nodes, and serves other clients. The processor time shows that there is no busy loop.
 #[test]
-fn idle_clients_that_fill_the_descriptors_keep_neither_list_nor_nodes_away() {
+fn idle_clients_that_use_up_descriptors_block_neither_change_log_nor_nodes() {
     let mut rig = Rig::limited("ulimit -n 40", Stdio::null());
-    let list_at = rig.log.local_addr().expect("an address");
+    let log_address = rig.log.local_addr().expect("an address");
     reset(&rig.log);
     let mut idle = Vec::new();
     let mut used = 0.0;
@@ -49,7 +49,7 @@
             idle.push(stream);
         }
         thread::sleep(Duration::from_millis(200));
-        // Those that were ended come again.
+        // Clients that were closed connect again.
         idle.retain(still_there);
         if round == 0 {
             used = processor_s(rig.program.id());
@@ -57,13 +57,13 @@
     }
     let used = processor_s(rig.program.id()) - used;
     assert!(used < 0.8, "{used} s of processor time in one second");
-    let list = TcpListener::bind(list_at).expect("the address is free");
+    let listener = TcpListener::bind(log_address).expect("the address is free");
     let until = Instant::now() + LONG;
-    list.set_nonblocking(true).expect("an option");
+    listener.set_nonblocking(true).expect("an option");
     rig.log = loop {
-        match list.accept() {
+        match listener.accept() {
             Ok((stream, _)) => break stream,
-            Err(_) => assert!(Instant::now() < until, "the list service is not reached"),
+            Err(_) => assert!(Instant::now() < until, "no connection to the change log"),
         }
         thread::sleep(Duration::from_millis(2));
     };
@@ -74,10 +74,10 @@
     assert_eq!(answer(&client), "7 OK  done\n");
 }
 
-/// An origin that takes no bytes while posts are asked of it, then all clients leave, then it reads on: of each post that
-/// comes its abort comes too, and the program does not go on waiting to write what it has unsaid.
+/// An origin reads nothing while posts are sent to it, then all clients leave, then it reads again: each post that
+/// arrives is followed by its abort, and the program doesn't keep waiting to write output that it has truncated.
 #[test]
-fn what_a_full_connection_has_not_taken_is_unsaid_and_nothing_spins() {
+fn output_that_a_full_connection_has_not_taken_is_truncated_without_a_busy_loop() {
     let mut rig = Rig::start();
     let origin = TcpListener::bind("127.0.0.1:0").expect("a free port");
     SockRef::from(&origin).set_recv_buffer_size(4_096).expect("an option");
@@ -102,32 +102,32 @@
     assert_eq!(quiet(&rig), "8 UP\nnobody is asked\n");
     drop(clients);
     assert_eq!(quiet(&rig), "8 UP\nnobody is asked\n");
-    // Now it reads, and goes on reading until nothing more comes.
+    // The origin now reads until nothing more arrives.
     origin.set_nonblocking(true).expect("an option");
-    let mut came = String::new();
+    let mut received = String::new();
     while let Ok((mut stream, _)) = origin.accept() {
         stream.set_nonblocking(false).expect("an option");
         stream.set_read_timeout(Some(Duration::from_millis(700))).expect("an option");
         let mut bytes = Vec::new();
-        let mut room = vec![0; 65_536];
-        while let Ok(count) = stream.read(&mut room)
+        let mut buffer = vec![0; 65_536];
+        while let Ok(count) = stream.read(&mut buffer)
             && count > 0
         {
-            bytes.extend_from_slice(&room[..count]);
+            bytes.extend_from_slice(&buffer[..count]);
         }
-        came += &String::from_utf8_lossy(&bytes);
+        received += &String::from_utf8_lossy(&bytes);
     }
     let used = processor_s(rig.program.id());
     thread::sleep(Duration::from_millis(1_000));
     let used = processor_s(rig.program.id()) - used;
     assert!(used < 0.5, "{used} s of processor time in one second");
     let ids = |verb: &str| {
-        let lines = came.lines().filter_map(|line| line.strip_prefix(verb)?.split(' ').next());
+        let lines = received.lines().filter_map(|line| line.strip_prefix(verb)?.split(' ').next());
         let mut ids: Vec<_> = lines.map(str::to_string).collect();
         ids.sort();
         ids
     };
     let (fetched, aborted) = (ids("fetch "), ids("abort "));
-    assert!(!fetched.is_empty() && fetched.len() < 380, "{} came", fetched.len());
+    assert!(!fetched.is_empty() && fetched.len() < 380, "{} arrived", fetched.len());
     assert_eq!(fetched, aborted);
 }
--- a/crates/dispatcher/tests/dispatcher/fleet.rs
+++ b/crates/dispatcher/tests/dispatcher/fleet.rs
@@ -1,5 +1,5 @@
-//! Two dozen real processes beside the same nodes and list service: when they are ready, and what a cold cache gets from
-//! all of them. Judged by what the stand-ins were sent.
+//! 24 dispatcher processes with the same nodes and change log: how soon they are ready, and how many attempts a cache
+//! in slow start receives from all of them. Checked by what stand-in nodes receive.
 
 use crate::common::{CONFIG, answered, message, request};
 use crate::rig::{LONG, answer};
@@ -12,18 +12,18 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 const PROCESSES: usize = 24;
-/// A node answers so long after it was asked, as long as a request is sent.
-const SENDS: Duration = Duration::from_millis(100);
+/// How long a stand-in node takes to answer, which is the duration of a transfer.
+const TRANSFER_TIME: Duration = Duration::from_millis(100);
 const NODES: [(&str, u32); 5] = [("s-a", 6001), ("s-b", 6002), ("p-1", 6003), ("p-2", 6004), ("o-1", 6005)];
 
-/// A call that came to a node.
-struct Came {
+/// An attempt that a node received.
+struct Received {
     node: &'static str,
     at: Instant,
 }
 
-/// A node that answers every call with a copy.
-fn node(name: &'static str, came: Sender<Came>) -> String {
+/// Starts a node that answers every attempt with a copy; returns its address.
+fn node(name: &'static str, received: Sender<Received>) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("an address").to_string();
     let (later, due) = channel::<(Instant, TcpStream, String)>();
@@ -35,7 +35,7 @@
     });
     thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
-            let (came, later) = (came.clone(), later.clone());
+            let (received, later) = (received.clone(), later.clone());
             thread::spawn(move || {
                 let mut lines = BufReader::new(stream.try_clone().expect("a second handle")).lines();
                 while let Some(Ok(line)) = lines.next() {
@@ -45,8 +45,8 @@
                     let id = rest.split(' ').next().unwrap_or_default();
                     let bytes = format!("{}\r\nbody\r\n", answered(&format!("{id} ok why=local 4")));
                     let back = stream.try_clone().expect("a second handle");
-                    if came.send(Came { node: name, at }).is_err()
-                        || later.send((at + SENDS, back, bytes)).is_err()
+                    if received.send(Received { node: name, at }).is_err()
+                        || later.send((at + TRANSFER_TIME, back, bytes)).is_err()
                     {
                         return;
                     }
@@ -57,17 +57,17 @@
     address
 }
 
-/// A list service that answers one call after another, each after `takes`, with `list`; calls are counted.
-fn list_service(listener: TcpListener, takes: Duration, list: String, calls: &'static AtomicU32) {
+/// A change log that accepts one connection after another, sends `snapshot` on each after `delay`, and counts them.
+fn change_log(listener: TcpListener, delay: Duration, snapshot: String, connections: &'static AtomicU32) {
     thread::spawn(move || {
         for mut stream in listener.incoming().map_while(Result::ok) {
-            calls.fetch_add(1, Ordering::Relaxed);
+            connections.fetch_add(1, Ordering::Relaxed);
             let mut since = [0; 8];
             if stream.read_exact(&mut since).is_err() {
                 continue;
             }
-            thread::sleep(takes);
-            let _ = stream.write_all(list.as_bytes());
+            thread::sleep(delay);
+            let _ = stream.write_all(snapshot.as_bytes());
             thread::spawn(move || {
                 while stream.write_all(b"1\n").is_ok() {
                     thread::sleep(Duration::from_millis(500));
@@ -77,7 +77,7 @@
     });
 }
 
-/// Processes that share nothing but what they are told.
+/// Dispatcher processes with the same configuration except for address and seed.
 struct Fleet {
     configs: Vec<std::path::PathBuf>,
     addresses: Vec<String>,
@@ -119,7 +119,7 @@
         }
     }
 
-    /// A connection to one, once it listens.
+    /// A connection to a process, once it listens.
     fn client(&self, at: usize) -> TcpStream {
         let until = Instant::now() + LONG;
         loop {
@@ -134,9 +134,10 @@
         }
     }
 
-    /// How long each takes to say UP. Once it does, a request that it is asked for at once is not refused.
+    /// How long each process takes to answer UP, in seconds, sorted. A request sent right after that must not be
+    /// refused.
     fn ready(&self) -> Vec<f64> {
-        let begun = Instant::now();
+        let started = Instant::now();
         let mut took: Vec<_> = thread::scope(|scope| {
             let ready = |at| {
                 let mut client = self.client(at);
@@ -145,15 +146,15 @@
                     if answer(&client).contains("UP") {
                         break;
                     }
-                    assert!(begun.elapsed() < Duration::from_secs(30), "not ready");
+                    assert!(started.elapsed() < Duration::from_secs(30), "process {at} is not ready");
                     thread::sleep(Duration::from_millis(20));
                 }
-                let took = begun.elapsed().as_secs_f64();
+                let took = started.elapsed().as_secs_f64();
                 client
                     .write_all(&request(1_000_000, "image", &format!("{at:02x}"), ",need=500"))
                     .expect("it reads");
                 let word = answer(&client);
-                assert!(word.starts_with("1000000 OK"), "process {at} is up and says {word}");
+                assert!(word.starts_with("1000000 OK"), "process {at} is up and answers {word}");
                 took
             };
             let waits: Vec<_> = (0..PROCESSES).map(|at| scope.spawn(move || ready(at))).collect();
@@ -171,19 +172,21 @@
     }
 }
 
-/// The example with nodes that answer, so many dispatchers told, and a list service; and what comes to the nodes.
-fn config(told: u32, list_at: &str) -> (String, Receiver<Came>) {
-    let (tell, came) = channel();
-    let mut config = CONFIG.replace("127.0.0.1:2379", list_at);
+/// The example configuration with stand-in nodes, a change log, and this number of configured dispatchers; and the
+/// attempts that the nodes receive.
+fn config(configured: u32, log_address: &str) -> (String, Receiver<Received>) {
+    let (sender, received) = channel();
+    let mut config = CONFIG.replace("127.0.0.1:2379", log_address);
     for (name, port) in NODES {
-        config = config.replace(&format!("127.0.0.1:{port}"), &node(name, tell.clone()));
+        config = config.replace(&format!("127.0.0.1:{port}"), &node(name, sender.clone()));
     }
-    config = config.replace("\"balancers\": 1", &format!("\"balancers\": {told}"));
-    (config.replace("\"crew_by_zone\": [1, 0]", &format!("\"crew_by_zone\": [{told}, 0]")), came)
+    config = config.replace("\"balancers\": 1", &format!("\"balancers\": {configured}"));
+    (config.replace("\"crew_by_zone\": [1, 0]", &format!("\"crew_by_zone\": [{configured}, 0]")), received)
 }
 
-/// Of the configuration what is known at the start, as the first line of the change log; and the rest with nothing known.
-fn unknown(config: &str) -> (String, String) {
+/// Splits the configuration into the node list that is known at the start, as a line of the change log, and a
+/// configuration that knows no nodes.
+fn split_known_nodes(config: &str) -> (String, String) {
     let from = config.find("{\"seq\": 1, \"fleet\"").expect("an event");
     let end = from + config[from..].find("]}}").expect("its end") + 3;
     let line = config[from..end].replace('\n', " ") + "\n";
@@ -191,15 +194,15 @@
     (line, rest)
 }
 
-/// All are killed and started together: with a list in their configuration and nobody at the list service they serve at
-/// once; without one, and with a list service that takes 50 ms a call, one after another, nine in ten do within 10 s and
-/// all within 30.
+/// All processes are killed and restarted together. With a node list in their configuration and no change log they
+/// serve at once (the check allows 10 s for nine in ten). Without a node list, and with a change log that takes 50 ms
+/// for each connection, one after another, nine in ten are ready within 10 s. All are ready within 30 s.
 #[test]
-fn two_dozen_restarted_together_are_ready_with_the_list_service_down_or_slow() {
+fn dispatchers_restarted_together_are_ready_with_the_change_log_down_or_slow() {
     let down = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = down.local_addr().expect("an address").to_string();
-    let (config, _came) = config(PROCESSES as u32, &address);
-    // Nobody accepts, and then nobody listens.
+    let (config, _received) = config(PROCESSES as u32, &address);
+    // The change log accepts no connection at first, then its port is closed.
     let mut fleet = Fleet::new(&config);
     fleet.ready();
     drop(down);
@@ -208,36 +211,40 @@
     let took = fleet.ready();
     assert!(took[PROCESSES * 9 / 10] < 10.0, "{took:?}");
     drop(fleet);
-    static CALLS: AtomicU32 = AtomicU32::new(0);
-    let (list, config) = unknown(&config);
+    static CONNECTIONS: AtomicU32 = AtomicU32::new(0);
+    let (snapshot, config) = split_known_nodes(&config);
     let slow = TcpListener::bind(&address).expect("the port is free");
-    list_service(slow, Duration::from_millis(50), list, &CALLS);
+    change_log(slow, Duration::from_millis(50), snapshot, &CONNECTIONS);
     let mut fleet = Fleet::new(&config);
     fleet.ready();
     fleet.kill();
     fleet.start();
     let took = fleet.ready();
     assert!(took[PROCESSES * 9 / 10] < 10.0, "{took:?}");
-    assert!(CALLS.load(Ordering::Relaxed) < 40 * PROCESSES as u32, "{CALLS:?} calls");
+    assert!(CONNECTIONS.load(Ordering::Relaxed) < 40 * PROCESSES as u32, "{CONNECTIONS:?} connections");
 }
 
-/// The fullest window of calls at a cache that began to start at `started`, over N + 2 roots of N + 2.
-fn fullest(came: &[Instant], started: Instant) -> f64 {
+/// The largest number of attempts within 3 s at a cache that started at `started`, as a share of what is allowed, which
+/// is n + 2 * sqrt(n) + 2 with n the attempts that its slow start permits.
+fn max_share_of_allowed(received: &[Instant], started: Instant) -> f64 {
     let mut worst: f64 = 0.0;
-    for (first, from) in came.iter().enumerate() {
-        let calls = came[first..].iter().take_while(|at| **at - *from < Duration::from_secs(3)).count();
+    for (first, from) in received.iter().enumerate() {
+        let attempts =
+            received[first..].iter().take_while(|at| **at - *from < Duration::from_secs(3)).count();
         let age = (*from - started).as_secs_f64();
-        // The example's settings: a fifth at first, all after 15 s; 2.5 times that, over 3 s, of 12 transfers of 0.1 s.
-        let n = 2.5 * (0.2 + 0.8 * (age / 15.0).min(1.0)) * 12.0 * 3.0 / SENDS.as_secs_f64();
-        worst = worst.max(calls as f64 / (n + 2.0 * n.sqrt() + 2.0));
+        // The example's settings: the share rises from 0.2 to 1 in 15 s, with 2.5 times that allowed. The cache bears
+        // 12 transfers at a time, each of 0.1 s, over 3 s.
+        let n = 2.5 * (0.2 + 0.8 * (age / 15.0).min(1.0)) * 12.0 * 3.0 / TRANSFER_TIME.as_secs_f64();
+        worst = worst.max(attempts as f64 / (n + 2.0 * n.sqrt() + 2.0));
     }
     worst
 }
 
-/// What a cache that has just started gets from all processes, in its fullest window, where so many are told.
-fn sent_to_a_cold_cache(told: u32) -> f64 {
-    let list_at = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let (config, came) = config(told, &list_at.local_addr().expect("an address").to_string());
+/// The largest share of its allowed attempts that a cache in slow start receives within 3 s from all processes, which
+/// are configured with this number of dispatchers.
+fn max_share_in_slow_start(configured: u32) -> f64 {
+    let log_listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let (config, received) = config(configured, &log_listener.local_addr().expect("an address").to_string());
     let started = Instant::now();
     let unix_ms = SystemTime::now().duration_since(UNIX_EPOCH).expect("a time after 1970").as_millis();
     let old = "\"weight\": 20, \"started_ms\": 0}";
@@ -245,7 +252,7 @@
     let config = config.replace("\"weight\": 20", "\"weight\": 12");
     let fleet = Fleet::new(&config);
     fleet.ready();
-    // Uneven: the first are asked several times as often as the last, 360 requests a second in all.
+    // Uneven load: the first processes get several times as many requests as the last, 360 a second in all.
     thread::scope(|scope| {
         for at in 0..PROCESSES {
             let fleet = &fleet;
@@ -260,23 +267,27 @@
                     if client.write_all(&bytes).is_err() || Instant::now() > until {
                         return;
                     }
-                    let mut room = [0; 4_096];
-                    while matches!(client.read(&mut room), Ok(count) if count > 0) {}
+                    let mut buffer = [0; 4_096];
+                    while matches!(client.read(&mut buffer), Ok(count) if count > 0) {}
                     thread::sleep(every);
                 }
             });
         }
     });
-    let cold: Vec<_> = came.try_iter().filter(|came| came.node == "s-a").map(|came| came.at).collect();
-    assert!(cold.len() > 50, "only {} calls came", cold.len());
-    fullest(&cold, started)
+    let cold: Vec<_> =
+        received.try_iter().filter(|received| received.node == "s-a").map(|received| received.at).collect();
+    assert!(cold.len() > 50, "only {} attempts arrived", cold.len());
+    max_share_of_allowed(&cold, started)
 }
 
-/// The same judge finds a fleet of which each was told that it is alone.
+/// The same check must detect processes that are each configured as the only dispatcher.
 #[test]
-fn a_cold_cache_gets_no_more_than_it_bears_from_two_dozen_processes() {
-    let part = sent_to_a_cold_cache(PROCESSES as u32);
-    assert!(part <= 1.0, "{part:.2} of what it bears");
-    let alone = sent_to_a_cold_cache(1);
-    assert!(alone > 2.0 * part, "{alone:.2} where each thinks that it is alone, {part:.2} where not");
+fn a_cache_in_slow_start_receives_no_more_than_its_share_from_24_processes() {
+    let part = max_share_in_slow_start(PROCESSES as u32);
+    assert!(part <= 1.0, "{part:.2} of the allowed attempts");
+    let alone = max_share_in_slow_start(1);
+    assert!(
+        alone > 2.0 * part,
+        "{alone:.2} with each configured as the only dispatcher, {part:.2} otherwise"
+    );
 }
--- a/crates/dispatcher/tests/dispatcher/folders.rs
+++ b/crates/dispatcher/tests/dispatcher/folders.rs
@@ -1,4 +1,4 @@
-//! What lies on disk over a restart: which of it is trusted, and the last good list on a disk that fails.
+//! State on disk across a restart: when cached copies are trusted, and the saved node list on a failing disk.
 
 use crate::faulty::{Fault, Kind, Loss, Memory};
 use copperroute_dispatcher::node_list_snapshot::{decode, encode};
@@ -27,24 +27,30 @@
     change(&format!(r#"{{"seq":{seq},"invalidate":{{"bucket":17,"time":{NOW}}}}}"#))
 }
 
-/// After which marks on disk all later purges are told.
-fn trusted(seq: u64, results: Vec<Change>) -> String {
+/// The purge marks on disk after which all later purges are known.
+fn trusted_marks(seq: u64, results: Vec<Change>) -> String {
     let known = KnownEvents { seq, results };
     let marked = (0..=seq + 1).filter(|marked| covers_purges_after(&known, *marked));
     format!("{:?}\n", marked.collect::<Vec<_>>())
 }
 
 #[test]
-fn a_disk_is_trusted_only_if_every_event_after_its_last_mark_is_told() {
+fn a_disk_is_trusted_only_if_every_event_after_its_last_mark_is_known() {
     let trace = [
-        ("all events from the first", trusted(4, vec![list(1, true), purge(2), list(3, false), purge(4)])),
-        ("none", trusted(4, vec![])),
-        ("nothing has come yet", trusted(0, vec![])),
-        ("one is missing between", trusted(4, vec![list(1, true), purge(2), purge(4)])),
-        ("a whole list in place of all before it", trusted(4, vec![list(3, true), purge(4)])),
-        ("a whole list that may stand for a purge of its own number", trusted(4, vec![list(4, true)])),
-        ("a last good list, its purges behind it", trusted(4, vec![list(4, true), purge(3), purge(4)])),
-        ("one whose older purges are forgotten", trusted(9, vec![list(9, true), purge(9)])),
+        (
+            "all events from the first",
+            trusted_marks(4, vec![list(1, true), purge(2), list(3, false), purge(4)]),
+        ),
+        ("none", trusted_marks(4, vec![])),
+        ("nothing has come yet", trusted_marks(0, vec![])),
+        ("one is missing between", trusted_marks(4, vec![list(1, true), purge(2), purge(4)])),
+        ("a snapshot in place of all before it", trusted_marks(4, vec![list(3, true), purge(4)])),
+        ("a snapshot that may stand for a purge with the same number", trusted_marks(4, vec![list(4, true)])),
+        (
+            "a saved node list with its purges after it",
+            trusted_marks(4, vec![list(4, true), purge(3), purge(4)]),
+        ),
+        ("a saved node list without its older purges", trusted_marks(9, vec![list(9, true), purge(9)])),
     ];
     let trace = trace.map(|(what, marked)| format!("{what}: {marked}"));
     expect![[r#"
@@ -52,15 +58,15 @@
         none: [4]
         nothing has come yet: [0]
         one is missing between: [3, 4]
-        a whole list in place of all before it: [3, 4]
-        a whole list that may stand for a purge of its own number: [4]
-        a last good list, its purges behind it: [2, 3, 4]
-        one whose older purges are forgotten: [8, 9]
+        a snapshot in place of all before it: [3, 4]
+        a snapshot that may stand for a purge with the same number: [4]
+        a saved node list with its purges after it: [2, 3, 4]
+        a saved node list without its older purges: [8, 9]
     "#]]
     .assert_eq(&trace.concat());
 }
 
-fn kept(seq: u64) -> Vec<u8> {
+fn encoded(seq: u64) -> Vec<u8> {
     encode(&KnownEvents { seq, results: vec![list(seq, true), purge(seq)] }, NOW, 7)
 }
 
@@ -72,66 +78,66 @@
     SnapshotWriter::start_with(files.clone(), PathBuf::from(FOLDER)).expect("a folder")
 }
 
-/// The operations that writing a list over an older one takes, with the length of what is written.
+/// The file operations of saving a node list over an older one, with the length of each write.
 fn operations() -> Vec<(Kind, usize)> {
     let (files, seen) = (Memory::default(), Arc::new(std::sync::Mutex::new(Vec::new())));
     snapshot_writer(&files).stop();
-    let its = seen.clone();
+    let shared = seen.clone();
     files.plan(Some(Box::new(move |_, kind, length| {
-        its.lock().expect("the kinds").push((kind, length));
+        shared.lock().expect("the kinds").push((kind, length));
         None
     })));
     let snapshot_writer = snapshot_writer(&files);
-    snapshot_writer.save(kept(2));
+    snapshot_writer.save(encoded(2));
     snapshot_writer.stop();
     seen.lock().expect("the kinds").clone()
 }
 
 #[test]
-fn whatever_fails_or_is_torn_at_any_byte_the_old_list_or_the_new_is_found() {
-    let mut plays = 0;
-    // The first operation makes the folder: without it nothing starts.
+fn the_old_or_the_new_node_list_is_found_after_any_failed_or_partial_write() {
+    let mut runs = 0;
+    // The first operation creates the folder, without which the writer does not start.
     for (at, (kind, length)) in operations().into_iter().enumerate().skip(1) {
         for torn in (0..=length).filter(|torn| *torn == 0 || kind == Kind::Write) {
             let files = Memory::default();
             let first = snapshot_writer(&files);
-            first.save(kept(1));
+            first.save(encoded(1));
             first.stop();
             assert_eq!(found(&files), Ok(Some(1)));
-            // It fails from here on, so that nothing is tried with success.
+            // All operations fail from here on, so that no retry succeeds.
             files.plan(Some(Box::new(move |number, _, _| {
                 (number >= at as u64).then_some(Fault { errno: 28, torn })
             })));
             let second = snapshot_writer(&files);
-            second.save(kept(2));
+            second.save(encoded(2));
             second.stop();
             let ends = [files.after_kill()].into_iter().chain(Loss::ALL.map(|loss| files.after_stop(loss)));
             for end in ends {
                 let found = found(&end).unwrap_or_else(|why| panic!("{at}, {kind:?} torn at {torn}: {why}"));
                 assert!(matches!(found, Some(1 | 2)), "{at}, {kind:?} torn at {torn}: {found:?}");
             }
-            plays += 1;
+            runs += 1;
         }
     }
-    assert!(plays > 200, "{plays} places");
+    assert!(runs > 200, "{runs} points of failure");
 }
 
 #[test]
-fn a_list_that_was_not_written_is_tried_again_by_itself() {
+fn a_failed_save_of_the_node_list_is_retried() {
     for failing in [Kind::Open, Kind::Write, Kind::Sync, Kind::Rename, Kind::SyncFolder] {
         let (files, fails) = (Memory::default(), Arc::new(AtomicBool::new(true)));
-        let its = fails.clone();
+        let shared = fails.clone();
         files.plan(Some(Box::new(move |_, kind, _| {
-            (kind == failing && its.load(Ordering::Relaxed)).then_some(Fault { errno: 5, torn: 9 })
+            (kind == failing && shared.load(Ordering::Relaxed)).then_some(Fault { errno: 5, torn: 9 })
         })));
         let snapshot_writer = snapshot_writer(&files);
-        snapshot_writer.save(kept(3));
+        snapshot_writer.save(encoded(3));
         std::thread::sleep(Duration::from_millis(200));
         fails.store(false, Ordering::Relaxed);
         let began = Instant::now();
-        // No further list comes: what is found after the machine stops is what was tried again.
+        // No other node list is saved, so the one found after the machine stops was written by a retry.
         while found(&files.after_stop(Loss::All)) != Ok(Some(3)) {
-            assert!(began.elapsed() < Duration::from_secs(5), "{failing:?}: not tried again");
+            assert!(began.elapsed() < Duration::from_secs(5), "{failing:?}: not retried");
             std::thread::sleep(Duration::from_millis(20));
         }
         snapshot_writer.stop();
@@ -139,7 +145,7 @@
 }
 
 #[test]
-fn a_list_written_by_an_earlier_version_is_read_as_it_was() {
+fn a_node_list_saved_by_an_earlier_version_can_be_read() {
     let bytes = include_bytes!("../fixtures/a402d9a/list");
     let (known, age) = decode(bytes, NOW + 40, 7, HOUR, 0).expect("a good list");
     let lines = known.results.iter().map(|change| match (&change.fleet, &change.invalidate) {
--- a/crates/dispatcher/tests/dispatcher/folders_place.rs
+++ b/crates/dispatcher/tests/dispatcher/folders_place.rs
@@ -1,5 +1,5 @@
-//! A place in which a program with copies on disk can be killed and started again: nodes, a change log and a folder that
-//! outlive it, and calls on the folder's files that fail as a plan says.
+//! An environment in which a program with a local cache on disk can be killed and restarted: nodes, a change log and a
+//! folder that outlive it, and a plan of faults for calls on the folder's files.
 
 use crate::common::{CONFIG, message, request};
 use crate::rig::{Asked, LONG, UNHURRIED, answer, stand_in};
@@ -22,7 +22,7 @@
     SystemTime::now().duration_since(UNIX_EPOCH).expect("a time after 1970").as_millis() as u64
 }
 
-/// Waits until something is so; none of it takes nearly as long as it may.
+/// Waits until a condition holds; panics after `LONG`, which is far more than any of them needs.
 pub(crate) fn wait_until(what: &str, mut so: impl FnMut() -> bool) {
     let began = Instant::now();
     while !so() {
@@ -31,7 +31,7 @@
     }
 }
 
-/// A stand-in of the change log, which outlives the program: tells who calls all that came after what it names.
+/// A stand-in of the change log that outlives the program: sends each connection all events after the requested number.
 pub(crate) struct ChangeLog {
     address: String,
     events: Arc<Mutex<Vec<String>>>,
@@ -41,28 +41,28 @@
     fn start() -> ChangeLog {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         let address = listener.local_addr().expect("an address").to_string();
-        // The first is the list in the configuration.
+        // Event 1 is the node list in the configuration.
         let events = Arc::new(Mutex::new(vec![String::new()]));
-        let its = events.clone();
+        let shared = events.clone();
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                let events = its.clone();
-                thread::spawn(move || ChangeLog::tell(stream, &events));
+                let events = shared.clone();
+                thread::spawn(move || ChangeLog::send_events(stream, &events));
             }
         });
         ChangeLog { address, events }
     }
 
-    fn tell(mut stream: TcpStream, events: &Mutex<Vec<String>>) {
+    fn send_events(mut stream: TcpStream, events: &Mutex<Vec<String>>) {
         let mut line = String::new();
         BufReader::new(&stream).read_line(&mut line).expect("a line");
         let since = line.strip_prefix("since ").and_then(|since| since.trim().parse().ok());
-        let mut told: usize = since.expect("a number");
+        let mut sent: usize = since.expect("a number");
         let mut ticks = 0;
         loop {
-            let new: Vec<_> = events.lock().expect("events")[told..].to_vec();
-            told += new.len();
-            let heartbeat = if ticks % 20 == 0 { format!("{told}\n") } else { String::new() };
+            let new: Vec<_> = events.lock().expect("events")[sent..].to_vec();
+            sent += new.len();
+            let heartbeat = if ticks % 20 == 0 { format!("{sent}\n") } else { String::new() };
             if stream.write_all((new.concat() + &heartbeat).as_bytes()).is_err() {
                 return;
             }
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Something was purged just now; the time of that.
+    /// Issues a purge; returns its time.
     pub(crate) fn purge(&self, what: &str) -> u64 {
         let (mut events, time) = (self.events.lock().expect("events"), unix_ms());
         let seq = events.len() + 1;
@@ -80,7 +80,7 @@
     }
 }
 
-/// Answers each fetch with bytes that say when they were made; counts them.
+/// Answers each fetch with a body that holds the time it was made; returns the count of fetches.
 fn serve_nodes(asked: Receiver<Asked>) -> Arc<AtomicUsize> {
     let fetched = Arc::new(AtomicUsize::new(0));
     let count = fetched.clone();
@@ -91,37 +91,37 @@
             };
             count.fetch_add(1, Ordering::Relaxed);
             let (made, body) = (unix_ms(), format!("made {}", unix_ms()));
-            let told =
+            let response =
                 format!("{id} ok etag=4b00000000000000,made={made},why=local {}\r\n{body}\r\n", body.len());
-            let _ = back.write_all(told.as_bytes());
+            let _ = back.write_all(response.as_bytes());
         }
     });
     fetched
 }
 
-/// A dispatcher's place: its folder and files, the nodes and the change log around it, which outlive each program.
-pub(crate) struct Place {
+/// The folder and files of a dispatcher, with its nodes and change log, which outlive each program.
+pub(crate) struct Environment {
     folder: PathBuf,
     address: String,
     pub log: ChangeLog,
     config: String,
     pub fetched: Arc<AtomicUsize>,
     tag: u64,
-    /// The part that is asked for.
+    /// The part that is requested.
     pub part: u64,
-    /// The configuration tells all events, instead of a whole list that stands for them.
-    pub tells_events: bool,
+    /// Whether the configuration lists all events instead of a snapshot that replaces them.
+    pub lists_all_events: bool,
 }
 
-impl Place {
-    pub(crate) fn new() -> Place {
-        static PLACES: AtomicU32 = AtomicU32::new(0);
-        let place = PLACES.fetch_add(1, Ordering::Relaxed);
-        let name = format!("copperroute-folders-{}-{place}", std::process::id());
+impl Environment {
+    pub(crate) fn new() -> Environment {
+        static ENVIRONMENTS: AtomicU32 = AtomicU32::new(0);
+        let number = ENVIRONMENTS.fetch_add(1, Ordering::Relaxed);
+        let name = format!("copperroute-folders-{}-{number}", std::process::id());
         let folder = std::env::temp_dir().join(name);
         std::fs::create_dir_all(&folder).expect("a folder");
-        // An address of its own: a port that was free a moment ago may be another test's by now.
-        let address = format!("127.{}.{place}.9:5050", 1 + std::process::id() % 250);
+        // A separate address for each test: a port that was free before may be in use by another test now.
+        let address = format!("127.{}.{number}.9:5050", 1 + std::process::id() % 250);
         let (log, (tell, asked)) = (ChangeLog::start(), channel());
         let mut config = CONFIG.replace("127.0.0.1:5050", &address).replace("127.0.0.1:2379", &log.address);
         for (node, port) in [("s-a", 6001), ("s-b", 6002), ("p-1", 6003), ("p-2", 6004), ("o-1", 6005)] {
@@ -135,7 +135,7 @@
             folder.join("store").display()
         );
         std::fs::write(folder.join("operator.json"), operator).expect("a temporary file");
-        Place {
+        Environment {
             folder,
             address,
             log,
@@ -143,7 +143,7 @@
             fetched: serve_nodes(asked),
             tag: 0,
             part: 0,
-            tells_events: false,
+            lists_all_events: false,
         }
     }
 
@@ -151,22 +151,22 @@
         self.folder.join("store")
     }
 
-    /// Which calls on the store's files fail from now on.
-    pub(crate) fn faults(&self, plan: &FaultPlan) {
-        let (new, place) = (self.folder.join("plan.new"), self.folder.join("plan"));
+    /// Sets which calls on the store's files fail from now on.
+    pub(crate) fn set_faults(&self, plan: &FaultPlan) {
+        let (new, path) = (self.folder.join("plan.new"), self.folder.join("plan"));
         std::fs::write(&new, plan.to_string()).expect("a temporary file");
-        std::fs::rename(new, place).expect("a temporary file");
-        // It is looked at every 50 ms.
+        std::fs::rename(new, path).expect("a temporary file");
+        // The program reads the plan every 50 ms.
         thread::sleep(Duration::from_millis(120));
     }
 
-    /// The configuration with what is known by now.
+    /// The configuration with the events known by now.
     fn configured(&self) -> String {
         let events = self.log.events.lock().expect("events").clone();
         let mut config: serde_json::Value = serde_json::from_str(&self.config).expect("a configuration");
         config["known"]["seq"] = events.len().into();
         let results = config["known"]["results"].as_array_mut().expect("events");
-        if self.tells_events {
+        if self.lists_all_events {
             results.extend(events[1..].iter().map(|event| serde_json::from_str(event).expect("an event")));
         } else {
             results[0]["seq"] = events.len().into();
@@ -174,7 +174,7 @@
         config.to_string()
     }
 
-    /// The program, started with what is known by now.
+    /// Starts the program with the events known by now, and waits until it serves.
     pub(crate) fn program(&self) -> Program {
         let path = self.folder.join("config.json");
         std::fs::write(&path, self.configured()).expect("a file");
@@ -192,7 +192,7 @@
             client.set_read_timeout(Some(LONG)).expect("a timeout");
             client.write_all(&message("HEALTH", 1)).is_ok() && answer(&client).contains("UP")
         });
-        // All that the change log has to tell is told by then.
+        // By then the change log has sent all events.
         thread::sleep(Duration::from_millis(150));
         program
     }
@@ -201,33 +201,33 @@
         self.folder.join("errors")
     }
 
-    pub(crate) fn lines_with(&self, what: &str) -> usize {
+    pub(crate) fn log_lines_with(&self, what: &str) -> usize {
         let errors = std::fs::read_to_string(self.errors()).unwrap_or_default();
         errors.lines().filter(|line| line.contains(what)).count()
     }
 
-    /// When what a client is given was made.
-    pub(crate) fn given(&mut self) -> u64 {
+    /// Requests the part; returns when the copy in the answer was made.
+    pub(crate) fn copy_made_ms(&mut self) -> u64 {
         self.tag += 1;
         let mut client = TcpStream::connect(&self.address).expect("the program listens");
         client.set_read_timeout(Some(LONG)).expect("a timeout");
         let more = format!("{UNHURRIED},family=17,block={}", self.part);
         let asked = request(self.tag, "image", &format!("{:x}f1f", self.tag), &more);
         client.write_all(&asked).expect("the program reads");
-        let told = answer(&client);
-        let made = told.split("made ").nth(1).and_then(|made| made.split_whitespace().next()?.parse().ok());
-        made.unwrap_or_else(|| panic!("no bytes: {told}"))
+        let answer = answer(&client);
+        let made = answer.split("made ").nth(1).and_then(|made| made.split_whitespace().next()?.parse().ok());
+        made.unwrap_or_else(|| panic!("no copy in the answer: {answer}"))
     }
 
-    /// Whether the log on disk has a record; what is being written ends its segment.
-    fn has_record(&self, meant: impl Fn(&Head) -> bool) -> bool {
+    /// Whether the store on disk has a matching record. An incomplete record ends the search of its segment.
+    fn has_record(&self, matches: impl Fn(&Head) -> bool) -> bool {
         let entries = std::fs::read_dir(self.store()).into_iter().flatten().flatten();
         let logs = entries.filter(|entry| entry.path().extension().is_some_and(|ending| ending == "log"));
         logs.filter_map(|entry| std::fs::read(entry.path()).ok()).any(|log| {
             let mut rest = log.as_slice();
             while let Ok(head) = Head::decode(rest) {
                 let end = HEAD + head.body();
-                if rest.len() >= end && meant(&head) {
+                if rest.len() >= end && matches(&head) {
                     return true;
                 }
                 rest = rest.get(end..).unwrap_or_default();
@@ -236,18 +236,18 @@
         })
     }
 
-    /// Asks for the next part until a copy has gone to disk; memory has none that would be given in its place.
-    pub(crate) fn keep_on_disk(&mut self) {
+    /// Requests the next part until a copy is stored on disk; no older copy of it is in memory.
+    pub(crate) fn store_on_disk(&mut self) {
         self.part += 1;
         let part = self.part;
-        wait_until("a copy is kept on disk", || {
-            self.given();
+        wait_until("a copy is stored on disk", || {
+            self.copy_made_ms();
             self.has_record(|head| matches!(head, Head::Copy(key, ..) if u64::from(key.part) == part))
         });
     }
 
-    /// Purges something that is not asked for, and waits until the disk has marked it.
-    pub(crate) fn purge_other(&self) {
+    /// Purges a group that is not requested, and waits until the mark is on disk.
+    pub(crate) fn purge_other_group(&self) {
         self.log.purge("\"bucket\":5");
         let last = self.log.events.lock().expect("events").len() as u64;
         wait_until("the purge is marked", || {
@@ -255,21 +255,21 @@
         });
     }
 
-    /// Purges the object; who asks once that was heard is given a newer copy.
+    /// Purges the object and waits until a request is answered with a newer copy; returns the time of the purge.
     pub(crate) fn purge_object(&mut self) -> u64 {
         let purged = self.log.purge(&format!("\"object\":\"{OBJECT}\""));
-        wait_until("the purge is heard", || self.given() > purged);
+        wait_until("the purge takes effect", || self.copy_made_ms() > purged);
         purged
     }
 }
 
-impl Drop for Place {
+impl Drop for Environment {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
-/// A program, which is killed when it goes.
+/// A running program, killed on drop.
 pub(crate) struct Program(Child);
 
 impl Drop for Program {
--- a/crates/dispatcher/tests/dispatcher/folders_process.rs
+++ b/crates/dispatcher/tests/dispatcher/folders_process.rs
@@ -1,7 +1,7 @@
-//! The program itself with its copies on a disk that fails for a while, killed and started again: judged by what clients
-//! were given, and by what nodes were asked for.
+//! The program with its local cache on a disk that fails for a while, killed and restarted. Checked by the copies that
+//! clients receive and by the attempts that nodes receive.
 
-use crate::folders_place::{Place, wait_until};
+use crate::folders_place::{Environment, wait_until};
 use copperroute_fault_injection::{Call, FaultPlan, Span};
 use std::sync::atomic::Ordering;
 use std::thread;
@@ -13,78 +13,82 @@
 const EROFS: i32 = 30;
 const EDQUOT: i32 = 122;
 
-/// How the store's disk fails.
-fn troubles(place: &Place) -> [(&'static str, FaultPlan); 4] {
-    let plan = || FaultPlan::new(1).under(place.store());
+/// Ways in which the store's disk fails.
+fn disk_faults(environment: &Environment) -> [(&'static str, FaultPlan); 4] {
+    let plan = || FaultPlan::new(1).under(environment.store());
     let read_only = [Call::Open, Call::FileWrite, Call::Ftruncate, Call::Rename, Call::Unlink];
     [
         ("syncs fail", plan().fail(Call::Fdatasync, &[EIO], 1, Span::ALWAYS)),
-        ("it is full", plan().fail(Call::FileWrite, &[ENOSPC], 1, Span::ALWAYS)),
-        ("writes and syncs fail in turn", {
+        ("the disk is full", plan().fail(Call::FileWrite, &[ENOSPC], 1, Span::ALWAYS)),
+        ("some writes and syncs fail", {
             let writes = plan().fail(Call::FileWrite, &[EIO], 2, Span::ALWAYS);
             writes.fail(Call::Fdatasync, &[EIO], 2, Span::ALWAYS).fail(Call::Fsync, &[EIO], 2, Span::ALWAYS)
         }),
         (
-            "it takes nothing",
+            "the disk is read-only",
             read_only.into_iter().fold(plan(), |plan, call| plan.fail(call, &[EROFS], 1, Span::ALWAYS)),
         ),
     ]
 }
 
 #[test]
-fn a_purge_that_a_failing_disk_could_not_mark_is_heeded_by_the_next_life() {
-    for trouble in 0..4 {
-        let mut place = Place::new();
-        let (what, plan) = troubles(&place)[trouble].clone();
-        let first = place.program();
-        place.keep_on_disk();
-        place.purge_other();
-        place.faults(&plan);
-        let purged = place.purge_object();
+fn a_purge_that_a_failing_disk_could_not_mark_holds_after_a_restart() {
+    for fault in 0..4 {
+        let mut environment = Environment::new();
+        let (what, plan) = disk_faults(&environment)[fault].clone();
+        let first = environment.program();
+        environment.store_on_disk();
+        environment.purge_other_group();
+        environment.set_faults(&plan);
+        let purged = environment.purge_object();
         drop(first);
-        place.faults(&FaultPlan::new(1));
-        let _second = place.program();
+        environment.set_faults(&FaultPlan::new(1));
+        let _second = environment.program();
         for _ in 0..5 {
-            assert!(place.given() > purged, "{what}: a copy from before the purge was served");
+            assert!(environment.copy_made_ms() > purged, "{what}: a copy from before the purge was served");
         }
     }
 }
 
 #[test]
-fn a_disk_that_is_well_again_is_used_again_without_a_restart() {
-    for trouble in 0..4 {
-        let mut place = Place::new();
-        let (what, plan) = troubles(&place)[trouble].clone();
-        let first = place.program();
-        place.keep_on_disk();
-        place.faults(&plan);
-        let purged = place.purge_object();
+fn a_recovered_disk_is_used_again_without_a_restart() {
+    for fault in 0..4 {
+        let mut environment = Environment::new();
+        let (what, plan) = disk_faults(&environment)[fault].clone();
+        let first = environment.program();
+        environment.store_on_disk();
+        environment.set_faults(&plan);
+        let purged = environment.purge_object();
         wait_until(what, || {
-            // A plan that fails some calls alone has to be met first.
-            place.log.purge("\"bucket\":6");
+            // Where only some calls fail, several purges are needed until one fails.
+            environment.log.purge("\"bucket\":6");
             thread::sleep(Duration::from_millis(20));
-            place.lines_with("off, tried again by itself") == 1
+            environment.log_lines_with("off, tried again by itself") == 1
         });
         thread::sleep(Duration::from_millis(1_500));
-        place.faults(&FaultPlan::new(1));
-        wait_until(what, || place.lines_with("on again after") == 1);
-        let again = place.purge_object();
-        place.keep_on_disk();
-        place.purge_other();
+        environment.set_faults(&FaultPlan::new(1));
+        wait_until(what, || environment.log_lines_with("on again after") == 1);
+        let purged_again = environment.purge_object();
+        environment.store_on_disk();
+        environment.purge_other_group();
         drop(first);
-        let fetched = place.fetched.load(Ordering::Relaxed);
-        let _second = place.program();
-        let given = place.given();
-        assert!(given > purged && given > again, "{what}: a copy from before the purge was served");
-        assert_eq!(place.fetched.load(Ordering::Relaxed), fetched, "{what}: the disk had it");
-        assert_eq!(place.lines_with("off, tried again by itself"), 1, "{what}: one line when it began");
+        let fetched = environment.fetched.load(Ordering::Relaxed);
+        let _second = environment.program();
+        let made = environment.copy_made_ms();
+        assert!(made > purged && made > purged_again, "{what}: a copy from before the purge was served");
+        assert_eq!(environment.fetched.load(Ordering::Relaxed), fetched, "{what}: not served from disk");
+        assert_eq!(
+            environment.log_lines_with("off, tried again by itself"),
+            1,
+            "{what}: logged more than once"
+        );
     }
 }
 
-/// Draws numbers below a bound, the same for the same seed.
-struct Draws(u64);
+/// A random number generator (xorshift) with a fixed seed.
+struct RandomNumbers(u64);
 
-impl Draws {
+impl RandomNumbers {
     fn below(&mut self, bound: u64) -> u64 {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
@@ -92,8 +96,8 @@
         (self.0 >> 11) % bound
     }
 
-    /// Each kind of call on files fails or not, one in two or three of its uses.
-    fn plan(&mut self, place: &Place) -> FaultPlan {
+    /// A plan in which a third of the kinds of file calls fail, each in one of two or three uses.
+    fn plan(&mut self, environment: &Environment) -> FaultPlan {
         let calls = [
             Call::Open,
             Call::FileRead,
@@ -104,7 +108,7 @@
             Call::Rename,
             Call::Unlink,
         ];
-        let mut plan = FaultPlan::new(self.below(1 << 30)).under(place.store());
+        let mut plan = FaultPlan::new(self.below(1 << 30)).under(environment.store());
         for call in calls {
             if self.below(3) == 0 {
                 let one_in = 2 + self.below(2) as u32;
@@ -116,26 +120,26 @@
 }
 
 #[test]
-fn lives_amid_faults_serve_nothing_from_before_a_purge() {
+fn restarts_with_disk_faults_serve_no_copy_from_before_a_purge() {
     for seed in [43_u64, 44, 45] {
         println!("seed {seed}");
-        let (mut place, mut draws, mut purged) =
-            (Place::new(), Draws(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15)), 0);
-        for life in 0..5 {
-            place.tells_events = draws.below(2) == 0;
-            let plan = if life == 0 { FaultPlan::new(1) } else { draws.plan(&place) };
-            place.faults(&plan);
-            let _program = place.program();
+        let (mut environment, mut random, mut purged) =
+            (Environment::new(), RandomNumbers(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15)), 0);
+        for run in 0..5 {
+            environment.lists_all_events = random.below(2) == 0;
+            let plan = if run == 0 { FaultPlan::new(1) } else { random.plan(&environment) };
+            environment.set_faults(&plan);
+            let _program = environment.program();
             for step in 0..12 {
-                match draws.below(6) {
-                    0 => purged = place.purge_object(),
-                    1 => drop(place.log.purge("\"bucket\":5")),
-                    2 => place.faults(&draws.plan(&place)),
-                    3 => place.faults(&FaultPlan::new(1)),
-                    _ => place.part = draws.below(4),
+                match random.below(6) {
+                    0 => purged = environment.purge_object(),
+                    1 => drop(environment.log.purge("\"bucket\":5")),
+                    2 => environment.set_faults(&random.plan(&environment)),
+                    3 => environment.set_faults(&FaultPlan::new(1)),
+                    _ => environment.part = random.below(4),
                 }
-                let made = place.given();
-                assert!(made > purged, "seed {seed}, life {life}, step {step}: made {made}, purged {purged}");
+                let made = environment.copy_made_ms();
+                assert!(made > purged, "seed {seed}, run {run}, step {step}: made {made}, purged {purged}");
             }
         }
     }
