--- a/crates/dispatcher/tests/dispatcher/clocks.rs
+++ b/crates/dispatcher/tests/dispatcher/clocks.rs
@@ -6,7 +6,7 @@
 use copperroute_dispatcher::effects::Event;
 
 /// Errors of the wall clock in milliseconds.
-const OFF_MS: [i64; 4] = [5_000, -5_000, 3_600_000, -3_600_000];
+const CLOCK_ERRORS_MS: [i64; 4] = [5_000, -5_000, 3_600_000, -3_600_000];
 /// Ports of the two caches.
 const PORTS: [u16; 2] = [6001, 6002];
 const OBJECT: &str = "7f3a000000000000";
@@ -63,7 +63,7 @@
 fn slow_start_of_a_cache_seen_live_does_not_depend_on_the_wall_clock() {
     let expected = attempts_in_slow_start(0);
     assert!(2 * expected[0] < expected[1], "{expected:?}: no slow start");
-    for off_ms in OFF_MS {
+    for off_ms in CLOCK_ERRORS_MS {
         assert_eq!(attempts_in_slow_start(off_ms), expected, "a wall clock {off_ms} ms off");
     }
 }
@@ -83,7 +83,7 @@
 #[test]
 fn a_cache_that_started_earlier_has_only_the_rest_of_its_slow_start() {
     let is_cold = |[to_it, to_other]: [usize; 2]| 2 * to_it < to_other;
-    for off_ms in OFF_MS.into_iter().chain([0]) {
+    for off_ms in CLOCK_ERRORS_MS.into_iter().chain([0]) {
         let started_now = attempts_after_restart(off_ms, 500);
         assert_eq!(started_now.map(is_cold), [true, false], "{off_ms} ms off: {started_now:?}");
         let long_up = attempts_after_restart(off_ms, 600_000);
@@ -119,7 +119,7 @@
 fn attempts_limit_the_age_of_copies_while_copies_from_before_a_purge_may_exist() {
     let expected = age_limits_s(0);
     assert_eq!(expected, [Some(1), Some(3), Some(4), Some(6), None, None, None]);
-    for off_ms in OFF_MS {
+    for off_ms in CLOCK_ERRORS_MS {
         assert_eq!(age_limits_s(off_ms), expected, "a wall clock {off_ms} ms off");
     }
 }
@@ -139,7 +139,7 @@
 
 #[test]
 fn only_copies_made_after_a_purge_are_cached() {
-    for off_ms in OFF_MS.into_iter().chain([0]) {
+    for off_ms in CLOCK_ERRORS_MS.into_iter().chain([0]) {
         let mut play = play(off_ms, 1_000_000);
         play.log(1, "1");
         for number in 1..=4 {
@@ -149,9 +149,9 @@
         let purge = format!(r#"{{"seq":2,"invalidate":{{"bucket":17,"time":{purged_ms}}}}}"#);
         play.log(1, &purge);
         let older = (10..16).filter(|number| sends_attempt(&mut play, *number, purged_ms - 1)).count();
-        assert_eq!(older, 6, "{off_ms} ms off: copies from before the purge were kept");
+        assert_eq!(older, 6, "{off_ms} ms off: copies from before the purge were cached");
         let newer = (20..26).filter(|number| sends_attempt(&mut play, *number, purged_ms + 600)).count();
-        assert_eq!(newer, 1, "{off_ms} ms off: copies from after the purge were not kept");
+        assert_eq!(newer, 1, "{off_ms} ms off: copies from after the purge were not cached");
     }
 }
 
@@ -187,7 +187,7 @@
 
 #[test]
 fn a_copy_on_disk_is_served_after_a_restart_on_a_clock_that_was_set_back() {
-    for off_ms in OFF_MS.into_iter().chain([0]) {
+    for off_ms in CLOCK_ERRORS_MS.into_iter().chain([0]) {
         let mut play = play(off_ms, 1_000_000);
         let key = Key { content_type: 0, object: *b"7f3a000000000000", part: 0 };
         play.event(Event::DiskReady(&[key.print()], 0));
--- a/crates/dispatcher/tests/dispatcher/clocks_process.rs
+++ b/crates/dispatcher/tests/dispatcher/clocks_process.rs
@@ -15,7 +15,7 @@
 /// Tolerance for rounding: the purge's time, its age and the limit are in whole milliseconds.
 const ROUNDING_MS: u128 = 2;
 /// The clocks of the plans that step have stepped by then.
-const STEPPED_AFTER: Duration = Duration::from_millis(700);
+const STEP_DONE: Duration = Duration::from_millis(700);
 /// Longest time that a request may take on a loaded machine.
 const REQUEST_MAX: Duration = Duration::from_secs(1);
 
@@ -36,7 +36,7 @@
     let mut rig = Rig::failing(plan, Stdio::null());
     let last = rig.beats(1);
     age_limit_ms(&rig, 1);
-    std::thread::sleep(STEPPED_AFTER);
+    std::thread::sleep(STEP_DONE);
     let purged = Instant::now();
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).expect("a time after 1970").as_millis();
     rig.tell(&format!("{{\"seq\":2,\"invalidate\":{{\"object\":\"7f3a000000000000\",\"time\":{unix}}}}}\n"));
--- a/crates/dispatcher/tests/dispatcher/deadlines.rs
+++ b/crates/dispatcher/tests/dispatcher/deadlines.rs
@@ -62,20 +62,20 @@
 /// 3,000,000 deadlines.
 #[test]
 fn deadlines_of_requests_that_end_early_stay_within_the_bound() {
-    const OPEN: u64 = 3_000;
+    const OPEN_REQUESTS: u64 = 3_000;
     let mut deadlines = Deadlines::default();
     let (mut most, mut passes) = (0, 0);
     for request in 0..300_000 {
         deadlines.arm(Nanos(60_000_000_000 + request * 20_000), request);
         if deadlines.needs_pruning() {
             passes += 1;
-            deadlines.prune(|other| other + OPEN > request);
+            deadlines.prune(|other| other + OPEN_REQUESTS > request);
         }
         most = most.max(deadlines.count());
     }
-    assert!(most <= 2 * OPEN as usize, "at most {most} deadlines armed");
+    assert!(most <= 2 * OPEN_REQUESTS as usize, "at most {most} deadlines armed");
     // Each pass visits twice as many deadlines as requests are open, after half of them were armed since the last pass.
-    assert!(passes <= 300_000 / OPEN, "{passes} passes");
+    assert!(passes <= 300_000 / OPEN_REQUESTS, "{passes} passes");
 }
 
 /// After a peak the bound falls again: it is twice the number of deadlines that are armed now, not at the peak.
@@ -128,16 +128,16 @@
 #[derive(Debug, Clone)]
 enum Step {
     Arm(u64),
-    Pass(u64),
+    Advance(u64),
     /// Keeps only deadlines whose number has this remainder modulo 3.
-    Forget(u64),
+    Prune(u64),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         4 => (0_u64..50).prop_map(Step::Arm),
-        2 => (0_u64..20).prop_map(Step::Pass),
-        1 => (0_u64..3).prop_map(Step::Forget),
+        2 => (0_u64..20).prop_map(Step::Advance),
+        1 => (0_u64..3).prop_map(Step::Prune),
     ]
 }
 
@@ -156,14 +156,14 @@
                     model.push((at, armed));
                     armed += 1;
                 }
-                Step::Pass(span) => {
+                Step::Advance(span) => {
                     now += span;
                     model.sort_by_key(|(at, _)| *at);
                     let count = model.iter().filter(|(at, _)| *at <= now).count();
                     let expected: Vec<_> = model.drain(..count).map(|(_, number)| number).collect();
                     prop_assert_eq!(due_by(&mut deadlines, now), expected);
                 }
-                Step::Forget(rest) => {
+                Step::Prune(rest) => {
                     deadlines.prune(|number| number % 3 == rest);
                     model.retain(|(_, number)| number % 3 == rest);
                 }
--- a/crates/dispatcher/tests/dispatcher/folders.rs
+++ b/crates/dispatcher/tests/dispatcher/folders.rs
@@ -11,8 +11,8 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-const NOW: u64 = 1_764_576_000_000;
-const HOUR: u64 = 3_600_000;
+const NOW_MS: u64 = 1_764_576_000_000;
+const HOUR_MS: u64 = 3_600_000;
 const FOLDER: &str = "/list";
 
 fn change(line: &str) -> Change {
@@ -24,7 +24,7 @@
 }
 
 fn purge(seq: u64) -> Change {
-    change(&format!(r#"{{"seq":{seq},"invalidate":{{"bucket":17,"time":{NOW}}}}}"#))
+    change(&format!(r#"{{"seq":{seq},"invalidate":{{"bucket":17,"time":{NOW_MS}}}}}"#))
 }
 
 /// The purge marks on disk after which all later purges are known.
@@ -67,11 +67,11 @@
 }
 
 fn encoded(seq: u64) -> Vec<u8> {
-    encode(&KnownEvents { seq, results: vec![list(seq, true), purge(seq)] }, NOW, 7)
+    encode(&KnownEvents { seq, results: vec![list(seq, true), purge(seq)] }, NOW_MS, 7)
 }
 
-fn found(files: &Memory) -> Result<Option<u64>, String> {
-    load_with(files, Path::new(FOLDER), NOW, 7, HOUR, 0).map(|found| found.map(|(known, _)| known.seq))
+fn load_seq(files: &Memory) -> Result<Option<u64>, String> {
+    load_with(files, Path::new(FOLDER), NOW_MS, 7, HOUR_MS, 0).map(|found| found.map(|(known, _)| known.seq))
 }
 
 fn snapshot_writer(files: &Memory) -> SnapshotWriter {
@@ -103,7 +103,7 @@
             let first = snapshot_writer(&files);
             first.save(encoded(1));
             first.stop();
-            assert_eq!(found(&files), Ok(Some(1)));
+            assert_eq!(load_seq(&files), Ok(Some(1)));
             // All operations fail from here on, so that no retry succeeds.
             files.plan(Some(Box::new(move |number, _, _| {
                 (number >= at as u64).then_some(Fault { errno: 28, torn })
@@ -113,7 +113,8 @@
             second.stop();
             let ends = [files.after_kill()].into_iter().chain(Loss::ALL.map(|loss| files.after_stop(loss)));
             for end in ends {
-                let found = found(&end).unwrap_or_else(|why| panic!("{at}, {kind:?} torn at {torn}: {why}"));
+                let found =
+                    load_seq(&end).unwrap_or_else(|why| panic!("{at}, {kind:?} torn at {torn}: {why}"));
                 assert!(matches!(found, Some(1 | 2)), "{at}, {kind:?} torn at {torn}: {found:?}");
             }
             runs += 1;
@@ -136,7 +137,7 @@
         fails.store(false, Ordering::Relaxed);
         let began = Instant::now();
         // No other node list is saved, so the one found after the machine stops was written by a retry.
-        while found(&files.after_stop(Loss::All)) != Ok(Some(3)) {
+        while load_seq(&files.after_stop(Loss::All)) != Ok(Some(3)) {
             assert!(began.elapsed() < Duration::from_secs(5), "{failing:?}: not retried");
             std::thread::sleep(Duration::from_millis(20));
         }
@@ -147,7 +148,7 @@
 #[test]
 fn a_node_list_saved_by_an_earlier_version_can_be_read() {
     let bytes = include_bytes!("../fixtures/a402d9a/list");
-    let (known, age) = decode(bytes, NOW + 40, 7, HOUR, 0).expect("a good list");
+    let (known, age) = decode(bytes, NOW_MS + 40, 7, HOUR_MS, 0).expect("a good list");
     let lines = known.results.iter().map(|change| match (&change.fleet, &change.invalidate) {
         (Some(fleet), _) => {
             let nodes = fleet.servers.iter().map(|node| format!(" {} {:?}", node.id, node.state));
