--- a/crates/testbed/src/fleet_simulation/arrangement.rs
+++ b/crates/testbed/src/fleet_simulation/arrangement.rs
@@ -1,79 +1,86 @@
-//! Ways of changes that are compared: how many replicas stand between the log and the dispatchers, and how many
-//! streams each dispatcher follows.
+//! The arrangements for distributing changes that the simulation compares: how many replicas are between the change
+//! log and the dispatchers, and how many streams each dispatcher follows. Gives the reconnect settings and the sources
+//! of each dispatcher and replica.
 
-use super::assumptions::{CALLS_SHARE, TOLD_AFTER};
+use super::assumptions::{CONNECTS_PER_S_PER_DISPATCHER, DELIVERED_AFTER};
 use super::topology::{self, Place};
 use copperroute_routing::interface::mix;
 use copperroute_routing::reconnect_schedule::ReconnectSettings;
 
-/// A way of changes.
+/// One arrangement for distributing changes from the log to the dispatchers.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct Arrangement {
     pub name: &'static str,
     pub replicas: usize,
     pub streams: usize,
-    /// Calls that each source bears, times what the log bears today.
-    pub calls_times: f64,
-    /// A dispatcher that starts with a list calls as late as it may be told (`ReconnectSchedule::started`), or in the
-    /// next round.
-    pub waits_at_start: bool,
+    /// Connections per second that each source accepts, as a multiple of `CONNECTS_PER_S_PER_DISPATCHER`.
+    pub connect_capacity_factor: f64,
+    /// Whether a dispatcher that starts with a node list first connects as late as its delivery bound allows
+    /// (`ReconnectSchedule::started`); otherwise it connects in the next reconnect window.
+    pub delays_first_connect: bool,
 }
 
 impl Arrangement {
-    pub(super) const TODAY: Arrangement = Arrangement {
+    pub(super) const SINGLE_LOG: Arrangement = Arrangement {
         name: "(a) today: one service, one stream",
         replicas: 0,
         streams: 1,
-        calls_times: 1.0,
-        waits_at_start: true,
+        connect_capacity_factor: 1.0,
+        delays_first_connect: true,
     };
     pub(super) const TWO_STREAMS: Arrangement =
-        Arrangement { name: "(b) two streams to 6 replicas", replicas: 6, streams: 2, ..Self::TODAY };
-    pub(super) const TWO_STREAMS_AT_ONCE: Arrangement = Arrangement {
+        Arrangement { name: "(b) two streams to 6 replicas", replicas: 6, streams: 2, ..Self::SINGLE_LOG };
+    pub(super) const TWO_STREAMS_PROMPT_START: Arrangement = Arrangement {
         name: "(b') as (b), called in the next round at a start",
-        waits_at_start: false,
+        delays_first_connect: false,
         ..Self::TWO_STREAMS
     };
-    pub(super) const ONE_OF_SIX: Arrangement =
+    pub(super) const ONE_STREAM_OF_SIX: Arrangement =
         Arrangement { name: "(c) one stream to one of 6 replicas", streams: 1, ..Self::TWO_STREAMS };
-    pub(super) const LARGER_SERVICE: Arrangement = Arrangement {
+    pub(super) const LARGER_LOG: Arrangement = Arrangement {
         name: "(d) one service of four times the calls, called in the next round at a start",
-        calls_times: 4.0,
-        waits_at_start: false,
-        ..Self::TODAY
+        connect_capacity_factor: 4.0,
+        delays_first_connect: false,
+        ..Self::SINGLE_LOG
     };
-    pub(super) const ALL: [Arrangement; 5] =
-        [Self::TODAY, Self::TWO_STREAMS, Self::TWO_STREAMS_AT_ONCE, Self::ONE_OF_SIX, Self::LARGER_SERVICE];
+    pub(super) const ALL: [Arrangement; 5] = [
+        Self::SINGLE_LOG,
+        Self::TWO_STREAMS,
+        Self::TWO_STREAMS_PROMPT_START,
+        Self::ONE_STREAM_OF_SIX,
+        Self::LARGER_LOG,
+    ];
 
-    /// The letter that its name begins with, in brackets.
+    /// The letter in brackets at the start of the name.
     pub(super) fn letter(&self) -> &str {
         self.name.trim_start_matches('(').split(')').next().unwrap_or_default()
     }
 
-    /// Calls a second that each source bears.
-    pub(super) fn bears(&self, dispatchers: u32) -> f64 {
-        (f64::from(dispatchers) * CALLS_SHARE * self.calls_times).max(1.0)
+    /// Connections per second that each source accepts without overload.
+    pub(super) fn connect_capacity_per_s(&self, dispatchers: u32) -> f64 {
+        (f64::from(dispatchers) * CONNECTS_PER_S_PER_DISPATCHER * self.connect_capacity_factor).max(1.0)
     }
 
-    /// What a dispatcher is told of its sources: rounds hold though one replica is lost.
-    pub(super) fn calls(&self, dispatchers: u32) -> ReconnectSettings {
+    /// The reconnect settings of a dispatcher. They count all streams as spread over one replica fewer, so that reconnect
+    /// windows stay long enough when a replica is lost.
+    pub(super) fn reconnect_settings(&self, dispatchers: u32) -> ReconnectSettings {
         let streams = dispatchers * self.streams as u32;
         let share = (self.replicas.saturating_sub(1) as u32).max(1);
         ReconnectSettings {
             dispatchers: streams.div_ceil(share),
-            calls_per_s: Some(self.bears(dispatchers)),
-            delivered_after: TOLD_AFTER,
+            calls_per_s: Some(self.connect_capacity_per_s(dispatchers)),
+            delivered_after: DELIVERED_AFTER,
             window_range: [0.0, 1.0],
         }
     }
 
-    /// What a replica is told of the log.
-    pub(super) fn replica_calls(&self, dispatchers: u32) -> ReconnectSettings {
-        ReconnectSettings { dispatchers: self.replicas as u32, ..self.calls(dispatchers) }
+    /// The reconnect settings of a replica for its stream from the log.
+    pub(super) fn replica_reconnect_settings(&self, dispatchers: u32) -> ReconnectSettings {
+        ReconnectSettings { dispatchers: self.replicas as u32, ..self.reconnect_settings(dispatchers) }
     }
 
-    /// The sources of a dispatcher, those that it prefers first: rendezvous hashing, the second in another zone than the
-    /// first.
+    /// The sources of a dispatcher in order of preference, by rendezvous hashing. The second is in another zone than
+    /// the first.
     pub(super) fn sources(&self, dispatcher: u32, seed: u64) -> Vec<usize> {
         if self.replicas == 0 {
             return vec![0];
@@ -82,15 +89,15 @@
         let mut sources: Vec<usize> = (1..=self.replicas).collect();
         sources.sort_by_key(weight);
         let zone = |source: usize| place_of(source).zone;
-        let second = (1..sources.len()).find(|at| zone(sources[*at]) != zone(sources[0]));
-        if let Some(second) = second {
-            sources.swap(1, second);
+        let other_zone = (1..sources.len()).find(|at| zone(sources[*at]) != zone(sources[0]));
+        if let Some(other_zone) = other_zone {
+            sources.swap(1, other_zone);
         }
         sources
     }
 }
 
-/// Where a source stands: the log is 0.
+/// The place of a source: 0 is the log, higher numbers are replicas.
 pub(super) fn place_of(source: usize) -> Place {
     match source {
         0 => topology::log(),
--- a/crates/testbed/src/fleet_simulation/fault.rs
+++ b/crates/testbed/src/fleet_simulation/fault.rs
@@ -1,26 +1,27 @@
-//! The kinds of faults, how often a month has each, and what each does step by step.
+//! The kinds of faults, how often each occurs in a month, and the script of timed steps that each one runs. A script
+//! depends on the number of dispatchers, the arrangement, the cut duration and the seed.
 
 use super::arrangement::Arrangement;
 use super::assumptions::*;
 use copperroute_routing::interface::Nanos;
 use copperroute_routing::structures::random::Random;
 
-/// The first fault begins then; all that is counted is counted from a little before.
-pub(super) const BEGINS: Nanos = Nanos(30 * SECOND.0);
+/// When the first fault begins, and when counting starts, shortly before it.
+pub(super) const FIRST_FAULT_AT: Nanos = Nanos(30 * SECOND.0);
 pub(super) const COUNTED_FROM: Nanos = Nanos(25 * SECOND.0);
-/// After the last step the run goes on for so long.
-const SETTLES: Nanos = Nanos(60 * SECOND.0);
-/// Faults that hit one dispatcher are played so often in one run, one a second.
-const SINGLES: u32 = 30;
-/// Replicas are restarted one after the other, so far apart.
-const ROLL_PACE: Nanos = Nanos(30 * SECOND.0);
-/// A machine that is replaced stays away for ten minutes; nobody is counted while it is away, so where no other waits
-/// for it, it is not waited for either.
-const SHORTENED: Nanos = Nanos(20 * SECOND.0);
+/// How long a run continues after the last step.
+const SETTLE_TIME: Nanos = Nanos(60 * SECOND.0);
+/// How many times a fault that affects a single dispatcher is repeated in one run, one per second.
+const REPEATS_PER_RUN: u32 = 30;
+/// Interval between the starts of replica restarts in a rolling restart.
+const ROLL_INTERVAL: Nanos = Nanos(30 * SECOND.0);
+/// Downtime of a replaced machine in place of `MACHINE_REPLACEMENT_TIME` (ten minutes). A dispatcher is not counted
+/// while it is down, so where nothing else depends on the machine the shorter downtime gives the same result.
+const SHORTENED_REPLACEMENT_TIME: Nanos = Nanos(20 * SECOND.0);
 
 /// A kind of fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Kind {
+pub(super) enum FaultKind {
     None,
     DispatcherRestart,
     DispatcherMachine,
@@ -37,14 +38,15 @@
     ZoneOfLog,
     ZoneOfReplica,
     RegionCut,
-    /// A connection needs both ways, so this is as the one before: a test shows it, the tables leave it out.
+    /// A connection needs both directions, so this has the same effect as `RegionCut`: a test checks that, and the
+    /// tables leave it out.
     RegionCutOneWay,
     RegionOfLogCut,
     PairWithLogCut,
     OtherPairCut,
 }
 
-/// Whose process or machine it is.
+/// The dispatchers that a step affects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Scope {
     Dispatcher(u32),
@@ -55,10 +57,10 @@
 /// One step of a fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Step {
-    /// Dispatchers end; without a word where their machines are lost.
+    /// Dispatchers stop, at a restart or because their machines are lost; their connections are not closed.
     Stop(Scope),
     Start(Scope),
-    /// A source of streams ends: the log is 0, replicas follow.
+    /// A source of streams stops: 0 is the log, higher numbers are replicas. `machine`: its machine is lost.
     SourceStop {
         source: usize,
         machine: bool,
@@ -66,13 +68,13 @@
     SourceStart {
         source: usize,
     },
-    /// The way from a region to another, one way.
+    /// Cuts or restores one direction between two regions.
     Cut {
         from: usize,
         to: usize,
         cut: bool,
     },
-    /// From now on these regions can't be reached from the log, or all can again.
+    /// From now on the log cannot reach these regions; with none set, it reaches all again.
     Unreachable([bool; REGIONS]),
     Reset {
         dispatcher: u32,
@@ -84,229 +86,239 @@
     },
 }
 
-/// What is played.
+/// The steps of one run.
 #[derive(Debug, Clone)]
 pub(super) struct Script {
     pub steps: Vec<(Nanos, Step)>,
-    /// How many faults of the kind it has.
+    /// How many faults of the kind the script contains.
     pub faults: u32,
-    pub until: Nanos,
+    pub ends_at: Nanos,
 }
 
-impl Kind {
-    pub(super) const ALL: [Kind; 19] = [
-        Kind::None,
-        Kind::DispatcherRestart,
-        Kind::DispatcherMachine,
-        Kind::StreamReset,
-        Kind::StreamSilent,
-        Kind::LogRestart,
-        Kind::LogMachine,
-        Kind::ReplicaRoll,
-        Kind::ReplicaMachine,
-        Kind::Rack,
-        Kind::RackOfLog,
-        Kind::RackOfReplica,
-        Kind::Zone,
-        Kind::ZoneOfLog,
-        Kind::ZoneOfReplica,
-        Kind::RegionCut,
-        Kind::RegionOfLogCut,
-        Kind::PairWithLogCut,
-        Kind::OtherPairCut,
+impl FaultKind {
+    pub(super) const ALL: [FaultKind; 19] = [
+        FaultKind::None,
+        FaultKind::DispatcherRestart,
+        FaultKind::DispatcherMachine,
+        FaultKind::StreamReset,
+        FaultKind::StreamSilent,
+        FaultKind::LogRestart,
+        FaultKind::LogMachine,
+        FaultKind::ReplicaRoll,
+        FaultKind::ReplicaMachine,
+        FaultKind::Rack,
+        FaultKind::RackOfLog,
+        FaultKind::RackOfReplica,
+        FaultKind::Zone,
+        FaultKind::ZoneOfLog,
+        FaultKind::ZoneOfReplica,
+        FaultKind::RegionCut,
+        FaultKind::RegionOfLogCut,
+        FaultKind::PairWithLogCut,
+        FaultKind::OtherPairCut,
     ];
 
     pub(super) fn name(self) -> &'static str {
         match self {
-            Kind::None => "no fault, an hour",
-            Kind::DispatcherRestart => "a dispatcher restarts",
-            Kind::DispatcherMachine => "a dispatcher's machine is lost and replaced",
-            Kind::StreamReset => "one stream is reset",
-            Kind::StreamSilent => "one stream goes silent",
-            Kind::LogRestart => "the log's process restarts (5 s)",
-            Kind::LogMachine => "the log's machine is lost (10 min)",
-            Kind::ReplicaRoll => "all replicas restart in a roll",
-            Kind::ReplicaMachine => "a replica's machine is lost (10 min)",
-            Kind::Rack => "a rack of 17 dispatchers",
-            Kind::RackOfLog => "the rack with the log",
-            Kind::RackOfReplica => "a rack with a replica",
-            Kind::Zone => "a zone",
-            Kind::ZoneOfLog => "the zone with the log",
-            Kind::ZoneOfReplica => "a zone with a replica",
-            Kind::RegionCut => "a region cut off for an hour",
-            Kind::RegionCutOneWay => "a region cut off for an hour, one way",
-            Kind::RegionOfLogCut => "the log's region cut off for an hour",
-            Kind::PairWithLogCut => "a region and the log's lose each other for an hour",
-            Kind::OtherPairCut => "two other regions lose each other for an hour",
+            FaultKind::None => "no fault, an hour",
+            FaultKind::DispatcherRestart => "a dispatcher restarts",
+            FaultKind::DispatcherMachine => "a dispatcher's machine is lost and replaced",
+            FaultKind::StreamReset => "one stream is reset",
+            FaultKind::StreamSilent => "one stream goes silent",
+            FaultKind::LogRestart => "the log's process restarts (5 s)",
+            FaultKind::LogMachine => "the log's machine is lost (10 min)",
+            FaultKind::ReplicaRoll => "all replicas restart in a roll",
+            FaultKind::ReplicaMachine => "a replica's machine is lost (10 min)",
+            FaultKind::Rack => "a rack of 17 dispatchers",
+            FaultKind::RackOfLog => "the rack with the log",
+            FaultKind::RackOfReplica => "a rack with a replica",
+            FaultKind::Zone => "a zone",
+            FaultKind::ZoneOfLog => "the zone with the log",
+            FaultKind::ZoneOfReplica => "a zone with a replica",
+            FaultKind::RegionCut => "a region cut off for an hour",
+            FaultKind::RegionCutOneWay => "a region cut off for an hour, one way",
+            FaultKind::RegionOfLogCut => "the log's region cut off for an hour",
+            FaultKind::PairWithLogCut => "a region and the log's lose each other for an hour",
+            FaultKind::OtherPairCut => "two other regions lose each other for an hour",
         }
     }
 
-    /// Whether it lasts an hour.
+    /// Whether a run of this kind lasts an hour.
     pub(super) fn is_long(self) -> bool {
-        use Kind::*;
+        use FaultKind::*;
         matches!(self, None | RegionCut | RegionCutOneWay | RegionOfLogCut | PairWithLogCut | OtherPairCut)
     }
 
-    /// How often in an ordinary month.
+    /// How often this fault occurs in an ordinary month.
     pub(super) fn per_month(self, dispatchers: u32, arrangement: &Arrangement) -> f64 {
         let dispatchers = f64::from(dispatchers);
-        let scale = dispatchers / TOLD_DISPATCHERS;
-        let machines_told = TOLD_DISPATCHERS + TOLD_CACHE_HOSTS + CONTROL_MACHINES;
-        let failures = MACHINE_FAILURES_PER_DAY * DAYS_PER_MONTH / machines_told;
-        let restarts = RESTARTS_PER_DAY * DAYS_PER_MONTH / machines_told;
+        let scale = dispatchers / REFERENCE_DISPATCHERS;
+        let reference_machines = REFERENCE_DISPATCHERS + REFERENCE_CACHE_NODES + CONTROL_MACHINES;
+        let failures = MACHINE_FAILURES_PER_DAY * DAYS_PER_MONTH / reference_machines;
+        let restarts = RESTARTS_PER_DAY * DAYS_PER_MONTH / reference_machines;
         let replicas = arrangement.replicas as f64;
         let streams = dispatchers * arrangement.streams as f64;
-        let racks = RACKS_PER_MONTH * scale;
-        let rack = racks / (dispatchers / f64::from(RACK)).ceil();
-        let zone = ZONES_PER_MONTH / ZONES as f64;
+        let racks = RACK_FAILURES_PER_MONTH * scale;
+        let rack = racks / (dispatchers / f64::from(DISPATCHERS_PER_RACK)).ceil();
+        let zone = ZONE_FAILURES_PER_MONTH / ZONES as f64;
         let regions = REGIONS as f64;
         let with_log = 2.0 / regions;
         match self {
-            Kind::None => 0.0,
-            Kind::DispatcherRestart => restarts * dispatchers,
-            Kind::DispatcherMachine => failures * dispatchers,
-            Kind::StreamReset => RESETS_PER_STREAM_MONTH * streams,
-            Kind::StreamSilent => SILENCES_PER_STREAM_MONTH * streams,
-            Kind::LogRestart => restarts,
-            Kind::LogMachine => failures,
-            Kind::ReplicaRoll if replicas > 0.0 => restarts,
-            Kind::ReplicaRoll => 0.0,
-            Kind::ReplicaMachine => failures * replicas,
-            Kind::Rack => racks - rack * (1.0 + replicas),
-            Kind::RackOfLog => rack,
-            Kind::RackOfReplica => rack * replicas,
-            Kind::Zone => ZONES_PER_MONTH - zone * (1.0 + replicas),
-            Kind::ZoneOfLog => zone,
-            Kind::ZoneOfReplica => zone * replicas,
-            Kind::RegionCut | Kind::RegionCutOneWay => REGIONS_CUT_PER_MONTH * (1.0 - 1.0 / regions),
-            Kind::RegionOfLogCut => REGIONS_CUT_PER_MONTH / regions,
-            Kind::PairWithLogCut => PAIRS_CUT_PER_MONTH * with_log,
-            Kind::OtherPairCut => PAIRS_CUT_PER_MONTH * (1.0 - with_log),
+            FaultKind::None => 0.0,
+            FaultKind::DispatcherRestart => restarts * dispatchers,
+            FaultKind::DispatcherMachine => failures * dispatchers,
+            FaultKind::StreamReset => RESETS_PER_STREAM_MONTH * streams,
+            FaultKind::StreamSilent => SILENCES_PER_STREAM_MONTH * streams,
+            FaultKind::LogRestart => restarts,
+            FaultKind::LogMachine => failures,
+            FaultKind::ReplicaRoll if replicas > 0.0 => restarts,
+            FaultKind::ReplicaRoll => 0.0,
+            FaultKind::ReplicaMachine => failures * replicas,
+            FaultKind::Rack => racks - rack * (1.0 + replicas),
+            FaultKind::RackOfLog => rack,
+            FaultKind::RackOfReplica => rack * replicas,
+            FaultKind::Zone => ZONE_FAILURES_PER_MONTH - zone * (1.0 + replicas),
+            FaultKind::ZoneOfLog => zone,
+            FaultKind::ZoneOfReplica => zone * replicas,
+            FaultKind::RegionCut | FaultKind::RegionCutOneWay => {
+                REGION_CUTS_PER_MONTH * (1.0 - 1.0 / regions)
+            }
+            FaultKind::RegionOfLogCut => REGION_CUTS_PER_MONTH / regions,
+            FaultKind::PairWithLogCut => PAIR_CUTS_PER_MONTH * with_log,
+            FaultKind::OtherPairCut => PAIR_CUTS_PER_MONTH * (1.0 - with_log),
         }
     }
 
-    /// What is played; `cut` is for how long regions are cut.
+    /// The script of this fault; `cut` is how long regions are cut off.
     pub(super) fn script(self, dispatchers: u32, arrangement: &Arrangement, cut: Nanos, seed: u64) -> Script {
-        let mut writer = Writer { steps: Vec::new(), faults: 1, chance: Random::new(seed) };
-        writer.write(self, dispatchers, arrangement, cut);
-        let last = writer.steps.iter().map(|step| step.0).max();
-        let last = last.unwrap_or(BEGINS.after(cut));
-        writer.steps.sort_by_key(|step| step.0);
-        Script { steps: writer.steps, faults: writer.faults, until: last.after(SETTLES) }
+        let mut builder = ScriptBuilder { steps: Vec::new(), faults: 1, rng: Random::new(seed) };
+        builder.add_steps(self, dispatchers, arrangement, cut);
+        let last = builder.steps.iter().map(|step| step.0).max();
+        let last = last.unwrap_or(FIRST_FAULT_AT.after(cut));
+        builder.steps.sort_by_key(|step| step.0);
+        Script { steps: builder.steps, faults: builder.faults, ends_at: last.after(SETTLE_TIME) }
     }
 }
 
-struct Writer {
+struct ScriptBuilder {
     steps: Vec<(Nanos, Step)>,
     faults: u32,
-    chance: Random,
+    rng: Random,
 }
 
-impl Writer {
-    fn step(&mut self, at: Nanos, step: Step) {
+impl ScriptBuilder {
+    fn push(&mut self, at: Nanos, step: Step) {
         self.steps.push((at, step));
     }
 
-    fn write(&mut self, kind: Kind, dispatchers: u32, arrangement: &Arrangement, cut: Nanos) {
-        let replica = 1 + (self.chance.next_f64() * arrangement.replicas as f64) as usize;
+    fn add_steps(&mut self, kind: FaultKind, dispatchers: u32, arrangement: &Arrangement, cut: Nanos) {
+        let replica = 1 + (self.rng.next_f64() * arrangement.replicas as f64) as usize;
         let place = super::topology::replica(replica - 1);
         match kind {
-            Kind::None => {}
-            Kind::DispatcherRestart => self.singles(dispatchers, RESTART_TAKES),
-            Kind::DispatcherMachine => self.singles(dispatchers, SHORTENED),
-            Kind::StreamReset | Kind::StreamSilent => self.streams(kind, dispatchers, arrangement),
-            Kind::LogRestart => self.source(0, false, BEGINS, RESTART_TAKES),
-            Kind::LogMachine => self.source(0, true, BEGINS, REPLACED_AFTER),
-            Kind::ReplicaRoll => (0..arrangement.replicas).for_each(|at| {
-                let begins = BEGINS.after(Nanos(at as u64 * ROLL_PACE.0));
-                self.source(at + 1, false, begins, RESTART_TAKES);
+            FaultKind::None => {}
+            FaultKind::DispatcherRestart => self.repeat_for_dispatchers(dispatchers, RESTART_TIME),
+            FaultKind::DispatcherMachine => {
+                self.repeat_for_dispatchers(dispatchers, SHORTENED_REPLACEMENT_TIME)
+            }
+            FaultKind::StreamReset | FaultKind::StreamSilent => {
+                self.stream_faults(kind, dispatchers, arrangement)
+            }
+            FaultKind::LogRestart => self.source_outage(0, false, FIRST_FAULT_AT, RESTART_TIME),
+            FaultKind::LogMachine => self.source_outage(0, true, FIRST_FAULT_AT, MACHINE_REPLACEMENT_TIME),
+            FaultKind::ReplicaRoll => (0..arrangement.replicas).for_each(|index| {
+                let at = FIRST_FAULT_AT.after(Nanos(index as u64 * ROLL_INTERVAL.0));
+                self.source_outage(index + 1, false, at, RESTART_TIME);
             }),
-            Kind::ReplicaMachine if arrangement.replicas == 0 => {}
-            Kind::ReplicaMachine => self.source(replica, true, BEGINS, REPLACED_AFTER),
-            Kind::Rack => self.group(Scope::Rack(7), SHORTENED),
-            Kind::RackOfLog => {
-                self.group(Scope::Rack(0), REPLACED_AFTER);
-                self.source(0, true, BEGINS, REPLACED_AFTER);
+            FaultKind::ReplicaMachine if arrangement.replicas == 0 => {}
+            FaultKind::ReplicaMachine => {
+                self.source_outage(replica, true, FIRST_FAULT_AT, MACHINE_REPLACEMENT_TIME)
+            }
+            FaultKind::Rack => self.group_outage(Scope::Rack(7), SHORTENED_REPLACEMENT_TIME),
+            FaultKind::RackOfLog => {
+                self.group_outage(Scope::Rack(0), MACHINE_REPLACEMENT_TIME);
+                self.source_outage(0, true, FIRST_FAULT_AT, MACHINE_REPLACEMENT_TIME);
+            }
+            FaultKind::RackOfReplica | FaultKind::ZoneOfReplica if arrangement.replicas == 0 => {}
+            FaultKind::RackOfReplica => {
+                self.group_outage(Scope::Rack(place.rack), MACHINE_REPLACEMENT_TIME);
+                self.source_outage(replica, true, FIRST_FAULT_AT, MACHINE_REPLACEMENT_TIME);
             }
-            Kind::RackOfReplica | Kind::ZoneOfReplica if arrangement.replicas == 0 => {}
-            Kind::RackOfReplica => {
-                self.group(Scope::Rack(place.rack), REPLACED_AFTER);
-                self.source(replica, true, BEGINS, REPLACED_AFTER);
+            FaultKind::Zone => self.group_outage(Scope::Zone(7), SHORTENED_REPLACEMENT_TIME),
+            FaultKind::ZoneOfLog => {
+                self.group_outage(Scope::Zone(0), MACHINE_REPLACEMENT_TIME);
+                self.source_outage(0, true, FIRST_FAULT_AT, MACHINE_REPLACEMENT_TIME);
             }
-            Kind::Zone => self.group(Scope::Zone(7), SHORTENED),
-            Kind::ZoneOfLog => {
-                self.group(Scope::Zone(0), REPLACED_AFTER);
-                self.source(0, true, BEGINS, REPLACED_AFTER);
+            FaultKind::ZoneOfReplica => {
+                self.group_outage(Scope::Zone(place.zone), MACHINE_REPLACEMENT_TIME);
+                self.source_outage(replica, true, FIRST_FAULT_AT, MACHINE_REPLACEMENT_TIME);
             }
-            Kind::ZoneOfReplica => {
-                self.group(Scope::Zone(place.zone), REPLACED_AFTER);
-                self.source(replica, true, BEGINS, REPLACED_AFTER);
+            FaultKind::RegionCut | FaultKind::RegionCutOneWay | FaultKind::RegionOfLogCut => {
+                self.region_cut(kind, cut)
             }
-            Kind::RegionCut | Kind::RegionCutOneWay | Kind::RegionOfLogCut => self.region(kind, cut),
-            Kind::PairWithLogCut => self.pair(0, 2, cut),
-            Kind::OtherPairCut => self.pair(2, 3, cut),
+            FaultKind::PairWithLogCut => self.pair_cut(0, 2, cut),
+            FaultKind::OtherPairCut => self.pair_cut(2, 3, cut),
         }
     }
 
-    fn group(&mut self, scope: Scope, away: Nanos) {
-        self.step(BEGINS, Step::Stop(scope));
-        self.step(BEGINS.after(away), Step::Start(scope));
+    fn group_outage(&mut self, scope: Scope, downtime: Nanos) {
+        self.push(FIRST_FAULT_AT, Step::Stop(scope));
+        self.push(FIRST_FAULT_AT.after(downtime), Step::Start(scope));
     }
 
-    fn source(&mut self, source: usize, machine: bool, begins: Nanos, away: Nanos) {
-        self.step(begins, Step::SourceStop { source, machine });
-        self.step(begins.after(away), Step::SourceStart { source });
+    fn source_outage(&mut self, source: usize, machine: bool, at: Nanos, downtime: Nanos) {
+        self.push(at, Step::SourceStop { source, machine });
+        self.push(at.after(downtime), Step::SourceStart { source });
     }
 
-    fn single(&mut self, at: u32, dispatchers: u32) -> (Nanos, u32) {
-        let spread = dispatchers / SINGLES.min(dispatchers);
-        let first = (self.chance.next_f64() * f64::from(spread)) as u32;
-        let moment = Nanos::from_secs(f64::from(at) + self.chance.next_f64());
-        (BEGINS.after(moment), at * spread + first)
+    fn target(&mut self, index: u32, dispatchers: u32) -> (Nanos, u32) {
+        let spread = dispatchers / REPEATS_PER_RUN.min(dispatchers);
+        let first = (self.rng.next_f64() * f64::from(spread)) as u32;
+        let time = Nanos::from_secs(f64::from(index) + self.rng.next_f64());
+        (FIRST_FAULT_AT.after(time), index * spread + first)
     }
 
-    fn singles(&mut self, dispatchers: u32, away: Nanos) {
-        self.faults = SINGLES.min(dispatchers);
-        for at in 0..self.faults {
-            let (moment, dispatcher) = self.single(at, dispatchers);
-            self.step(moment, Step::Stop(Scope::Dispatcher(dispatcher)));
-            self.step(moment.after(away), Step::Start(Scope::Dispatcher(dispatcher)));
+    fn repeat_for_dispatchers(&mut self, dispatchers: u32, downtime: Nanos) {
+        self.faults = REPEATS_PER_RUN.min(dispatchers);
+        for index in 0..self.faults {
+            let (time, dispatcher) = self.target(index, dispatchers);
+            self.push(time, Step::Stop(Scope::Dispatcher(dispatcher)));
+            self.push(time.after(downtime), Step::Start(Scope::Dispatcher(dispatcher)));
         }
     }
 
-    fn streams(&mut self, kind: Kind, dispatchers: u32, arrangement: &Arrangement) {
-        self.faults = SINGLES.min(dispatchers);
-        for at in 0..self.faults {
-            let (moment, dispatcher) = self.single(at, dispatchers);
-            let stream = at as usize % arrangement.streams;
+    fn stream_faults(&mut self, kind: FaultKind, dispatchers: u32, arrangement: &Arrangement) {
+        self.faults = REPEATS_PER_RUN.min(dispatchers);
+        for index in 0..self.faults {
+            let (time, dispatcher) = self.target(index, dispatchers);
+            let stream = index as usize % arrangement.streams;
             let step = match kind {
-                Kind::StreamReset => Step::Reset { dispatcher, stream },
+                FaultKind::StreamReset => Step::Reset { dispatcher, stream },
                 _ => Step::Silence { dispatcher, stream },
             };
-            self.step(moment, step);
+            self.push(time, step);
         }
     }
 
-    fn region(&mut self, kind: Kind, cut: Nanos) {
-        let alone = if kind == Kind::RegionOfLogCut { 0 } else { 2 };
-        let mut unreachable = [kind == Kind::RegionOfLogCut; REGIONS];
-        unreachable[alone] = !unreachable[alone];
-        for (at, is_cut) in [(BEGINS, true), (BEGINS.after(cut), false)] {
-            for other in (0..REGIONS).filter(|other| *other != alone) {
-                self.step(at, Step::Cut { from: other, to: alone, cut: is_cut });
-                if kind != Kind::RegionCutOneWay {
-                    self.step(at, Step::Cut { from: alone, to: other, cut: is_cut });
+    fn region_cut(&mut self, kind: FaultKind, cut: Nanos) {
+        let isolated = if kind == FaultKind::RegionOfLogCut { 0 } else { 2 };
+        let mut unreachable = [kind == FaultKind::RegionOfLogCut; REGIONS];
+        unreachable[isolated] = !unreachable[isolated];
+        for (at, is_cut) in [(FIRST_FAULT_AT, true), (FIRST_FAULT_AT.after(cut), false)] {
+            for other in (0..REGIONS).filter(|other| *other != isolated) {
+                self.push(at, Step::Cut { from: other, to: isolated, cut: is_cut });
+                if kind != FaultKind::RegionCutOneWay {
+                    self.push(at, Step::Cut { from: isolated, to: other, cut: is_cut });
                 }
             }
             let now = if is_cut { unreachable } else { [false; REGIONS] };
-            self.step(at, Step::Unreachable(now));
+            self.push(at, Step::Unreachable(now));
         }
     }
 
-    fn pair(&mut self, one: usize, other: usize, cut: Nanos) {
-        for (at, is_cut) in [(BEGINS, true), (BEGINS.after(cut), false)] {
-            self.step(at, Step::Cut { from: one, to: other, cut: is_cut });
-            self.step(at, Step::Cut { from: other, to: one, cut: is_cut });
+    fn pair_cut(&mut self, one: usize, other: usize, cut: Nanos) {
+        for (at, is_cut) in [(FIRST_FAULT_AT, true), (FIRST_FAULT_AT.after(cut), false)] {
+            self.push(at, Step::Cut { from: one, to: other, cut: is_cut });
+            self.push(at, Step::Cut { from: other, to: one, cut: is_cut });
         }
     }
 }
--- a/crates/testbed/src/fleet_simulation/measures.rs
+++ b/crates/testbed/src/fleet_simulation/measures.rs
@@ -1,13 +1,14 @@
-//! What is counted: how late each event is acted on, and for how many dispatcher-seconds a bound is broken.
+//! Counts how late each event is acted on, and for how many dispatcher-seconds a bound is exceeded. `World` reports
+//! what happens at each dispatcher; `trial` reads the totals at the end of a run.
 //!
-//! A dispatcher is over the bound of purges at each moment at which there is a purge, issued more than the bound ago,
-//! that it has not acted on. Such time is of one of three kinds: the log itself is away; no way leads from the log to
-//! the dispatcher; or neither, and only the way of changes is to blame.
+//! A dispatcher is over the purge bound whenever there is a purge, issued more than the bound ago, that it has not
+//! acted on. Such time has one of three causes: the log is down; the log cannot reach the dispatcher; or neither, and
+//! the distribution of changes is the cause.
 
 use super::assumptions::*;
 use copperroute_routing::interface::Nanos;
 
-/// A span of time; one that still lasts ends at the end of time.
+/// A span of time; `to` is the greatest time while the span is still open.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Span {
     pub from: Nanos,
@@ -15,42 +16,42 @@
 }
 
 impl Span {
-    fn common(&self, from: Nanos, to: Nanos) -> f64 {
+    fn overlap_s(&self, from: Nanos, to: Nanos) -> f64 {
         self.to.min(to).since(self.from.max(from)).secs()
     }
 }
 
-/// Dispatcher-seconds over a bound, by what is to blame.
+/// Dispatcher-seconds over a bound, by cause.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub(super) struct Over {
-    /// The way of changes.
-    pub way_s: f64,
-    /// The log was away.
-    pub log_away_s: f64,
-    /// There was no way from the log to the dispatcher.
+pub(super) struct TimeOverBound {
+    /// The distribution of changes.
+    pub distribution_s: f64,
+    /// The log was down.
+    pub log_down_s: f64,
+    /// The log could not reach the dispatcher.
     pub unreachable_s: f64,
 }
 
-impl Over {
-    fn add(&mut self, total_s: f64, log_away_s: f64, unreachable_s: f64) {
-        self.log_away_s += log_away_s;
+impl TimeOverBound {
+    fn add(&mut self, total_s: f64, log_down_s: f64, unreachable_s: f64) {
+        self.log_down_s += log_down_s;
         self.unreachable_s += unreachable_s;
-        self.way_s += (total_s - log_away_s - unreachable_s).max(0.0);
+        self.distribution_s += (total_s - log_down_s - unreachable_s).max(0.0);
     }
 }
 
-/// One dispatcher's account.
+/// The counters of one dispatcher.
 #[derive(Debug, Clone, Default)]
-struct Account {
+struct Counters {
     started: Nanos,
-    /// Up to here its time over the bound of purges, and of configuration, has been counted.
+    /// Time up to which its time over the purge bound, and over the configuration bound, has been counted.
     purges_counted: Nanos,
     configuration_counted: Nanos,
-    /// In a row it has been over the bound for so long; the longest of the run; and all of it.
-    row_s: f64,
+    /// Time over the purge bound: of the current uninterrupted span, of the longest span, and in total.
+    consecutive_s: f64,
     longest_s: f64,
     total_s: f64,
-    /// The last second in which bytes came, and how many.
+    /// The last second in which bytes arrived, and the bytes that arrived in it.
     second: u64,
     bytes: u64,
     version: u64,
@@ -58,179 +59,181 @@
 
 #[derive(Debug, Default)]
 pub(super) struct Measures {
-    /// Nothing is counted before.
+    /// Counting starts here.
     from: Nanos,
-    accounts: Vec<Account>,
-    /// When no way led to some dispatchers, and to which.
+    counters: Vec<Counters>,
+    /// When the log could not reach some dispatchers, and which ones (by number).
     cut: Option<(Span, Vec<bool>)>,
-    away: Option<Span>,
-    /// By event: the longest that a reachable dispatcher took.
+    log_outage: Option<Span>,
+    /// By event number: the longest time that a reachable dispatcher took to act on it.
     pub slowest: Vec<Nanos>,
-    /// By dispatcher and version: until it was in force.
+    /// For each dispatcher and version: time from issue until it was in force.
     pub in_force: Vec<Nanos>,
-    pub purges: Over,
-    /// Reckoned for versions that come by chance at the told rate.
-    pub configuration: Over,
-    /// Dispatcher-seconds in which more than the bytes of the bound came, and the most in one.
+    pub purges: TimeOverBound,
+    /// Expected value for versions issued at random times at the rate `VERSIONS_PER_HOUR`.
+    pub configuration: TimeOverBound,
+    /// Dispatcher-seconds in which more than `CONTROL_BYTES_PER_S` bytes arrived, and the most bytes in one.
     pub bytes_over_s: u64,
     pub most_bytes: u64,
-    /// Bytes that came to dispatchers in all.
+    /// Bytes received by all dispatchers.
     pub bytes: u64,
     pub out_of_touch_s: f64,
-    /// When a dispatcher was first, and when one was last, seen to become out of touch.
-    pub knew: Option<(Nanos, Nanos)>,
+    /// The first and the last time at which a dispatcher became out of touch.
+    pub out_of_touch_span: Option<(Nanos, Nanos)>,
 }
 
 impl Measures {
     pub(super) fn new(dispatchers: u32, from: Nanos) -> Self {
-        Measures { from, accounts: vec![Account::default(); dispatchers as usize], ..Measures::default() }
+        Measures { from, counters: vec![Counters::default(); dispatchers as usize], ..Measures::default() }
     }
 
-    /// The log goes away.
-    pub(super) fn log_away(&mut self, now: Nanos) {
-        self.away = Some(Span { from: now, to: Nanos(u64::MAX) });
+    /// The log goes down.
+    pub(super) fn log_down(&mut self, now: Nanos) {
+        self.log_outage = Some(Span { from: now, to: Nanos(u64::MAX) });
     }
 
-    /// The log is back.
-    pub(super) fn log_back(&mut self, now: Nanos) {
-        self.away.iter_mut().for_each(|span| span.to = now);
+    /// The log is up again.
+    pub(super) fn log_up(&mut self, now: Nanos) {
+        self.log_outage.iter_mut().for_each(|span| span.to = now);
     }
 
-    /// From now on no way leads to these dispatchers.
-    pub(super) fn cut(&mut self, now: Nanos, members: Vec<bool>) {
-        self.cut = Some((Span { from: now, to: Nanos(u64::MAX) }, members));
+    /// From now on the log cannot reach these dispatchers.
+    pub(super) fn cut(&mut self, now: Nanos, unreachable: Vec<bool>) {
+        self.cut = Some((Span { from: now, to: Nanos(u64::MAX) }, unreachable));
     }
 
-    pub(super) fn healed(&mut self, now: Nanos) {
+    pub(super) fn cut_healed(&mut self, now: Nanos) {
         self.cut.iter_mut().for_each(|(span, _)| span.to = now);
     }
 
     /// A dispatcher starts.
     pub(super) fn started(&mut self, dispatcher: u32, now: Nanos) {
-        let account = &mut self.accounts[dispatcher as usize];
-        let (longest_s, total_s) = (account.longest_s, account.total_s);
-        *account = Account {
+        let counters = &mut self.counters[dispatcher as usize];
+        let (longest_s, total_s) = (counters.longest_s, counters.total_s);
+        *counters = Counters {
             started: now,
             purges_counted: now.max(self.from),
             configuration_counted: now.max(self.from),
             longest_s,
             total_s,
-            ..Account::default()
+            ..Counters::default()
         };
     }
 
-    fn cut_of(&self, dispatcher: u32) -> Option<Span> {
-        self.cut.as_ref().filter(|(_, members)| members[dispatcher as usize]).map(|(span, _)| *span)
+    fn cut_span(&self, dispatcher: u32) -> Option<Span> {
+        self.cut.as_ref().filter(|(_, unreachable)| unreachable[dispatcher as usize]).map(|(span, _)| *span)
     }
 
-    /// The dispatcher acts now on an event, or ends without having done so.
-    pub(super) fn acted(&mut self, dispatcher: u32, number: u64, [issued, entered]: [Nanos; 2], now: Nanos) {
-        let cut = self.cut_of(dispatcher);
-        self.count_slowest(dispatcher, number, entered, now);
-        let account = &mut self.accounts[dispatcher as usize];
-        let from = issued.after(PURGE_BOUND).max(account.purges_counted);
+    /// The dispatcher acts on an event now, or stops without having done so.
+    pub(super) fn acted(&mut self, dispatcher: u32, number: u64, [issued, appended]: [Nanos; 2], now: Nanos) {
+        let cut = self.cut_span(dispatcher);
+        self.record_slowest(dispatcher, number, appended, now);
+        let counters = &mut self.counters[dispatcher as usize];
+        let from = issued.after(PURGE_BOUND).max(counters.purges_counted);
         if now > from {
-            let blame = |span: Option<Span>| span.map_or(0.0, |span| span.common(from, now));
-            let unreachable_s = blame(cut);
-            let away_s = blame(self.away).min(now.since(from).secs() - unreachable_s);
-            self.purges.add(now.since(from).secs(), away_s, unreachable_s);
-            account.row_s = if from == account.purges_counted { account.row_s } else { 0.0 };
-            account.row_s += now.since(from).secs();
-            account.total_s += now.since(from).secs();
-            account.longest_s = account.longest_s.max(account.row_s);
-            account.purges_counted = now;
+            let overlap_s = |span: Option<Span>| span.map_or(0.0, |span| span.overlap_s(from, now));
+            let unreachable_s = overlap_s(cut);
+            let log_down_s = overlap_s(self.log_outage).min(now.since(from).secs() - unreachable_s);
+            self.purges.add(now.since(from).secs(), log_down_s, unreachable_s);
+            counters.consecutive_s =
+                if from == counters.purges_counted { counters.consecutive_s } else { 0.0 };
+            counters.consecutive_s += now.since(from).secs();
+            counters.total_s += now.since(from).secs();
+            counters.longest_s = counters.longest_s.max(counters.consecutive_s);
+            counters.purges_counted = now;
         }
-        let from = issued.after(CONFIGURATION_BOUND).max(account.configuration_counted);
+        let from = issued.after(CONFIGURATION_BOUND).max(counters.configuration_counted);
         if now > from {
             let total_s = now.since(from).secs();
-            let part = |span: Option<Span>| span.map_or(0.0, |span| span.common(from, now)) / total_s;
-            let unreachable = part(cut);
-            let away = part(self.away).min(1.0 - unreachable);
-            let expected_s = expected(total_s);
-            self.configuration.add(expected_s, expected_s * away, expected_s * unreachable);
-            account.configuration_counted = now;
+            let fraction = |span: Option<Span>| span.map_or(0.0, |span| span.overlap_s(from, now)) / total_s;
+            let unreachable = fraction(cut);
+            let log_down = fraction(self.log_outage).min(1.0 - unreachable);
+            let expected_s = expected_overdue_s(total_s);
+            self.configuration.add(expected_s, expected_s * log_down, expected_s * unreachable);
+            counters.configuration_counted = now;
         }
     }
 
-    /// How long a dispatcher took since this moment, without the time in which there was no way to it.
-    fn took(&self, dispatcher: u32, since: Nanos, now: Nanos) -> Nanos {
-        let since = since.max(self.accounts[dispatcher as usize].started);
-        let cut_s = self.cut_of(dispatcher).map_or(0.0, |span| span.common(since, now));
+    /// Time from `since` until now at a dispatcher, without the time in which the log could not reach it.
+    fn reachable_time(&self, dispatcher: u32, since: Nanos, now: Nanos) -> Nanos {
+        let since = since.max(self.counters[dispatcher as usize].started);
+        let cut_s = self.cut_span(dispatcher).map_or(0.0, |span| span.overlap_s(since, now));
         now.since(since).since(Nanos::from_secs(cut_s))
     }
 
-    fn count_slowest(&mut self, dispatcher: u32, number: u64, entered: Nanos, now: Nanos) {
-        if entered < self.from {
+    fn record_slowest(&mut self, dispatcher: u32, number: u64, appended: Nanos, now: Nanos) {
+        if appended < self.from {
             return;
         }
-        let took = self.took(dispatcher, entered, now);
+        let taken = self.reachable_time(dispatcher, appended, now);
         let at = number as usize;
         if self.slowest.len() <= at {
             self.slowest.resize(at + 1, Nanos::ZERO);
         }
-        self.slowest[at] = self.slowest[at].max(took);
+        self.slowest[at] = self.slowest[at].max(taken);
     }
 
-    /// A version is in force at a dispatcher; `issued` tells when each was, from the first on.
+    /// A version is in force at a dispatcher; `issued` has the issue time of each version, starting with version 1.
     pub(super) fn version(&mut self, dispatcher: u32, version: u64, issued: &[Nanos], now: Nanos) {
-        let account = &mut self.accounts[dispatcher as usize];
-        let before = account.version;
-        account.version = version.max(before);
-        let counted_from = self.from.max(account.started);
+        let counters = &mut self.counters[dispatcher as usize];
+        let before = counters.version;
+        counters.version = version.max(before);
+        let counted_from = self.from.max(counters.started);
         let new = issued.iter().take(version as usize).skip(before as usize);
         for issued in new {
             if *issued >= counted_from {
-                self.in_force.push(self.took(dispatcher, *issued, now));
+                self.in_force.push(self.reachable_time(dispatcher, *issued, now));
             }
         }
     }
 
-    /// Bytes have come to a dispatcher.
+    /// A dispatcher received bytes.
     pub(super) fn bytes(&mut self, dispatcher: u32, bytes: u64, now: Nanos) {
         if now < self.from {
             return;
         }
-        let account = &mut self.accounts[dispatcher as usize];
+        let counters = &mut self.counters[dispatcher as usize];
         let second = now.0 / SECOND.0;
-        if account.second != second {
-            (account.second, account.bytes) = (second, 0);
+        if counters.second != second {
+            (counters.second, counters.bytes) = (second, 0);
         }
-        let before = account.bytes;
-        account.bytes += bytes;
+        let before = counters.bytes;
+        counters.bytes += bytes;
         self.bytes += bytes;
-        self.bytes_over_s += u64::from(before <= CONTROL_BYTES && account.bytes > CONTROL_BYTES);
-        self.most_bytes = self.most_bytes.max(account.bytes);
+        self.bytes_over_s += u64::from(before <= CONTROL_BYTES_PER_S && counters.bytes > CONTROL_BYTES_PER_S);
+        self.most_bytes = self.most_bytes.max(counters.bytes);
     }
 
-    /// A dispatcher was out of touch for one sweep; `anew` if it was not at the sweep before.
-    pub(super) fn out_of_touch(&mut self, now: Nanos, anew: bool) {
+    /// A dispatcher was out of touch for one sweep; `newly` if it was not at the sweep before.
+    pub(super) fn out_of_touch(&mut self, now: Nanos, newly: bool) {
         if now < self.from {
             return;
         }
-        self.out_of_touch_s += SWEEP.secs();
-        if anew {
-            let first = self.knew.map_or(now, |knew| knew.0);
-            self.knew = Some((first, now));
+        self.out_of_touch_s += SWEEP_INTERVAL.secs();
+        if newly {
+            let first = self.out_of_touch_span.map_or(now, |span| span.0);
+            self.out_of_touch_span = Some((first, now));
         }
     }
 
-    /// How many dispatchers were over the bound of purges, and the longest for which one was.
+    /// The number of dispatchers that were over the purge bound, and the longest uninterrupted span, in seconds.
     pub(super) fn affected(&self) -> (usize, f64) {
-        let over = self.accounts.iter().filter(|account| account.total_s > 0.0);
-        let longest = self.accounts.iter().map(|account| account.longest_s).fold(0.0, f64::max);
+        let over = self.counters.iter().filter(|counters| counters.total_s > 0.0);
+        let longest = self.counters.iter().map(|counters| counters.longest_s).fold(0.0, f64::max);
         (over.count(), longest)
     }
 }
 
-/// Of so many seconds in which a version could be overdue, the part in which one is, where versions come by chance.
-fn expected(exposed_s: f64) -> f64 {
+/// The expected seconds in which a version is overdue, out of `exposed_s` seconds in which one could be, if versions
+/// are issued as a Poisson process.
+fn expected_overdue_s(exposed_s: f64) -> f64 {
     let per_s = VERSIONS_PER_HOUR / 3_600.0;
     exposed_s - (1.0 - (-per_s * exposed_s).exp()) / per_s
 }
 
-/// The value that this part of them does not exceed; they are put in order.
-pub(super) fn quantile(values: &mut [Nanos], part: f64) -> Nanos {
+/// The quantile at `fraction`; sorts the values.
+pub(super) fn quantile(values: &mut [Nanos], fraction: f64) -> Nanos {
     values.sort_unstable();
-    let at = (values.len() as f64 * part).ceil() as usize;
+    let at = (values.len() as f64 * fraction).ceil() as usize;
     values.get(at.saturating_sub(1)).copied().unwrap_or(Nanos::ZERO)
 }
--- a/crates/testbed/src/fleet_simulation/members.rs
+++ b/crates/testbed/src/fleet_simulation/members.rs
@@ -1,9 +1,10 @@
-//! What followers do on the network: they start and stop, call, ask, take what is told and give streams up.
+//! The followers' side of the simulated network: starts and stops dispatchers and replicas, connects their streams,
+//! sends requests, delivers events and heartbeats, and closes silent streams. Called by `World` for each event.
 
 use super::assumptions::*;
-use super::follower::{Follower, News, Start};
+use super::follower::{Follower, FollowerStart, Update};
 use super::source::Connection;
-use super::world::{Link, Occurrence, Payload, SWEEP_GROUPS, World};
+use super::world::{Link, Payload, SWEEP_GROUPS, SimulationEvent, World};
 use copperroute_dispatcher::effects::{Effect, Peer};
 use copperroute_routing::interface::{Nanos, mix};
 
@@ -20,21 +21,21 @@
         let arrangement = self.case.arrangement;
         let is_dispatcher = number < self.case.dispatchers;
         let count = if is_dispatcher { arrangement.streams } else { 1 };
-        let calls = match is_dispatcher {
-            true => arrangement.calls(self.case.dispatchers),
-            false => arrangement.replica_calls(self.case.dispatchers),
+        let reconnect = match is_dispatcher {
+            true => arrangement.reconnect_settings(self.case.dispatchers),
+            false => arrangement.replica_reconnect_settings(self.case.dispatchers),
         };
-        let waits = is_dispatcher && arrangement.waits_at_start;
-        let known = self.record.last_at(self.now.since(KNOWN_UP_TO));
+        let delay_first_connect = is_dispatcher && arrangement.delays_first_connect;
+        let known_event = self.record.last_at(self.now.since(STARTUP_EVENT_AGE));
         let member = &mut self.members[number as usize];
         member.incarnation += 1;
-        let start = Start {
+        let start = FollowerStart {
             sources: member.sources[..count].to_vec(),
-            calls,
+            reconnect,
             seed: mix(self.case.seed ^ mix(u64::from(number) << 20 | u64::from(member.incarnation))),
-            known,
-            clock_off_ms: ((self.chance.next_f64() - 0.5) * CLOCK_SPREAD_MS) as i64,
-            agrees: is_dispatcher,
+            known_event,
+            clock_error_ms: ((self.rng.next_f64() - 0.5) * CLOCK_SPREAD_MS) as i64,
+            applies_versions: is_dispatcher,
         };
         member.follower = Some(Follower::new(&start));
         member.links = vec![Link::default(); count];
@@ -44,9 +45,9 @@
         }
         for stream in 0..count {
             let start = |follower: &mut Follower, now, effects: &mut Vec<Effect>| {
-                follower.start(stream, waits, now, effects);
+                follower.start(stream, delay_first_connect, now, effects);
             };
-            self.with(number, stream, start);
+            self.with_follower(number, stream, start);
         }
     }
 
@@ -57,7 +58,7 @@
         self.members[number as usize].follower = None;
     }
 
-    /// What a dispatcher has not acted on by now counts up to now.
+    /// Counts the time up to now for the oldest event on which a dispatcher has not acted.
     pub(super) fn count_unacted(&mut self, dispatcher: u32) {
         let follower = self.members[dispatcher as usize].follower.as_ref();
         let Some(newest) = follower.map(Follower::newest) else { return };
@@ -65,42 +66,44 @@
         if newest < self.record.last() {
             let entry = self.record.entry(newest + 1);
             if overdue(entry.issued) {
-                self.measures.acted(dispatcher, newest + 1, [entry.issued, entry.entered], self.now);
+                self.measures.acted(dispatcher, newest + 1, [entry.issued, entry.appended], self.now);
             }
-        } else if let Some(issued) = self.waiting.first().filter(|issued| overdue(**issued)) {
+        } else if let Some(issued) = self.pending_purges.first().filter(|issued| overdue(**issued)) {
             self.measures.acted(dispatcher, newest + 1, [*issued, self.now], self.now);
         }
     }
 
-    /// Has a follower do something, and carries out what it asks for.
-    pub(super) fn with(
+    /// Runs an action on a follower and carries out the effects that it returns.
+    pub(super) fn with_follower(
         &mut self,
         member: u32,
         stream: usize,
-        act: impl FnOnce(&mut Follower, Nanos, &mut Vec<Effect>),
+        action: impl FnOnce(&mut Follower, Nanos, &mut Vec<Effect>),
     ) {
         let mut effects = Vec::new();
         if let Some(follower) = &mut self.members[member as usize].follower {
-            act(follower, self.now, &mut effects);
-            self.carry_out(member, stream, effects);
+            action(follower, self.now, &mut effects);
+            self.apply_effects(member, stream, effects);
         }
     }
 
-    pub(super) fn carry_out(&mut self, member: u32, stream: usize, effects: Vec<Effect>) {
+    pub(super) fn apply_effects(&mut self, member: u32, stream: usize, effects: Vec<Effect>) {
         let incarnation = self.members[member as usize].incarnation;
         for effect in effects {
             match effect {
-                Effect::Arm(at, _) => self.put(at, Occurrence::Due { member, stream, incarnation }),
+                Effect::Arm(at, _) => {
+                    self.schedule(at, SimulationEvent::ConnectDue { member, stream, incarnation })
+                }
                 Effect::Connect(Peer::ChangeLog(number), address) => {
                     let connection = Connection { member, stream, incarnation, number };
                     self.connect(connection, usize::from(address.port()));
                 }
-                Effect::Write(..) => self.ask(member, stream),
-                // An older call, which a newer one has taken the place of, ends with nothing lost.
+                Effect::Write(..) => self.send_request(member, stream),
+                // Closing an older connection that a newer one has replaced loses nothing.
                 Effect::Close(Peer::ChangeLog(number))
                     if number == self.members[member as usize].links[stream].number =>
                 {
-                    self.lost(member, stream);
+                    self.stream_closed(member, stream);
                 }
                 _ => {}
             }
@@ -114,93 +117,99 @@
         *link = Link { source, number: connection.number, open: true, ..Link::default() };
         if self.network.connects(place, self.sources[source].place) {
             let delay = self.network.delay(place, self.sources[source].place);
-            self.put(self.now.after(delay), Occurrence::Call { connection, source });
+            self.schedule(self.now.after(delay), SimulationEvent::ConnectReceived { connection, source });
         }
     }
 
-    pub(super) fn ask(&mut self, number: u32, stream: usize) {
+    pub(super) fn send_request(&mut self, number: u32, stream: usize) {
         let member = &mut self.members[number as usize];
         let Some(follower) = &member.follower else { return };
         let (newest, after) = (follower.newest(), follower.applied(stream));
         let link = &mut member.links[stream];
-        link.taken_before = newest;
-        let (source, of) = (link.source, link.number);
-        let connection = Connection { member: number, stream, incarnation: member.incarnation, number: of };
+        link.newest_at_request = newest;
+        let (source, link_number) = (link.source, link.number);
+        let connection =
+            Connection { member: number, stream, incarnation: member.incarnation, number: link_number };
         let delay = self.network.delay(member.place, self.sources[source].place);
-        self.put(self.now.after(delay), Occurrence::Since { connection, source, after });
+        self.schedule(self.now.after(delay), SimulationEvent::RequestReceived { connection, source, after });
     }
 
-    /// A stream was given up, or has ended: the next call goes to the source that comes next.
-    pub(super) fn lost(&mut self, number: u32, stream: usize) {
+    /// A stream was closed: its next connection goes to the next source in order of preference.
+    pub(super) fn stream_closed(&mut self, number: u32, stream: usize) {
         let member = &mut self.members[number as usize];
-        let was = member.links[stream].source;
+        let closed_source = member.links[stream].source;
         member.links[stream].open = false;
-        let at = member.sources.iter().position(|source| *source == was).unwrap_or(0);
+        let at = member.sources.iter().position(|source| *source == closed_source).unwrap_or(0);
         let in_turn = member.sources.iter().cycle().skip(at + 1).take(member.sources.len());
         let others: Vec<usize> = member.links.iter().map(|link| link.source).collect();
         let next = in_turn.copied().find(|source| !others.contains(source));
         if let Some(next) = next {
             member.links[stream].source = next;
-            self.with(number, stream, |follower, now, effects| follower.turn_to(stream, next, now, effects));
+            self.with_follower(number, stream, |follower, now, effects| {
+                follower.follow_source(stream, next, now, effects)
+            });
         }
         if number >= self.case.dispatchers {
-            // A replica vouches for nothing without its own source.
+            // Without its own source a replica cannot tell whether its events are current.
             let source = (number - self.case.dispatchers) as usize + 1;
             self.sources[source].current = false;
             self.end_streams(source);
         }
     }
 
-    pub(super) fn told(&mut self, of: Connection, payload: &Payload) {
-        if !self.is_open(&of) || self.members[of.member as usize].links[of.stream].stalled {
+    pub(super) fn deliver(&mut self, connection: Connection, payload: &Payload) {
+        if !self.is_open(&connection)
+            || self.members[connection.member as usize].links[connection.stream].stalled
+        {
             return;
         }
-        let taken_before = self.members[of.member as usize].links[of.stream].taken_before;
-        let line;
-        let (bytes, counted) = match payload {
+        let newest_at_request =
+            self.members[connection.member as usize].links[connection.stream].newest_at_request;
+        let heartbeat;
+        let (bytes, counted_bytes) = match payload {
             Payload::Events(after, upto) => {
-                let counted = self.record.length((*after).max(taken_before), *upto);
-                (self.record.bytes(*after, *upto), counted)
+                let counted_bytes = self.record.length((*after).max(newest_at_request), *upto);
+                (self.record.bytes(*after, *upto), counted_bytes)
             }
-            Payload::Line(last) => {
-                line = format!("{last}\n");
-                (line.as_bytes(), line.len() as u64)
+            Payload::Heartbeat(last) => {
+                heartbeat = format!("{last}\n");
+                (heartbeat.as_bytes(), heartbeat.len() as u64)
             }
         };
         let mut effects = Vec::new();
-        let Some(follower) = &mut self.members[of.member as usize].follower else { return };
-        let news = follower.received(of.stream, of.number, bytes, self.now, &mut effects);
-        match of.member < self.case.dispatchers {
-            true => self.dispatcher_heard(of.member, counted, &news),
-            false => self.replica_heard(of.member, &news),
+        let Some(follower) = &mut self.members[connection.member as usize].follower else { return };
+        let updates = follower.received(connection.stream, connection.number, bytes, self.now, &mut effects);
+        match connection.member < self.case.dispatchers {
+            true => self.dispatcher_received(connection.member, counted_bytes, &updates),
+            false => self.replica_received(connection.member, &updates),
         }
-        self.carry_out(of.member, of.stream, effects);
+        self.apply_effects(connection.member, connection.stream, effects);
     }
 
-    pub(super) fn dispatcher_heard(&mut self, dispatcher: u32, bytes: u64, news: &[News]) {
+    pub(super) fn dispatcher_received(&mut self, dispatcher: u32, bytes: u64, updates: &[Update]) {
         self.measures.bytes(dispatcher, bytes, self.now);
-        for heard in news {
-            if let News::Event(number) = heard {
+        for update in updates {
+            if let Update::Event(number) = update {
                 let entry = self.record.entry(*number);
-                self.measures.acted(dispatcher, *number, [entry.issued, entry.entered], self.now);
+                self.measures.acted(dispatcher, *number, [entry.issued, entry.appended], self.now);
             }
         }
-        self.note_version(dispatcher);
+        self.record_version(dispatcher);
     }
 
-    pub(super) fn replica_heard(&mut self, member: u32, news: &[News]) {
+    pub(super) fn replica_received(&mut self, member: u32, updates: &[Update]) {
         let source = (member - self.case.dispatchers) as usize + 1;
-        let events = news.iter().filter(|heard| matches!(heard, News::Event(_))).count() as u64;
+        let events = updates.iter().filter(|update| matches!(update, Update::Event(_))).count() as u64;
         if events > 0 {
             self.broadcast(source, |last| Payload::Events(last - events, last));
         }
-        if news.contains(&News::Line { current: true }) {
+        if updates.contains(&Update::Heartbeat { current: true }) {
             self.sources[source].current = true;
-            self.broadcast(source, Payload::Line);
+            self.broadcast(source, Payload::Heartbeat);
         }
     }
 
-    pub(super) fn note_version(&mut self, dispatcher: u32) {
+    pub(super) fn record_version(&mut self, dispatcher: u32) {
         let follower = self.members[dispatcher as usize].follower.as_ref();
         let version = follower.map_or(0, Follower::in_force);
         self.measures.version(dispatcher, version, self.record.versions(), self.now);
@@ -209,25 +218,27 @@
     pub(super) fn sweep(&mut self, group: u32) {
         for number in (group..self.members.len() as u32).step_by(SWEEP_GROUPS as usize) {
             for stream in 0..self.members[number as usize].links.len() {
-                self.with(number, stream, |follower, now, effects| follower.watch(stream, now, effects));
+                self.with_follower(number, stream, |follower, now, effects| {
+                    follower.check_silence(stream, now, effects)
+                });
             }
             if number < self.case.dispatchers {
-                self.look(number);
+                self.update_agreement(number);
             }
         }
-        self.put(self.now.after(self.case.sweep), Occurrence::Sweep(group));
+        self.schedule(self.now.after(self.case.sweep), SimulationEvent::Sweep(group));
     }
 
-    pub(super) fn look(&mut self, dispatcher: u32) {
+    pub(super) fn update_agreement(&mut self, dispatcher: u32) {
         let now = self.now;
         let member = &mut self.members[dispatcher as usize];
         let Some(follower) = &mut member.follower else { return };
-        follower.look(now);
-        let out = follower.is_out_of_touch();
-        let was_out = std::mem::replace(&mut member.out_of_touch, out);
-        if out {
-            self.measures.out_of_touch(now, !was_out);
+        follower.update_agreement(now);
+        let out_of_touch = follower.is_out_of_touch();
+        let was_out_of_touch = std::mem::replace(&mut member.out_of_touch, out_of_touch);
+        if out_of_touch {
+            self.measures.out_of_touch(now, !was_out_of_touch);
         }
-        self.note_version(dispatcher);
+        self.record_version(dispatcher);
     }
 }
--- a/crates/testbed/src/fleet_simulation/mod.rs
+++ b/crates/testbed/src/fleet_simulation/mod.rs
@@ -1,5 +1,6 @@
-//! A seeded simulation of the fleet's way of changes under faults, at sizes that no machine holds: the program's own
-//! cores that follow the change log and agree on versions, on one clock. See docs/CAPACITY.md.
+//! A seeded simulation of how changes reach the fleet under faults, at sizes that do not fit on one machine. It runs
+//! the program's own code for following the change log and agreeing on versions, on one simulated clock. Input:
+//! `Options` from the command line; output: the text of the tables. See docs/CAPACITY.md.
 
 mod arrangement;
 mod assumptions;
@@ -18,60 +19,65 @@
 mod world;
 
 use arrangement::Arrangement;
-use assumptions::{CUT, SWEEP};
+use assumptions::{CUT_DURATION, SWEEP_INTERVAL};
 use copperroute_routing::interface::Nanos;
-use fault::Kind;
+use fault::FaultKind;
 use report::Row;
-use trial::Plan;
+use trial::Trial;
 
-/// What is asked for on the command line.
+/// Command-line options of the simulation.
 #[derive(Debug, Clone)]
 pub(crate) struct Options {
     pub dispatchers: Vec<u32>,
     pub seeds: u64,
-    /// Those that last an hour with so many.
+    /// Number of seeds for the fault kinds that last an hour (`FaultKind::is_long`).
     pub long_seeds: u64,
-    /// The ways of changes by their letters; all if empty.
+    /// Comma-separated letters of the arrangements to simulate (`Arrangement::letter`); all of them if empty.
     pub ways: String,
-    /// Only the ordinary month, ways side by side.
+    /// Prints only the table that compares the arrangements over an ordinary month.
     pub month: bool,
-    /// For how many seconds regions are cut.
+    /// Seconds for which regions are cut off from each other, at most `CUT_DURATION`.
     pub cut_s: f64,
 }
 
-/// The tables.
+/// Runs the simulation and returns its tables.
 pub(crate) fn table(options: &Options) -> String {
     let mut text = String::new();
     for dispatchers in &options.dispatchers {
-        let ways: Vec<(Arrangement, Vec<Row>)> = Arrangement::ALL
+        let arrangements: Vec<(Arrangement, Vec<Row>)> = Arrangement::ALL
             .into_iter()
-            .filter(|way| options.ways.is_empty() || options.ways.split(',').any(|of| way.letter() == of))
-            .map(|way| (way, rows(*dispatchers, way, options)))
+            .filter(|arrangement| {
+                options.ways.is_empty()
+                    || options.ways.split(',').any(|letter| arrangement.letter() == letter)
+            })
+            .map(|arrangement| (arrangement, simulate(*dispatchers, arrangement, options)))
             .collect();
         if !options.month {
-            ways.iter().for_each(|(way, rows)| text += &report::faults(*dispatchers, way, rows));
+            arrangements.iter().for_each(|(arrangement, rows)| {
+                text += &report::fault_table(*dispatchers, arrangement, rows)
+            });
         }
-        text += &report::month(*dispatchers, options.cut_s, &ways);
+        text += &report::month_table(*dispatchers, options.cut_s, &arrangements);
     }
     text
 }
 
-fn rows(dispatchers: u32, arrangement: Arrangement, options: &Options) -> Vec<Row> {
-    let cut = Nanos::from_secs(options.cut_s).min(CUT);
-    let row = |kind: Kind| {
+fn simulate(dispatchers: u32, arrangement: Arrangement, options: &Options) -> Vec<Row> {
+    let cut = Nanos::from_secs(options.cut_s).min(CUT_DURATION);
+    let row = |kind: FaultKind| {
         let per_month = kind.per_month(dispatchers, &arrangement);
-        let plan = Plan { dispatchers, arrangement, kind, cut, sweep: SWEEP };
-        // What never comes is not played.
+        let trial = Trial { dispatchers, arrangement, kind, cut, sweep: SWEEP_INTERVAL };
+        // A fault kind that never occurs under this arrangement is not simulated.
         let seeds = match kind.is_long() {
             true => options.long_seeds,
             false => options.seeds,
         };
-        let seeds = if per_month > 0.0 || kind == Kind::None { seeds } else { 0 };
-        let outcomes = (1..=seeds).map(|seed| plan.play(seed)).collect();
+        let seeds = if per_month > 0.0 || kind == FaultKind::None { seeds } else { 0 };
+        let outcomes = (1..=seeds).map(|seed| trial.run(seed)).collect();
         eprintln!("{dispatchers}, {}: {}", arrangement.name, kind.name());
         Row { kind, per_month, outcomes }
     };
-    Kind::ALL.into_iter().map(row).collect()
+    FaultKind::ALL.into_iter().map(row).collect()
 }
 
 #[cfg(test)]
--- a/crates/testbed/src/fleet_simulation/record.rs
+++ b/crates/testbed/src/fleet_simulation/record.rs
@@ -1,21 +1,22 @@
-//! The events of the change log, as bytes on the wire, with when each was issued and when the log took it.
+//! The events of the change log as bytes on the wire, with the time at which each was issued and the time at which the
+//! log appended it. Events are numbered from 1.
 
-use super::assumptions::{UNIX_MS, VERSION_AHEAD_MS};
-use super::follower::rules;
+use super::assumptions::{ACTIVATION_DELAY_MS, START_UNIX_MS};
+use super::follower::version_rules;
 use copperroute_config_rollout::version::{IssuedVersion, format_digest};
 use copperroute_routing::interface::{Nanos, mix};
 use serde_json::json;
 
-/// Versions in turn say so many attempts.
-const PULLS: [u64; 4] = [3, 6, 2, 5];
-/// One purge in so many is of a group.
-const GROUPS_ONE_IN: u64 = 3;
+/// The maximum attempts of successive versions, in turn.
+const MAX_ATTEMPTS: [u64; 4] = [3, 6, 2, 5];
+/// One purge in this many is for a group of objects (`bucket`), the others for a single object.
+const GROUP_PURGE_ONE_IN: u64 = 3;
 
-/// An event.
+/// When an event was issued, and when the log appended it.
 #[derive(Debug)]
 pub(super) struct Entry {
     pub issued: Nanos,
-    pub entered: Nanos,
+    pub appended: Nanos,
 }
 
 #[derive(Debug, Default)]
@@ -23,7 +24,7 @@
     entries: Vec<Entry>,
     versions: Vec<Nanos>,
     digest: String,
-    /// All lines one after the other, and where each ends.
+    /// The lines of all events, concatenated, and the end offset of each.
     bytes: Vec<u8>,
     ends: Vec<usize>,
 }
@@ -39,47 +40,46 @@
         &self.entries[number as usize - 1]
     }
 
-    /// When each version was issued, from the first on.
+    /// The issue time of each version, starting with version 1.
     pub(super) fn versions(&self) -> &[Nanos] {
         &self.versions
     }
 
-    /// The number of the last event that the log had taken by then.
-    pub(super) fn last_at(&self, moment: Nanos) -> u64 {
-        self.entries.partition_point(|entry| entry.entered <= moment) as u64
+    /// The number of the last event that the log had appended by this time.
+    pub(super) fn last_at(&self, time: Nanos) -> u64 {
+        self.entries.partition_point(|entry| entry.appended <= time) as u64
     }
 
-    fn push(&mut self, issued: Nanos, entered: Nanos, line: String) {
+    fn push(&mut self, issued: Nanos, appended: Nanos, line: String) {
         self.bytes.extend_from_slice(line.as_bytes());
         self.ends.push(self.bytes.len());
-        self.entries.push(Entry { issued, entered });
+        self.entries.push(Entry { issued, appended });
     }
 
-    /// A purge that was issued then, and is taken now.
+    /// Appends a purge that was issued at `issued`.
     pub(super) fn purge(&mut self, issued: Nanos, now: Nanos) {
-        let (seq, time) = (self.last() + 1, UNIX_MS + issued.0 / 1_000_000);
-        let what = match seq % GROUPS_ONE_IN {
+        let (seq, time) = (self.last() + 1, START_UNIX_MS + issued.0 / 1_000_000);
+        let mut invalidate = match seq % GROUP_PURGE_ONE_IN {
             0 => json!({"bucket": seq % 200}),
             _ => json!({"object": format!("{:016x}{:016x}", mix(seq), mix(seq + (1 << 40)))}),
         };
-        let mut invalidate = what;
         invalidate["time"] = json!(time);
         let line = format!("{}\n", json!({"seq": seq, "invalidate": invalidate}));
         self.push(issued, now, line);
     }
 
-    /// The next version, issued now.
+    /// Issues and appends the next version.
     pub(super) fn version(&mut self, now: Nanos) {
         self.versions.push(now);
         let number = self.versions.len() as u64;
-        let issued_ms = UNIX_MS + now.0 / 1_000_000;
+        let issued_ms = START_UNIX_MS + now.0 / 1_000_000;
         let issue = IssuedVersion {
             version: number,
             after: self.digest.clone(),
             issuer: "lab".into(),
             issued_ms,
-            from_ms: issued_ms + VERSION_AHEAD_MS,
-            rules: rules(PULLS[self.versions.len() % PULLS.len()]),
+            from_ms: issued_ms + ACTIVATION_DELAY_MS,
+            rules: version_rules(MAX_ATTEMPTS[self.versions.len() % MAX_ATTEMPTS.len()]),
             floor: None,
         };
         self.digest = format_digest(number, issue.digest());
@@ -87,17 +87,17 @@
         self.push(now, now, line);
     }
 
-    /// The bytes of the events after one up to another.
+    /// The bytes of the events after number `after`, up to and including number `upto`.
     pub(super) fn bytes(&self, after: u64, upto: u64) -> &[u8] {
         self.bytes.get(self.end(after)..self.end(upto)).unwrap_or_default()
     }
 
-    /// Where the lines up to this event end.
+    /// The end offset of this event's line.
     fn end(&self, number: u64) -> usize {
         number.checked_sub(1).map_or(0, |at| self.ends[at as usize])
     }
 
-    /// How many bytes these are.
+    /// The length of `bytes(after, upto)`.
     pub(super) fn length(&self, after: u64, upto: u64) -> u64 {
         self.end(upto).saturating_sub(self.end(after)) as u64
     }
--- a/crates/testbed/src/fleet_simulation/report.rs
+++ b/crates/testbed/src/fleet_simulation/report.rs
@@ -1,46 +1,47 @@
-//! The tables: one for each way of changes, and the ways side by side over an ordinary month.
+//! Formats the outcomes of trials as Markdown tables: one for each arrangement, with a row for each fault kind, and one
+//! that compares the arrangements over an ordinary month.
 
 use super::arrangement::Arrangement;
-use super::fault::Kind;
+use super::fault::FaultKind;
 use super::trial::Outcome;
 use std::fmt::Write as _;
 
-/// What one kind of fault brought under one way of changes, with each seed.
+/// The outcomes of one fault kind under one arrangement, one for each seed.
 pub(super) struct Row {
-    pub kind: Kind,
+    pub kind: FaultKind,
     pub per_month: f64,
     pub outcomes: Vec<Outcome>,
 }
 
 impl Row {
-    fn mean(&self, of: impl Fn(&Outcome) -> f64) -> f64 {
-        self.outcomes.iter().map(of).sum::<f64>() / self.outcomes.len().max(1) as f64
+    fn mean(&self, value: impl Fn(&Outcome) -> f64) -> f64 {
+        self.outcomes.iter().map(value).sum::<f64>() / self.outcomes.len().max(1) as f64
     }
 
-    fn worst(&self, of: impl Fn(&Outcome) -> f64) -> f64 {
-        self.outcomes.iter().map(of).fold(0.0, f64::max)
+    fn max(&self, value: impl Fn(&Outcome) -> f64) -> f64 {
+        self.outcomes.iter().map(value).fold(0.0, f64::max)
     }
 
-    fn least(&self, of: impl Fn(&Outcome) -> f64) -> f64 {
-        self.outcomes.iter().map(of).fold(f64::INFINITY, f64::min)
+    fn min(&self, value: impl Fn(&Outcome) -> f64) -> f64 {
+        self.outcomes.iter().map(value).fold(f64::INFINITY, f64::min)
     }
 
-    /// The mean, and the least and the most of the seeds.
-    fn spread(&self, of: impl Fn(&Outcome) -> f64 + Copy) -> String {
-        let (least, mean, most) = (self.least(of), self.mean(of), self.worst(of));
-        match most - least < 0.005 * most.max(1.0) {
-            true => figure(mean),
-            false => format!("{} ({} to {})", figure(mean), figure(least), figure(most)),
+    /// The mean over the seeds, with the least and the greatest value if they differ noticeably.
+    fn spread(&self, value: impl Fn(&Outcome) -> f64 + Copy) -> String {
+        let (min, mean, max) = (self.min(value), self.mean(value), self.max(value));
+        match max - min < 0.005 * max.max(1.0) {
+            true => format_number(mean),
+            false => format!("{} ({} to {})", format_number(mean), format_number(min), format_number(max)),
         }
     }
 
-    fn monthly(&self, of: impl Fn(&Outcome) -> f64) -> f64 {
-        self.per_month * self.mean(of)
+    fn monthly(&self, value: impl Fn(&Outcome) -> f64) -> f64 {
+        self.per_month * self.mean(value)
     }
 }
 
-/// A number with as many digits as it is worth, with thousands set apart.
-fn figure(value: f64) -> String {
+/// Formats a number: one decimal below 100, otherwise an integer with commas between thousands.
+fn format_number(value: f64) -> String {
     if value.abs() < 0.05 {
         return "0".into();
     }
@@ -53,12 +54,12 @@
     grouped.join(",")
 }
 
-fn three(values: [f64; 3]) -> String {
+fn format_three(values: [f64; 3]) -> String {
     values.map(|value| format!("{value:.2}")).join(", ")
 }
 
-/// A way of changes: a line for each kind of fault.
-pub(super) fn faults(dispatchers: u32, arrangement: &Arrangement, rows: &[Row]) -> String {
+/// The table of one arrangement: one row for each fault kind.
+pub(super) fn fault_table(dispatchers: u32, arrangement: &Arrangement, rows: &[Row]) -> String {
     let mut text = format!(
         "\n{dispatchers} dispatchers, {}; worst, or mean (least to most of the seeds):\n\n\
          | fault | a month | dispatchers over 2.1 s, longest (s) | purge acted on: p50, p99, worst (s) | version in \
@@ -68,62 +69,74 @@
         arrangement.name,
     );
     for row in rows.iter().filter(|row| !row.outcomes.is_empty()) {
-        let worst = |of: fn(&Outcome) -> [f64; 3]| three([0, 1, 2].map(|at| row.worst(|o| of(o)[at])));
+        let worst =
+            |value: fn(&Outcome) -> [f64; 3]| format_three([0, 1, 2].map(|at| row.max(|o| value(o)[at])));
         let _ = writeln!(
             text,
             "| {} | {} | {}, {} | {} | {} | {}; {}; {} | {}; {}; {} | {}, {} | {} | {}, {:.2} |",
             row.kind.name(),
-            figure(row.per_month),
+            format_number(row.per_month),
             row.spread(|o| o.affected),
-            figure(row.worst(|o| o.longest_s)),
+            format_number(row.max(|o| o.longest_s)),
             worst(|o| o.purge_s),
             worst(|o| o.version_s),
-            row.spread(|o| o.purges.way_s),
-            figure(row.mean(|o| o.purges.log_away_s)),
-            figure(row.mean(|o| o.purges.unreachable_s)),
-            row.spread(|o| o.configuration.way_s),
-            figure(row.mean(|o| o.configuration.log_away_s)),
-            figure(row.mean(|o| o.configuration.unreachable_s)),
+            row.spread(|o| o.purges.distribution_s),
+            format_number(row.mean(|o| o.purges.log_down_s)),
+            format_number(row.mean(|o| o.purges.unreachable_s)),
+            row.spread(|o| o.configuration.distribution_s),
+            format_number(row.mean(|o| o.configuration.log_down_s)),
+            format_number(row.mean(|o| o.configuration.unreachable_s)),
             row.spread(|o| o.bytes_over_s),
-            figure(row.worst(|o| o.most_bytes as f64)),
+            format_number(row.max(|o| o.most_bytes as f64)),
             row.spread(|o| o.out_of_touch_s),
-            figure(row.worst(|o| f64::from(o.falls))),
-            row.worst(|o| o.most_calls),
+            format_number(row.max(|o| f64::from(o.overloads))),
+            row.max(|o| o.max_connect_load),
         );
     }
     text
 }
 
-/// Ways of changes side by side: dispatcher-seconds of an ordinary month over the bound of purges.
-pub(super) fn month(dispatchers: u32, cut_s: f64, ways: &[(Arrangement, Vec<Row>)]) -> String {
+/// The table that compares the arrangements: dispatcher-seconds over the purge bound in an ordinary month.
+pub(super) fn month_table(dispatchers: u32, cut_s: f64, arrangements: &[(Arrangement, Vec<Row>)]) -> String {
     let mut text = format!(
         "\n{dispatchers} dispatchers, an ordinary month, regions cut for {cut_s} s, dispatcher-seconds over 2.1 s:\n\n| fault |"
     );
-    for (arrangement, _) in ways {
+    for (arrangement, _) in arrangements {
         let _ = write!(text, " {} |", arrangement.name);
     }
-    text += &format!("\n|{}\n", " --- |".repeat(ways.len() + 1));
-    for (at, kind) in Kind::ALL.into_iter().enumerate() {
-        let of = |rows: &[Row]| rows.get(at).map_or(0.0, |row| row.monthly(|o| o.purges.way_s));
-        push(&mut text, kind.name(), ways, of);
+    text += &format!("\n|{}\n", " --- |".repeat(arrangements.len() + 1));
+    for (at, kind) in FaultKind::ALL.into_iter().enumerate() {
+        let value = |rows: &[Row]| rows.get(at).map_or(0.0, |row| row.monthly(|o| o.purges.distribution_s));
+        push_row(&mut text, kind.name(), arrangements, value);
     }
-    let sum =
-        |of: fn(&Outcome) -> f64| move |rows: &[Row]| rows.iter().map(|row| row.monthly(of)).sum::<f64>();
-    push(&mut text, "**all, the way of changes**", ways, sum(|o| o.purges.way_s));
-    push(&mut text, "the log away", ways, sum(|o| o.purges.log_away_s));
-    push(&mut text, "no way to the log", ways, sum(|o| o.purges.unreachable_s));
-    push(&mut text, "configuration over 9 s: the way", ways, sum(|o| o.configuration.way_s));
-    push(&mut text, "configuration: log away", ways, sum(|o| o.configuration.log_away_s));
-    push(&mut text, "configuration: no way", ways, sum(|o| o.configuration.unreachable_s));
-    push(&mut text, "seconds over 9 KB", ways, sum(|o| o.bytes_over_s));
-    push(&mut text, "out of touch", ways, sum(|o| o.out_of_touch_s));
+    let sum = |value: fn(&Outcome) -> f64| {
+        move |rows: &[Row]| rows.iter().map(|row| row.monthly(value)).sum::<f64>()
+    };
+    push_row(&mut text, "**all, the way of changes**", arrangements, sum(|o| o.purges.distribution_s));
+    push_row(&mut text, "the log away", arrangements, sum(|o| o.purges.log_down_s));
+    push_row(&mut text, "no way to the log", arrangements, sum(|o| o.purges.unreachable_s));
+    push_row(
+        &mut text,
+        "configuration over 9 s: the way",
+        arrangements,
+        sum(|o| o.configuration.distribution_s),
+    );
+    push_row(&mut text, "configuration: log away", arrangements, sum(|o| o.configuration.log_down_s));
+    push_row(&mut text, "configuration: no way", arrangements, sum(|o| o.configuration.unreachable_s));
+    push_row(&mut text, "seconds over 9 KB", arrangements, sum(|o| o.bytes_over_s));
+    push_row(&mut text, "out of touch", arrangements, sum(|o| o.out_of_touch_s));
     text
 }
 
-fn push(text: &mut String, name: &str, ways: &[(Arrangement, Vec<Row>)], of: impl Fn(&[Row]) -> f64) {
+fn push_row(
+    text: &mut String,
+    name: &str,
+    arrangements: &[(Arrangement, Vec<Row>)],
+    value: impl Fn(&[Row]) -> f64,
+) {
     let _ = write!(text, "| {name} |");
-    for (_, rows) in ways {
-        let _ = write!(text, " {} |", figure(of(rows)));
+    for (_, rows) in arrangements {
+        let _ = write!(text, " {} |", format_number(value(rows)));
     }
     text.push('\n');
 }
--- a/crates/testbed/src/fleet_simulation/sources.rs
+++ b/crates/testbed/src/fleet_simulation/sources.rs
@@ -1,14 +1,15 @@
-//! What sources do on the network: they take calls, tell events and lines, and end streams.
+//! The sources' side of the simulated network: accepts connections, sends events and heartbeats, and ends streams.
+//! Called by `World` for each event.
 
 use super::assumptions::STREAM_BYTES_PER_S;
 use super::follower::Follower;
-use super::source::{Answer, Connection};
-use super::world::{Occurrence, Payload, World};
+use super::source::{ConnectAnswer, Connection};
+use super::world::{Payload, SimulationEvent, World};
 use copperroute_routing::interface::Nanos;
 
 impl World {
     /// The last event that a source has.
-    pub(super) fn held(&self, source: usize) -> u64 {
+    pub(super) fn last_event(&self, source: usize) -> u64 {
         match source {
             0 => self.record.last(),
             replica => {
@@ -19,7 +20,7 @@
     }
 
     pub(super) fn broadcast(&mut self, source: usize, payload: impl Fn(u64) -> Payload) {
-        let last = self.held(source);
+        let last = self.last_event(source);
         let mut followers = std::mem::take(&mut self.sources[source].followers);
         followers.retain(|connection| self.is_open(connection));
         for connection in &followers {
@@ -40,48 +41,48 @@
         }
         let bytes = match payload {
             Payload::Events(after, upto) => self.record.length(after, upto),
-            Payload::Line(_) => 0,
+            Payload::Heartbeat(_) => 0,
         };
         let delay = self.network.delay(from, place);
         let sent = self.now.after(Nanos::from_secs(bytes as f64 / STREAM_BYTES_PER_S));
         let link = &mut self.members[to.member as usize].links[to.stream];
         link.last_arrival = sent.after(delay).max(link.last_arrival);
         let at = link.last_arrival;
-        self.put(at, Occurrence::Told(to, payload));
+        self.schedule(at, SimulationEvent::Delivered(to, payload));
     }
 
-    pub(super) fn call(&mut self, connection: Connection, source: usize) {
+    pub(super) fn connect_received(&mut self, connection: Connection, source: usize) {
         if !self.is_open(&connection) || !self.sources[source].machine_up {
             return;
         }
         let place = self.members[connection.member as usize].place;
         let delay = self.network.delay(self.sources[source].place, place);
-        let answer = self.sources[source].called(self.now);
-        let what = match answer {
-            Answer::Accepted => Occurrence::Accepted(connection),
-            Answer::Refused | Answer::Falls => Occurrence::Ended(connection),
+        let answer = self.sources[source].connect_received(self.now);
+        let event = match answer {
+            ConnectAnswer::Accepted => SimulationEvent::Accepted(connection),
+            ConnectAnswer::Refused | ConnectAnswer::Overloaded => SimulationEvent::Closed(connection),
         };
-        self.put(self.now.after(delay), what);
-        if answer == Answer::Falls {
+        self.schedule(self.now.after(delay), event);
+        if answer == ConnectAnswer::Overloaded {
             self.end_streams(source);
         }
     }
 
-    pub(super) fn since(&mut self, connection: Connection, source: usize, after: u64) {
+    pub(super) fn request_received(&mut self, connection: Connection, source: usize, after: u64) {
         if !self.is_open(&connection) || !self.sources[source].current {
             return;
         }
-        let last = self.held(source);
+        let last = self.last_event(source);
         let link = &mut self.members[connection.member as usize].links[connection.stream];
         link.last_arrival = self.now;
         self.sources[source].followers.push(connection);
         if after < last {
             self.send(source, connection, Payload::Events(after, last));
         }
-        self.send(source, connection, Payload::Line(last));
+        self.send(source, connection, Payload::Heartbeat(last));
     }
 
-    /// All streams of a source are reset.
+    /// Resets all streams of a source.
     pub(super) fn end_streams(&mut self, source: usize) {
         let followers = std::mem::take(&mut self.sources[source].followers);
         self.reset(source, followers);
@@ -93,7 +94,7 @@
             let place = self.members[connection.member as usize].place;
             if self.is_open(&connection) && self.network.connects(from, place) {
                 let delay = self.network.delay(from, place);
-                self.put(self.now.after(delay), Occurrence::Ended(connection));
+                self.schedule(self.now.after(delay), SimulationEvent::Closed(connection));
             }
         }
     }
--- a/crates/testbed/src/fleet_simulation/steps.rs
+++ b/crates/testbed/src/fleet_simulation/steps.rs
@@ -1,8 +1,8 @@
-//! The steps of a fault.
+//! Carries out the steps of a fault script on the simulated fleet.
 
 use super::fault::{Scope, Step};
 use super::source::Connection;
-use super::world::{Occurrence, World};
+use super::world::{SimulationEvent, World};
 
 impl World {
     pub(super) fn in_scope(&self, scope: Scope) -> Vec<u32> {
@@ -31,12 +31,12 @@
                 let cut = dispatchers.iter().map(|member| regions[member.place.region]).collect();
                 self.measures.cut(self.now, cut);
             }
-            Step::Unreachable(_) => self.measures.healed(self.now),
+            Step::Unreachable(_) => self.measures.cut_healed(self.now),
             Step::Reset { dispatcher, stream } => {
                 let member = &self.members[dispatcher as usize];
                 let (incarnation, number) = (member.incarnation, member.links[stream].number);
                 let connection = Connection { member: dispatcher, stream, incarnation, number };
-                self.put(self.now, Occurrence::Ended(connection));
+                self.schedule(self.now, SimulationEvent::Closed(connection));
             }
             Step::Silence { dispatcher, stream } => {
                 self.members[dispatcher as usize].links[stream].stalled = true;
@@ -46,7 +46,7 @@
 
     pub(super) fn stop_source(&mut self, source: usize, machine: bool) {
         if source == 0 {
-            self.measures.log_away(self.now);
+            self.measures.log_down(self.now);
         } else {
             self.stop_member(self.case.dispatchers + source as u32 - 1);
         }
@@ -61,8 +61,8 @@
         if source > 0 {
             return self.start_member(self.case.dispatchers + source as u32 - 1);
         }
-        self.measures.log_back(self.now);
-        for issued in std::mem::take(&mut self.waiting) {
+        self.measures.log_up(self.now);
+        for issued in std::mem::take(&mut self.pending_purges) {
             self.record.purge(issued, self.now);
         }
     }
--- a/crates/testbed/src/fleet_simulation/world.rs
+++ b/crates/testbed/src/fleet_simulation/world.rs
@@ -1,5 +1,6 @@
-//! The fleet on one clock: the log, its replicas and all dispatchers, what is on its way between them, and a script
-//! of faults. Followers are the program's own cores; bytes come to them as they would on a socket.
+//! The simulated fleet on one clock: the change log, its replicas, all dispatchers, the messages in flight between
+//! them, and a script of faults. Followers run the program's own code and receive bytes as they would on a socket.
+//! `World::new` takes a case and a script; after `World::run` the results are in `measures` and `sources`.
 
 use super::arrangement::{Arrangement, place_of};
 use super::assumptions::*;
@@ -16,47 +17,47 @@
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-/// Dispatchers look after their connections in so many groups, one after the other.
+/// Followers check their connections in this many groups, spread evenly over the sweep interval.
 pub(super) const SWEEP_GROUPS: u32 = 25;
 
-/// What is simulated.
+/// The parameters of one run.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Case {
     pub dispatchers: u32,
     pub arrangement: Arrangement,
     pub seed: u64,
-    /// How often silence is looked for; longer than `SWEEP` is a fault built in on purpose.
+    /// Interval at which streams are checked for silence; tests inject a fault by a value above `SWEEP_INTERVAL`.
     pub sweep: Nanos,
-    /// Versions come so far apart.
-    pub versions_apart: Nanos,
+    /// Interval between versions.
+    pub version_interval: Nanos,
 }
 
 #[derive(Debug)]
 pub(super) enum Payload {
-    /// Events after one number up to another.
+    /// The events after the first number, up to and including the second.
     Events(u64, u64),
-    Line(u64),
+    Heartbeat(u64),
 }
 
 #[derive(Debug)]
-pub(super) enum Occurrence {
+pub(super) enum SimulationEvent {
     Purge,
     Version,
-    LogLine,
+    LogHeartbeat,
     Sweep(u32),
     Step(usize),
-    Due { member: u32, stream: usize, incarnation: u32 },
-    Call { connection: Connection, source: usize },
+    ConnectDue { member: u32, stream: usize, incarnation: u32 },
+    ConnectReceived { connection: Connection, source: usize },
     Accepted(Connection),
-    Ended(Connection),
-    Since { connection: Connection, source: usize, after: u64 },
-    Told(Connection, Payload),
+    Closed(Connection),
+    RequestReceived { connection: Connection, source: usize, after: u64 },
+    Delivered(Connection, Payload),
 }
 
 pub(super) struct Queued {
     at: Nanos,
     order: u64,
-    what: Occurrence,
+    event: SimulationEvent,
 }
 
 impl PartialEq for Queued {
@@ -74,7 +75,7 @@
 }
 
 impl Ord for Queued {
-    /// The earliest is the greatest.
+    /// The earliest event is the greatest, so that `BinaryHeap` returns it first.
     fn cmp(&self, other: &Self) -> Ordering {
         (other.at, other.order).cmp(&(self.at, self.order))
     }
@@ -86,12 +87,13 @@
     pub(super) source: usize,
     pub(super) number: u32,
     pub(super) open: bool,
-    /// Something on it was lost: nothing comes any more, and nobody is told.
+    /// A message on it was lost: nothing arrives any more, and neither end is notified.
     pub(super) stalled: bool,
-    /// What comes later comes no earlier than this.
+    /// When the last message arrives; later ones arrive no earlier, so the order is kept.
     pub(super) last_arrival: Nanos,
-    /// Events up to this had been taken when it was asked for: a merge of streams does not ask for them again.
-    pub(super) taken_before: u64,
+    /// The last event that the follower had when it requested the stream: with merged streams it does not request
+    /// earlier ones again, so their bytes are not counted.
+    pub(super) newest_at_request: u64,
 }
 
 pub(super) struct Member {
@@ -110,10 +112,10 @@
     pub(super) order: u64,
     pub(super) queue: BinaryHeap<Queued>,
     pub(super) network: Network,
-    pub(super) chance: Random,
+    pub(super) rng: Random,
     pub(super) record: Record,
-    /// Purges that were issued while the log was away.
-    pub(super) waiting: Vec<Nanos>,
+    /// Issue times of purges that were issued while the log was down.
+    pub(super) pending_purges: Vec<Nanos>,
     /// Dispatchers, then replicas.
     pub(super) members: Vec<Member>,
     pub sources: Vec<Source>,
@@ -123,8 +125,9 @@
 impl World {
     pub(super) fn new(case: Case, script: Script) -> Self {
         let (count, arrangement) = (case.dispatchers, case.arrangement);
-        let bears = arrangement.bears(count);
-        let sources = (0..=arrangement.replicas).map(|at| Source::new(place_of(at), bears)).collect();
+        let connect_capacity_per_s = arrangement.connect_capacity_per_s(count);
+        let sources =
+            (0..=arrangement.replicas).map(|at| Source::new(place_of(at), connect_capacity_per_s)).collect();
         let dispatchers = (0..count).map(|at| (topology::dispatcher(at), arrangement.sources(at, case.seed)));
         let replicas = (0..arrangement.replicas).map(|at| (topology::replica(at), vec![0]));
         let member = |(place, sources)| Member {
@@ -140,9 +143,9 @@
             members: dispatchers.chain(replicas).map(member).collect(),
             sources,
             network: Network::new(mix(case.seed ^ 0x6E65)),
-            chance: Random::new(mix(case.seed)),
+            rng: Random::new(mix(case.seed)),
             record: Record::default(),
-            waiting: Vec::new(),
+            pending_purges: Vec::new(),
             queue: BinaryHeap::new(),
             now: Nanos::ZERO,
             order: 0,
@@ -151,98 +154,102 @@
         }
     }
 
-    /// Plays the script to its end.
+    /// Runs the script to its end.
     pub(super) fn run(&mut self) {
         self.sources[0].start(true);
         for replica in 0..self.case.arrangement.replicas {
             self.sources[replica + 1].start(false);
             self.start_member(self.case.dispatchers + replica as u32);
         }
-        // All dispatchers start within a second; who starts is counted from then.
+        // All dispatchers start at once; each is counted from its start.
         for dispatcher in 0..self.case.dispatchers {
             self.start_member(dispatcher);
         }
-        self.put(Nanos::ZERO, Occurrence::Purge);
-        self.put(Nanos(5 * SECOND.0), Occurrence::Version);
-        self.put(SECOND, Occurrence::LogLine);
+        self.schedule(Nanos::ZERO, SimulationEvent::Purge);
+        self.schedule(Nanos(5 * SECOND.0), SimulationEvent::Version);
+        self.schedule(SECOND, SimulationEvent::LogHeartbeat);
         for group in 0..SWEEP_GROUPS {
             let phase = self.case.sweep.0 / u64::from(SWEEP_GROUPS) * u64::from(group);
-            self.put(Nanos(phase), Occurrence::Sweep(group));
+            self.schedule(Nanos(phase), SimulationEvent::Sweep(group));
         }
         for at in 0..self.script.steps.len() {
-            self.put(self.script.steps[at].0, Occurrence::Step(at));
+            self.schedule(self.script.steps[at].0, SimulationEvent::Step(at));
         }
-        while let Some(Queued { at, what, .. }) = self.queue.pop() {
-            if at > self.script.until {
+        while let Some(Queued { at, event, .. }) = self.queue.pop() {
+            if at > self.script.ends_at {
                 break;
             }
             self.now = at;
-            self.happens(what);
+            self.handle(event);
         }
-        self.now = self.script.until;
+        self.now = self.script.ends_at;
         for dispatcher in 0..self.case.dispatchers {
             self.count_unacted(dispatcher);
         }
     }
 
-    pub(super) fn put(&mut self, at: Nanos, what: Occurrence) {
+    pub(super) fn schedule(&mut self, at: Nanos, event: SimulationEvent) {
         self.order += 1;
-        self.queue.push(Queued { at, order: self.order, what });
+        self.queue.push(Queued { at, order: self.order, event });
     }
 
-    fn happens(&mut self, what: Occurrence) {
-        match what {
-            Occurrence::Purge => self.purge(),
-            Occurrence::Version => self.version(),
-            Occurrence::LogLine => {
+    fn handle(&mut self, event: SimulationEvent) {
+        match event {
+            SimulationEvent::Purge => self.issue_purge(),
+            SimulationEvent::Version => self.issue_version(),
+            SimulationEvent::LogHeartbeat => {
                 if self.sources[0].process_up {
-                    self.broadcast(0, Payload::Line);
+                    self.broadcast(0, Payload::Heartbeat);
                 }
-                self.put(self.now.after(SECOND), Occurrence::LogLine);
+                self.schedule(self.now.after(SECOND), SimulationEvent::LogHeartbeat);
             }
-            Occurrence::Sweep(group) => self.sweep(group),
-            Occurrence::Step(at) => self.step(self.script.steps[at].1),
-            Occurrence::Due { member, stream, incarnation } => {
+            SimulationEvent::Sweep(group) => self.sweep(group),
+            SimulationEvent::Step(at) => self.step(self.script.steps[at].1),
+            SimulationEvent::ConnectDue { member, stream, incarnation } => {
                 if self.members[member as usize].incarnation == incarnation {
-                    self.with(member, stream, |follower, now, effects| follower.due(stream, now, effects));
+                    self.with_follower(member, stream, |follower, now, effects| {
+                        follower.connect_due(stream, now, effects)
+                    });
                 }
             }
-            Occurrence::Call { connection, source } => self.call(connection, source),
-            Occurrence::Accepted(of) => {
-                if self.is_open(&of) {
+            SimulationEvent::ConnectReceived { connection, source } => {
+                self.connect_received(connection, source)
+            }
+            SimulationEvent::Accepted(connection) => {
+                if self.is_open(&connection) {
                     let connected = |follower: &mut Follower, now, effects: &mut Vec<Effect>| {
-                        follower.connected(of.stream, of.number, now, effects);
+                        follower.connected(connection.stream, connection.number, now, effects);
                     };
-                    self.with(of.member, of.stream, connected);
+                    self.with_follower(connection.member, connection.stream, connected);
                 }
             }
-            Occurrence::Ended(of) => {
-                if self.is_open(&of) {
+            SimulationEvent::Closed(connection) => {
+                if self.is_open(&connection) {
                     let closed = |follower: &mut Follower, now, effects: &mut Vec<Effect>| {
-                        follower.closed(of.stream, of.number, now, effects);
+                        follower.closed(connection.stream, connection.number, now, effects);
                     };
-                    self.with(of.member, of.stream, closed);
+                    self.with_follower(connection.member, connection.stream, closed);
                 }
             }
-            Occurrence::Since { connection, source, after } => self.since(connection, source, after),
-            Occurrence::Told(connection, payload) => self.told(connection, &payload),
+            SimulationEvent::RequestReceived { connection, source, after } => {
+                self.request_received(connection, source, after)
+            }
+            SimulationEvent::Delivered(connection, payload) => self.deliver(connection, &payload),
         }
     }
 
-    // What is issued.
-
-    fn purge(&mut self) {
-        let gap = -(1.0 - self.chance.next_f64()).ln() / PURGES_PER_S;
-        self.put(self.now.after(Nanos::from_secs(gap)), Occurrence::Purge);
+    fn issue_purge(&mut self) {
+        let gap = -(1.0 - self.rng.next_f64()).ln() / PURGES_PER_S;
+        self.schedule(self.now.after(Nanos::from_secs(gap)), SimulationEvent::Purge);
         if !self.sources[0].process_up {
-            return self.waiting.push(self.now);
+            return self.pending_purges.push(self.now);
         }
         self.record.purge(self.now, self.now);
         self.broadcast(0, |last| Payload::Events(last - 1, last));
     }
 
-    fn version(&mut self) {
-        self.put(self.now.after(self.case.versions_apart), Occurrence::Version);
+    fn issue_version(&mut self) {
+        self.schedule(self.now.after(self.case.version_interval), SimulationEvent::Version);
         if self.sources[0].process_up {
             self.record.version(self.now);
             self.broadcast(0, |last| Payload::Events(last - 1, last));
