--- a/crates/testbed/src/fleet_simulation/arrangement.rs
+++ b/crates/testbed/src/fleet_simulation/arrangement.rs
@@ -15,8 +15,9 @@
     pub streams: usize,
     /// Connections per second that each source accepts, as a multiple of `CONNECTS_PER_S_PER_DISPATCHER`.
     pub connect_capacity_factor: f64,
-    /// Whether a dispatcher that starts with a node list first connects as late as its delivery bound allows
-    /// (`ReconnectSchedule::started`); otherwise it connects in the next reconnect window.
+    /// Whether a dispatcher that starts with a node list first connects as late as its delivery bound allows, so that
+    /// dispatchers without a list connect first (see `ReconnectSchedule`); otherwise it connects in the next reconnect
+    /// window.
     pub delays_first_connect: bool,
 }
 
@@ -61,8 +62,8 @@
         (f64::from(dispatchers) * CONNECTS_PER_S_PER_DISPATCHER * self.connect_capacity_factor).max(1.0)
     }
 
-    /// The reconnect settings of a dispatcher. They count all streams as spread over one replica fewer, so that reconnect
-    /// windows stay long enough when a replica is lost.
+    /// The reconnect settings of a dispatcher. They count all streams as spread over one replica fewer, so that
+    /// reconnect windows stay long enough when a replica is lost.
     pub(super) fn reconnect_settings(&self, dispatchers: u32) -> ReconnectSettings {
         let streams = dispatchers * self.streams as u32;
         let share = (self.replicas.saturating_sub(1) as u32).max(1);
