--- a/crates/testbed/src/slopes/fit.rs
+++ b/crates/testbed/src/slopes/fit.rs
@@ -1,28 +1,29 @@
-//! Which law of growth measured points follow: least squares with an intercept for each law, compared by what they leave.
+//! Finds the law of growth that measured points follow. Fits each law with an intercept by least squares and compares
+//! the residuals; `Fit::best` returns the chosen law with its coefficients.
 
-/// A more complex law is taken only if it leaves less than this part of what a simpler one leaves.
-const CLEARLY_BETTER: f64 = 0.6;
-/// Points that differ by less than this part of their mean, or than their runs do, are flat.
-const FLAT_WITHIN: f64 = 0.1;
+/// A more complex law is preferred only if its residual is less than this share of the simpler law's residual.
+const COMPLEX_LAW_RESIDUAL_RATIO: f64 = 0.6;
+/// Points whose range is at most this share of their mean, or at most the spread of their runs, count as flat.
+const FLAT_RELATIVE_RANGE: f64 = 0.1;
 
 /// How a cost grows with a size.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Law {
-    /// Not at all.
+    /// Constant.
     Flat,
-    /// With the size.
+    /// Proportional to the size.
     Linear,
-    /// With the size times its logarithm.
+    /// Proportional to the size times its logarithm.
     LinearLog,
-    /// With its square.
+    /// Proportional to the square of the size.
     Quadratic,
 }
 
 impl Law {
-    /// Those that grow, the simplest first.
+    /// The laws that grow, the simplest first.
     const GROWING: [Law; 3] = [Law::Linear, Law::LinearLog, Law::Quadratic];
 
-    /// What the slope is multiplied by.
+    /// The value that the slope is multiplied by at this size.
     fn shape(self, size: f64) -> f64 {
         match self {
             Law::Flat => 0.0,
@@ -42,7 +43,7 @@
         }
     }
 
-    /// Its name.
+    /// Name of the law, as printed.
     pub(super) fn name(self) -> &'static str {
         match self {
             Law::Flat => "flat",
@@ -58,33 +59,33 @@
 pub(super) struct Point {
     /// The size.
     pub size: f64,
-    /// The cost, the median of runs.
+    /// The cost: the median of the runs.
     pub cost: f64,
-    /// The largest of the runs less the smallest.
+    /// Largest cost of the runs minus the smallest.
     pub spread: f64,
 }
 
-/// A law with the figures that fit best.
+/// A law with its fitted coefficients.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct Fit {
     /// The law.
     pub law: Law,
     /// The cost at size 0.
     pub intercept: f64,
-    /// What the law's shape is multiplied by.
+    /// Coefficient of the law's shape.
     pub slope: f64,
-    /// What is left: the root of the mean square, as a part of the mean cost.
+    /// Root mean square of the residuals as a share of the mean cost; absolute if the mean cost is 0.
     pub residual: f64,
 }
 
 impl Fit {
-    /// The cost that it gives at a size.
-    pub(super) fn at(&self, size: f64) -> f64 {
+    /// The predicted cost at a size.
+    pub(super) fn cost_at(&self, size: f64) -> f64 {
         self.intercept + self.slope * self.law.shape(size)
     }
 
-    /// One law's best figures, by least squares.
-    pub(super) fn of(law: Law, points: &[Point]) -> Fit {
+    /// Fits one law by least squares.
+    pub(super) fn least_squares(law: Law, points: &[Point]) -> Fit {
         let count = points.len().max(1) as f64;
         let mean = |value: &dyn Fn(&Point) -> f64| points.iter().map(value).sum::<f64>() / count;
         let mean_shape = mean(&|point| law.shape(point.size));
@@ -93,31 +94,32 @@
         let covariance = mean(&|point| (law.shape(point.size) - mean_shape) * (point.cost - mean_cost));
         let slope = if variance > 0.0 { covariance / variance } else { 0.0 };
         let mut fit = Fit { law, intercept: mean_cost - slope * mean_shape, slope, residual: 0.0 };
-        let left = mean(&|point| (point.cost - fit.at(point.size)).powi(2)).sqrt();
-        fit.residual = if mean_cost == 0.0 { left } else { left / mean_cost.abs() };
+        let residual = mean(&|point| (point.cost - fit.cost_at(point.size)).powi(2)).sqrt();
+        fit.residual = if mean_cost == 0.0 { residual } else { residual / mean_cost.abs() };
         fit
     }
 
-    /// The simplest law that fits about as well as any.
+    /// Returns the simplest law that fits about as well as any other.
     pub(super) fn best(points: &[Point]) -> Fit {
-        let flat = Fit::of(Law::Flat, points);
+        let flat = Fit::least_squares(Law::Flat, points);
         if is_flat(points) {
             return flat;
         }
-        let fits = Law::GROWING.map(|law| Fit::of(law, points));
-        let better =
-            |best: Fit, fit: Fit| if fit.residual < CLEARLY_BETTER * best.residual { fit } else { best };
+        let fits = Law::GROWING.map(|law| Fit::least_squares(law, points));
+        let better = |best: Fit, fit: Fit| {
+            if fit.residual < COMPLEX_LAW_RESIDUAL_RATIO * best.residual { fit } else { best }
+        };
         fits.into_iter().reduce(better).unwrap_or(flat)
     }
 }
 
-/// Whether points differ by no more than their own runs do, or by too little to tell.
+/// Whether the points' range is no larger than the spread of their runs or than `FLAT_RELATIVE_RANGE` of their mean.
 fn is_flat(points: &[Point]) -> bool {
     let costs = || points.iter().map(|point| point.cost);
     let range = costs().fold(f64::MIN, f64::max) - costs().fold(f64::MAX, f64::min);
     let spread = points.iter().map(|point| point.spread).fold(0.0, f64::max);
     let mean = costs().sum::<f64>() / points.len().max(1) as f64;
-    range <= spread.max(FLAT_WITHIN * mean.abs())
+    range <= spread.max(FLAT_RELATIVE_RANGE * mean.abs())
 }
 
 #[cfg(test)]
--- a/crates/testbed/src/slopes/growth_bounds.rs
+++ b/crates/testbed/src/slopes/growth_bounds.rs
@@ -1,76 +1,84 @@
-//! The bounds on what a dispatcher needs before more cache hosts, and the table beside them.
+//! Bounds on how a dispatcher's resource use may grow with the number of caches. `table` takes the runs by fleet size
+//! and returns a Markdown table and the list of missed bounds.
 
 use std::fmt::Write as _;
 
-/// What a dispatcher needed over one play.
+/// Resource use of a dispatcher over one run.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(super) struct Needs {
-    /// Processor time from its start on, in seconds.
-    pub core_s: f64,
-    /// The most memory resident, in MB.
+pub(super) struct ResourceUse {
+    /// Processor time since its start, in seconds.
+    pub processor_s: f64,
+    /// Peak resident memory, in MB.
     pub peak_mb: f64,
-    /// The most descriptors open at once.
+    /// Largest number of descriptors open at once.
     pub descriptors: f64,
-    /// Connections made to cache hosts.
+    /// Connections made to nodes.
     pub connections: f64,
-    /// What the change log told, in KB.
+    /// Data sent by the change log, in KB.
     pub list_kb: f64,
-    /// Share of requests that was served.
+    /// Share of answered requests that were served.
     pub served: f64,
 }
 
-/// One bound: so many times what is needed at the usual size, and so much more, for any size and for each thousand hosts.
+/// A bound on one value: `factor` the value at the usual fleet size, plus `allowance`, plus
+/// `allowance_per_1000_hosts` per 1,000 caches.
 struct Bound {
-    what: &'static str,
-    of: fn(&Needs) -> f64,
-    times: f64,
-    more: f64,
-    each_thousand: f64,
-    /// It bounds from below.
-    is_least: bool,
+    /// Heading of the table's line.
+    name: &'static str,
+    value: fn(&ResourceUse) -> f64,
+    factor: f64,
+    allowance: f64,
+    allowance_per_1000_hosts: f64,
+    /// Whether the value must be at least the bound; otherwise at most.
+    is_lower_bound: bool,
 }
 
-const fn most(what: &'static str, of: fn(&Needs) -> f64, [times, more, each_thousand]: [f64; 3]) -> Bound {
-    Bound { what, of, times, more, each_thousand, is_least: false }
+const fn upper_bound(
+    name: &'static str,
+    value: fn(&ResourceUse) -> f64,
+    [factor, allowance, allowance_per_1000_hosts]: [f64; 3],
+) -> Bound {
+    Bound { name, value, factor, allowance, allowance_per_1000_hosts, is_lower_bound: false }
 }
 
 const BOUNDS: [Bound; 6] = [
-    most("processor, s", |needs| needs.core_s, [1.4, 0.02, 0.03]),
-    most("peak memory, MB", |needs| needs.peak_mb, [1.5, 8.0, 4.0]),
-    most("descriptors", |needs| needs.descriptors, [2.0, 40.0, 0.0]),
-    most("connections made", |needs| needs.connections, [2.5, 40.0, 0.0]),
-    most("told by the change log, KB", |needs| needs.list_kb, [2.0, 64.0, 500.0]),
+    upper_bound("processor, s", |needs| needs.processor_s, [1.4, 0.02, 0.03]),
+    upper_bound("peak memory, MB", |needs| needs.peak_mb, [1.5, 8.0, 4.0]),
+    upper_bound("descriptors", |needs| needs.descriptors, [2.0, 40.0, 0.0]),
+    upper_bound("connections made", |needs| needs.connections, [2.5, 40.0, 0.0]),
+    upper_bound("told by the change log, KB", |needs| needs.list_kb, [2.0, 64.0, 500.0]),
     Bound {
-        what: "served",
-        of: |needs| needs.served,
-        times: 0.85,
-        more: 0.0,
-        each_thousand: 0.0,
-        is_least: true,
+        name: "served",
+        value: |needs| needs.served,
+        factor: 0.85,
+        allowance: 0.0,
+        allowance_per_1000_hosts: 0.0,
+        is_lower_bound: true,
     },
 ];
 
 impl Bound {
-    /// The bound for so many hosts, by what is needed at the usual size.
+    /// The bound for this number of caches, given the value at the usual fleet size.
     fn at(&self, usual: f64, hosts: usize) -> f64 {
-        usual * self.times + self.more + self.each_thousand * hosts as f64 / 1e3
+        usual * self.factor + self.allowance + self.allowance_per_1000_hosts * hosts as f64 / 1e3
     }
 
     fn is_kept(&self, needed: f64, bound: f64) -> bool {
-        if self.is_least { needed >= bound } else { needed <= bound }
+        if self.is_lower_bound { needed >= bound } else { needed <= bound }
     }
 }
 
-/// Median, least and largest.
-fn range(runs: &[Needs], of: fn(&Needs) -> f64) -> [f64; 3] {
-    let mut figures: Vec<_> = runs.iter().map(of).collect();
+/// Median, smallest and largest of a value over runs.
+fn median_and_range(runs: &[ResourceUse], value: fn(&ResourceUse) -> f64) -> [f64; 3] {
+    let mut figures: Vec<_> = runs.iter().map(value).collect();
     figures.sort_by(f64::total_cmp);
     let at = |number: usize| figures.get(number).copied().unwrap_or(f64::NAN);
     [at(figures.len() / 2), at(0), at(figures.len().saturating_sub(1))]
 }
 
-/// The table of plays by cache hosts, the usual size first, and each bound that the median missed.
-pub(super) fn table(per_s: f64, rows: &[(usize, Vec<Needs>)]) -> (String, Vec<String>) {
+/// Builds the table of runs by number of caches and a text for each bound that a median missed. The first row is the
+/// usual fleet size, to which the others are compared.
+pub(super) fn table(per_s: f64, rows: &[(usize, Vec<ResourceUse>)]) -> (String, Vec<String>) {
     let (mut text, mut missed) = (String::new(), Vec::new());
     let Some((_, usual)) = rows.first() else { return (text, missed) };
     let _ = write!(text, "\n| {per_s} requests a second |");
@@ -78,20 +86,20 @@
     text += "\n| --- |";
     text.extend(rows.iter().map(|_| " --- |"));
     for bound in &BOUNDS {
-        let _ = write!(text, "\n| {} |", bound.what);
-        let usual = range(usual, bound.of)[0];
-        for (place, (hosts, runs)) in rows.iter().enumerate() {
-            let [median, least, largest] = range(runs, bound.of);
+        let _ = write!(text, "\n| {} |", bound.name);
+        let usual = median_and_range(usual, bound.value)[0];
+        for (row, (hosts, runs)) in rows.iter().enumerate() {
+            let [median, least, largest] = median_and_range(runs, bound.value);
             let _ = write!(text, " {median:.2} ({least:.2} to {largest:.2})");
-            if place > 0 {
+            if row > 0 {
                 let allowed = bound.at(usual, *hosts);
                 let kept = bound.is_kept(median, allowed);
                 let _ = write!(text, ", {allowed:.2}: {}", if kept { "kept" } else { "**missed**" });
-                let what = format!(
+                let miss = format!(
                     "{per_s} requests a second, {hosts} hosts: {} {median:.2}, bound {allowed:.2}",
-                    bound.what
+                    bound.name
                 );
-                missed.extend((!kept).then_some(what));
+                missed.extend((!kept).then_some(miss));
             }
             text += " |";
         }
--- a/crates/testbed/src/slopes/nodes.rs
+++ b/crates/testbed/src/slopes/nodes.rs
@@ -1,4 +1,5 @@
-//! Stand-ins of nodes: each answers what it is asked after a delay, with a body of a size.
+//! Stand-ins for nodes (caches, parents and the origin) that speak the node protocol. Each answers after a set delay
+//! with a body of a set size and counts connections, lookups and fills. `Nodes::start` binds them; they stop on drop.
 
 use copperroute_protocol::incoming::ReceiveBuffer;
 use std::collections::HashSet;
@@ -13,50 +14,52 @@
 
 use crate::world::unix_ms;
 
-const LONGEST_LINE: usize = 8_192;
-const READ_AT_ONCE: usize = 64 * 1024;
+/// Longest request line accepted, in bytes.
+const MAX_LINE_BYTES: usize = 8_192;
+/// Size of a connection's read buffer, in bytes.
+const READ_BUFFER_BYTES: usize = 64 * 1024;
 
-/// How nodes answer.
+/// How the stand-in nodes answer.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Answering {
-    /// After so long.
+pub(super) struct AnswerSettings {
+    /// Time from a request to its answer.
     pub delay: Duration,
-    /// With so many bytes.
-    pub bytes: usize,
-    /// Which lookups find nothing, so that a fill is asked for.
+    /// Size of an answer's body, in bytes.
+    pub body_bytes: usize,
+    /// Which lookups miss, so that the dispatcher requests a fill.
     pub misses: Misses,
 }
 
-/// Which lookups find nothing.
+/// Which lookups miss.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum Misses {
     None,
     All,
-    /// Those of what no fill has brought to this node.
+    /// Lookups of objects that this node has not yet filled.
     Unfilled,
 }
 
-/// The objects that a node holds.
-type Held = Mutex<HashSet<String>>;
+/// Names of the objects that a node has cached.
+type CachedObjects = Mutex<HashSet<String>>;
 
-/// What nodes have seen.
+/// Counters over all stand-in nodes of a run.
 #[derive(Debug, Default)]
-pub(super) struct Seen {
-    /// Connections that are open.
-    pub connections: AtomicU64,
-    /// Connections that were made.
-    pub made: AtomicU64,
-    /// Lookups.
+pub(super) struct NodeCounters {
+    /// Connections that are open now.
+    pub open_connections: AtomicU64,
+    /// Connections accepted since the start.
+    pub accepted_connections: AtomicU64,
+    /// Lookups received.
     pub lookups: AtomicU64,
-    /// Requests that name a source for a miss.
+    /// Fills received: requests that name a source (`src=`).
     pub fills: AtomicU64,
 }
 
-/// Nodes that listen until this is dropped.
+/// Stand-in nodes that listen until this value is dropped.
 pub(super) struct Nodes {
     serving: Vec<JoinHandle<()>>,
-    /// What they have seen.
-    pub seen: Arc<Seen>,
+    /// Counters over all of them.
+    pub counters: Arc<NodeCounters>,
 }
 
 impl Drop for Nodes {
@@ -66,35 +69,44 @@
 }
 
 impl Nodes {
-    /// Listens at these addresses.
-    pub(super) async fn start(addresses: Vec<SocketAddr>, answering: Answering) -> Result<Nodes, String> {
-        let seen = Arc::new(Seen::default());
-        let body: Arc<[u8]> = vec![b'x'; answering.bytes].into();
+    /// Starts one node at each address.
+    pub(super) async fn start(
+        addresses: Vec<SocketAddr>,
+        answer_settings: AnswerSettings,
+    ) -> Result<Nodes, String> {
+        let counters = Arc::new(NodeCounters::default());
+        let body: Arc<[u8]> = vec![b'x'; answer_settings.body_bytes].into();
         let mut serving = Vec::new();
         for address in addresses {
-            let listener = TcpListener::bind(address).await.map_err(|fault| format!("{address}: {fault}"))?;
-            let (seen, body, held) = (seen.clone(), body.clone(), Arc::<Held>::default());
+            let listener = TcpListener::bind(address).await.map_err(|error| format!("{address}: {error}"))?;
+            let (counters, body, cached) = (counters.clone(), body.clone(), Arc::<CachedObjects>::default());
             serving.push(tokio::spawn(async move {
                 while let Ok((stream, _)) = listener.accept().await {
-                    seen.connections.fetch_add(1, Ordering::Relaxed);
-                    seen.made.fetch_add(1, Ordering::Relaxed);
-                    let (seen, body, held) = (seen.clone(), body.clone(), held.clone());
+                    counters.open_connections.fetch_add(1, Ordering::Relaxed);
+                    counters.accepted_connections.fetch_add(1, Ordering::Relaxed);
+                    let (counters, body, cached) = (counters.clone(), body.clone(), cached.clone());
                     tokio::spawn(async move {
-                        serve(stream, answering, &seen, &body, &held).await;
-                        seen.connections.fetch_sub(1, Ordering::Relaxed);
+                        serve_connection(stream, answer_settings, &counters, &body, &cached).await;
+                        counters.open_connections.fetch_sub(1, Ordering::Relaxed);
                     });
                 }
             }));
         }
-        Ok(Nodes { serving, seen })
+        Ok(Nodes { serving, counters })
     }
 }
 
-/// One connection.
-async fn serve(stream: TcpStream, answering: Answering, seen: &Seen, body: &[u8], held: &Held) {
+/// Serves one connection until it closes. Answers without a delay are written in batches.
+async fn serve_connection(
+    stream: TcpStream,
+    answer_settings: AnswerSettings,
+    counters: &NodeCounters,
+    body: &[u8],
+    cached: &CachedObjects,
+) {
     let _ = stream.set_nodelay(true);
     let (mut read, mut write) = stream.into_split();
-    let (tell, mut answers) = mpsc::unbounded_channel::<Vec<u8>>();
+    let (answer_sender, mut answers) = mpsc::unbounded_channel::<Vec<u8>>();
     let writing = tokio::spawn(async move {
         while let Some(mut bytes) = answers.recv().await {
             while let Ok(more) = answers.try_recv() {
@@ -105,51 +117,60 @@
             }
         }
     });
-    let (mut incoming, mut scratch) = (ReceiveBuffer::default(), vec![0; READ_AT_ONCE]);
+    let (mut incoming, mut scratch) = (ReceiveBuffer::default(), vec![0; READ_BUFFER_BYTES]);
     while let Ok(count) = read.read(&mut scratch).await {
         if count == 0 {
             break;
         }
         incoming.feed(&scratch[..count]);
-        let mut at_once = Vec::new();
-        while let Ok(Some(line)) = incoming.take_line(LONGEST_LINE) {
-            let Some(bytes) = answer(&line, answering, seen, body, held) else { continue };
-            if answering.delay.is_zero() {
-                at_once.extend(bytes);
+        let mut undelayed = Vec::new();
+        while let Ok(Some(line)) = incoming.take_line(MAX_LINE_BYTES) {
+            let Some(bytes) = answer_line(&line, answer_settings, counters, body, cached) else { continue };
+            if answer_settings.delay.is_zero() {
+                undelayed.extend(bytes);
                 continue;
             }
-            let tell = tell.clone();
+            let answer_sender = answer_sender.clone();
             tokio::spawn(async move {
-                tokio::time::sleep(answering.delay).await;
-                let _ = tell.send(bytes);
+                tokio::time::sleep(answer_settings.delay).await;
+                let _ = answer_sender.send(bytes);
             });
         }
-        if !at_once.is_empty() && tell.send(at_once).is_err() {
+        if !undelayed.is_empty() && answer_sender.send(undelayed).is_err() {
             break;
         }
     }
     writing.abort();
 }
 
-fn guarded(held: &Held) -> MutexGuard<'_, HashSet<String>> {
-    held.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock_cached(cached: &CachedObjects) -> MutexGuard<'_, HashSet<String>> {
+    cached.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// The answer to a line, if it asks for something.
-fn answer(line: &str, answering: Answering, seen: &Seen, body: &[u8], held: &Held) -> Option<Vec<u8>> {
+/// Returns the answer to a request line; `None` if the line is not a `fetch`.
+fn answer_line(
+    line: &str,
+    answer_settings: AnswerSettings,
+    counters: &NodeCounters,
+    body: &[u8],
+    cached: &CachedObjects,
+) -> Option<Vec<u8>> {
     let id = line.strip_prefix("fetch ")?.split(' ').next()?;
     let is_fill = line.contains(",src=");
     let object = line.split_once(",name=").and_then(|(_, rest)| rest.split(',').next());
     if !is_fill {
-        seen.lookups.fetch_add(1, Ordering::Relaxed);
-        let holds = |held: &Held| object.is_some_and(|object| guarded(held).contains(object));
-        if answering.misses == Misses::All || (answering.misses == Misses::Unfilled && !holds(held)) {
+        counters.lookups.fetch_add(1, Ordering::Relaxed);
+        let holds =
+            |cached: &CachedObjects| object.is_some_and(|object| lock_cached(cached).contains(object));
+        if answer_settings.misses == Misses::All
+            || (answer_settings.misses == Misses::Unfilled && !holds(cached))
+        {
             return Some(format!("{id} nothing why=,ttfb=0 0\r\n\r\n").into_bytes());
         }
     }
-    seen.fills.fetch_add(u64::from(is_fill), Ordering::Relaxed);
-    if is_fill && answering.misses == Misses::Unfilled {
-        guarded(held).extend(object.map(String::from));
+    counters.fills.fetch_add(u64::from(is_fill), Ordering::Relaxed);
+    if is_fill && answer_settings.misses == Misses::Unfilled {
+        lock_cached(cached).extend(object.map(String::from));
     }
     let why = if is_fill { "pulled" } else { "local" };
     let made = unix_ms();
--- a/crates/testbed/src/slopes/table.rs
+++ b/crates/testbed/src/slopes/table.rs
@@ -1,4 +1,4 @@
-//! A slope as a Markdown table: a line for each size, and the law below.
+//! Formats a slope as a Markdown table: a line for each size and a last line with the law that fits each measure.
 
 use super::catalogue::Slope;
 use super::fit::{Fit, Law, Point};
@@ -8,13 +8,13 @@
 pub(super) struct Row {
     /// The size.
     pub size: f64,
-    /// One figure for each measure, by run.
+    /// For each run, one value per measure.
     pub runs: Vec<Vec<f64>>,
 }
 
 impl Row {
-    /// Median, least and largest of a measure.
-    fn range(&self, measure: usize) -> [f64; 3] {
+    /// Median, smallest and largest value of a measure.
+    fn median_and_range(&self, measure: usize) -> [f64; 3] {
         let mut figures: Vec<_> = self.runs.iter().filter_map(|run| run.get(measure).copied()).collect();
         figures.sort_by(f64::total_cmp);
         let at = |number: usize| figures.get(number).copied().unwrap_or(f64::NAN);
@@ -22,8 +22,8 @@
     }
 }
 
-/// A figure with three digits that count.
-fn short(figure: f64) -> String {
+/// Formats a number with about three significant digits.
+fn three_digits(figure: f64) -> String {
     let magnitude = figure.abs();
     match magnitude {
         _ if magnitude >= 100.0 || magnitude == 0.0 => format!("{figure:.0}"),
@@ -34,31 +34,31 @@
     }
 }
 
-/// A law with its figures, as a cell.
-fn law(fit: &Fit) -> String {
-    let left = fit.residual * 100.0;
+/// Formats a fitted law as a table cell.
+fn law_cell(fit: &Fit) -> String {
+    let residual = fit.residual * 100.0;
     match fit.law {
-        Law::Flat => format!("flat: {}, residual {left:.0}%", short(fit.intercept)),
+        Law::Flat => format!("flat: {}, residual {residual:.0}%", three_digits(fit.intercept)),
         other => format!(
-            "{}: {} + {}{}, residual {left:.0}%",
+            "{}: {} + {}{}, residual {residual:.0}%",
             other.name(),
-            short(fit.intercept),
-            short(fit.slope),
+            three_digits(fit.intercept),
+            three_digits(fit.slope),
             other.formula()
         ),
     }
 }
 
-/// The law that a measure follows.
-fn fitted(rows: &[Row], measure: usize) -> Fit {
+/// Fits a law to a measure over all sizes that were run.
+fn fit_measure(rows: &[Row], measure: usize) -> Fit {
     let point = |row: &Row| {
-        let [cost, least, most] = row.range(measure);
+        let [cost, least, most] = row.median_and_range(measure);
         Point { size: row.size, cost, spread: most - least }
     };
     Fit::best(&rows.iter().filter(|row| !row.runs.is_empty()).map(point).collect::<Vec<_>>())
 }
 
-/// The table.
+/// Formats the whole table.
 pub(super) fn markdown(slope: &Slope, rows: &[Row]) -> String {
     let mut text = format!("### {}: {}\n\n| {} |", slope.name, slope.about, slope.unit);
     text.extend(slope.measures.iter().map(|measure| format!(" {measure} |")));
@@ -67,17 +67,23 @@
     for row in rows {
         let _ = write!(text, "\n| {} |", row.size);
         for measure in 0..slope.measures.len() {
-            let [median, least, most] = row.range(measure);
+            let [median, least, most] = row.median_and_range(measure);
             let _ = match row.runs.len() {
                 0 => write!(text, " not run |"),
-                1 => write!(text, " {} |", short(median)),
-                _ => write!(text, " {} ({} to {}) |", short(median), short(least), short(most)),
+                1 => write!(text, " {} |", three_digits(median)),
+                _ => write!(
+                    text,
+                    " {} ({} to {}) |",
+                    three_digits(median),
+                    three_digits(least),
+                    three_digits(most)
+                ),
             };
         }
     }
     text += "\n| law |";
     for measure in 0..slope.measures.len() {
-        let _ = write!(text, " {} |", law(&fitted(rows, measure)));
+        let _ = write!(text, " {} |", law_cell(&fit_measure(rows, measure)));
     }
     text.push('\n');
     text
