--- a/crates/testbed/src/slopes/catalogue.rs
+++ b/crates/testbed/src/slopes/catalogue.rs
@@ -42,6 +42,7 @@
 const VERSIONS_PER_S: [f64; 5] = [0.0, 0.5, 1.0, 2.0, 5.0];
 const OPEN_REQUESTS: [f64; 5] = [10.0, 100.0, 500.0, 2_000.0, 5_000.0];
 const PURGE_RATES_PER_S: [f64; 5] = [0.0, 6.0, 60.0, 300.0, 600.0];
+/// 21,600 purges are one hour at 6 per second.
 const BACKLOG_PURGES: [f64; 5] = [0.0, 1_000.0, 10_000.0, 21_600.0, 100_000.0];
 
 /// All slopes, in the order in which `slopes list` prints them.
--- a/crates/testbed/src/slopes/change_log.rs
+++ b/crates/testbed/src/slopes/change_log.rs
@@ -27,7 +27,9 @@
 impl ChangeLog {
     /// Binds the address and starts with these event lines.
     pub(super) async fn start(address: SocketAddr, events: Vec<String>) -> Result<Arc<ChangeLog>, String> {
-        let listener = TcpListener::bind(address).await.map_err(|error| format!("{address}: {error}"))?;
+        let listener = TcpListener::bind(address)
+            .await
+            .map_err(|error| format!("stand-in change log at {address}: {error}"))?;
         let last = watch::channel(events.len()).0;
         let (bytes, followers) = Default::default();
         let log = Arc::new(ChangeLog { events: Mutex::new(events), last, bytes, followers, address });
--- a/crates/testbed/src/slopes/control.rs
+++ b/crates/testbed/src/slopes/control.rs
@@ -43,8 +43,8 @@
 
 /// Node list with this number of caches; nothing listens at their addresses.
 fn fleet_nodes(environment: &RunEnvironment, caches: usize) -> Vec<ListedNode> {
-    let own = caches.div_ceil(SITES);
-    fleet(own, caches - own, |number| environment.node_address(number))
+    let own_caches = caches.div_ceil(SITES);
+    fleet(own_caches, caches - own_caches, |number| environment.node_address(number))
 }
 
 /// Event `number`: a purge issued at `time_ms` (Unix time), usually of an object, sometimes of a group.
@@ -93,9 +93,10 @@
 
 /// By caches in the node list. Also returns the processor time of the start, which includes loading the list.
 pub(super) async fn by_nodes(environment: RunEnvironment, count: f64) -> MeasureResult {
-    let list = snapshot_event(&fleet_nodes(&environment, count as usize));
-    let log = ChangeLog::start(environment.change_log_address(), vec![list.clone()]).await?;
-    let dispatcher = Dispatcher::start(&environment, &default_settings(&environment), &list, &log).await?;
+    let snapshot = snapshot_event(&fleet_nodes(&environment, count as usize));
+    let log = ChangeLog::start(environment.change_log_address(), vec![snapshot.clone()]).await?;
+    let dispatcher =
+        Dispatcher::start(&environment, &default_settings(&environment), &snapshot, &log).await?;
     let start = dispatcher.settle().await?;
     let window = dispatcher.measure_window(environment.window).await?;
     let mut row = window_row(&window);
@@ -105,9 +106,10 @@
 
 /// By purges per second.
 pub(super) async fn by_purges(environment: RunEnvironment, per_s: f64) -> MeasureResult {
-    let list = snapshot_event(&fleet_nodes(&environment, CACHES));
-    let log = ChangeLog::start(environment.change_log_address(), vec![list.clone()]).await?;
-    let dispatcher = Dispatcher::start(&environment, &default_settings(&environment), &list, &log).await?;
+    let snapshot = snapshot_event(&fleet_nodes(&environment, CACHES));
+    let log = ChangeLog::start(environment.change_log_address(), vec![snapshot.clone()]).await?;
+    let dispatcher =
+        Dispatcher::start(&environment, &default_settings(&environment), &snapshot, &log).await?;
     dispatcher.settle().await?;
     let mut rng = StdRng::seed_from_u64(environment.seed);
     let _events = add_events_at_rate(&log, per_s, move |number| purge(number, unix_ms(), &mut rng));
@@ -117,13 +119,13 @@
 
 /// By purges per second, for a dispatcher with a local cache of 4 MB, as the platform's operator file sets it.
 pub(super) async fn by_purges_with_local_cache(environment: RunEnvironment, per_s: f64) -> MeasureResult {
-    let list = snapshot_event(&fleet_nodes(&environment, CACHES));
-    let log = ChangeLog::start(environment.change_log_address(), vec![list.clone()]).await?;
+    let snapshot = snapshot_event(&fleet_nodes(&environment, CACHES));
+    let log = ChangeLog::start(environment.change_log_address(), vec![snapshot.clone()]).await?;
     let settings = DispatcherSettings {
         operator: Some(json!({"copies": {"memory_mb": 4}})),
         ..default_settings(&environment)
     };
-    let dispatcher = Dispatcher::start(&environment, &settings, &list, &log).await?;
+    let dispatcher = Dispatcher::start(&environment, &settings, &snapshot, &log).await?;
     dispatcher.settle().await?;
     let mut rng = StdRng::seed_from_u64(environment.seed);
     let _events = add_events_at_rate(&log, per_s, move |number| purge(number, unix_ms(), &mut rng));
@@ -131,8 +133,8 @@
     Ok(window_row(&dispatcher.measure_window(environment.window).await?))
 }
 
-/// By purges of a backlog that is sent at once; their issue times are `1 / PURGES_PER_S` apart. The result includes
-/// the cost of a start without a backlog.
+/// By purges of a backlog that is sent at once; their issue times are `1 / PURGES_PER_S` seconds apart. The result
+/// includes the cost of a start without a backlog.
 pub(super) async fn by_backlog(environment: RunEnvironment, count: f64) -> MeasureResult {
     let all = backlog(environment.seed, count as u64, 1e3 / PURGES_PER_S);
     measure_start_with_backlog(&environment, &default_settings(&environment), all).await
@@ -161,11 +163,11 @@
     settings: &DispatcherSettings,
     backlog: Vec<String>,
 ) -> MeasureResult {
-    let list = snapshot_event(&fleet_nodes(environment, CACHES));
-    let mut events = vec![list.clone()];
+    let snapshot = snapshot_event(&fleet_nodes(environment, CACHES));
+    let mut events = vec![snapshot.clone()];
     events.extend(backlog);
     let log = ChangeLog::start(environment.change_log_address(), events).await?;
-    let dispatcher = Dispatcher::start(environment, settings, &list, &log).await?;
+    let dispatcher = Dispatcher::start(environment, settings, &snapshot, &log).await?;
     let used = dispatcher.settle().await?;
     let row =
         [used.processor.as_secs_f64() * 1e3, log.bytes() as f64, used.resident_mb, used.descriptors as f64];
@@ -175,9 +177,10 @@
 /// By node list deltas per second, each of which changes one node.
 pub(super) async fn by_list_changes(environment: RunEnvironment, per_s: f64) -> MeasureResult {
     let listed = fleet_nodes(&environment, CACHES);
-    let list = snapshot_event(&listed);
-    let log = ChangeLog::start(environment.change_log_address(), vec![list.clone()]).await?;
-    let dispatcher = Dispatcher::start(&environment, &default_settings(&environment), &list, &log).await?;
+    let snapshot = snapshot_event(&listed);
+    let log = ChangeLog::start(environment.change_log_address(), vec![snapshot.clone()]).await?;
+    let dispatcher =
+        Dispatcher::start(&environment, &default_settings(&environment), &snapshot, &log).await?;
     dispatcher.settle().await?;
     let _events = add_events_at_rate(&log, per_s, move |number| delta_event(&listed, number));
     Ok(window_row(&dispatcher.measure_window(environment.window).await?))
@@ -185,11 +188,11 @@
 
 /// By versions of rules per second, with agreement on rules switched on.
 pub(super) async fn by_versions(environment: RunEnvironment, per_s: f64) -> MeasureResult {
-    let list = snapshot_event(&fleet_nodes(&environment, CACHES));
-    let log = ChangeLog::start(environment.change_log_address(), vec![list.clone()]).await?;
+    let snapshot = snapshot_event(&fleet_nodes(&environment, CACHES));
+    let log = ChangeLog::start(environment.change_log_address(), vec![snapshot.clone()]).await?;
     let agreement = json!({"agreement": {"lease_s": 3, "clock_error_s": 0.25, "slack_s": 0.5, "floor": {"max_pulls": 2}}});
     let settings = DispatcherSettings { operator: Some(agreement), ..default_settings(&environment) };
-    let dispatcher = Dispatcher::start(&environment, &settings, &list, &log).await?;
+    let dispatcher = Dispatcher::start(&environment, &settings, &snapshot, &log).await?;
     dispatcher.settle().await?;
     let (mut version, mut after) = (0, String::new());
     let _events = add_events_at_rate(&log, per_s, move |number| {
--- a/crates/testbed/src/slopes/dispatcher.rs
+++ b/crates/testbed/src/slopes/dispatcher.rs
@@ -41,7 +41,7 @@
 
 impl ListedNode {
     /// The node's entry in the node list, as an active node with this weight.
-    pub(super) fn line(&self, weight: impl Into<Value>) -> Value {
+    pub(super) fn list_entry(&self, weight: impl Into<Value>) -> Value {
         json!({"id": self.id, "addr": self.address.to_string(), "zone": site_name(self.site), "kind": self.kind,
             "cell": 0, "state": "active", "weight": weight.into(), "started_ms": 0})
     }
@@ -51,9 +51,13 @@
     if site < SITES { format!("site-{site}") } else { "hub".into() }
 }
 
-/// Builds a node list: `own` caches at the dispatcher's own site (index 0), `remote_caches` caches spread over the
-/// other sites, two parents and the origin. `at` gives the address of each node by its number.
-pub(super) fn fleet(own: usize, remote_caches: usize, at: impl Fn(usize) -> SocketAddr) -> Vec<ListedNode> {
+/// Builds a node list: `own_caches` caches at the dispatcher's own site (index 0), `remote_caches` caches spread over
+/// the other sites, two parents and the origin. `at` gives the address of each node by its number.
+pub(super) fn fleet(
+    own_caches: usize,
+    remote_caches: usize,
+    at: impl Fn(usize) -> SocketAddr,
+) -> Vec<ListedNode> {
     let cache = |number: usize, site| ListedNode {
         id: format!("cache-{number}"),
         address: at(number),
@@ -62,12 +66,12 @@
     };
     let above = |number: usize, kind| ListedNode {
         id: format!("{kind}-{number}"),
-        address: at(own + remote_caches + number),
+        address: at(own_caches + remote_caches + number),
         site: SITES,
         kind,
     };
-    let mut nodes: Vec<_> = (0..own).map(|number| cache(number, 0)).collect();
-    nodes.extend((0..remote_caches).map(|number| cache(own + number, 1 + number % (SITES - 1))));
+    let mut nodes: Vec<_> = (0..own_caches).map(|number| cache(number, 0)).collect();
+    nodes.extend((0..remote_caches).map(|number| cache(own_caches + number, 1 + number % (SITES - 1))));
     nodes.extend([above(0, "parents"), above(1, "parents"), above(2, "origin")]);
     nodes
 }
@@ -79,7 +83,7 @@
 
 /// Like `snapshot_event`, with this weight for every node.
 pub(super) fn snapshot_event_with_weight(nodes: &[ListedNode], weight: impl Into<Value> + Copy) -> String {
-    let servers: Vec<_> = nodes.iter().map(|node| node.line(weight)).collect();
+    let servers: Vec<_> = nodes.iter().map(|node| node.list_entry(weight)).collect();
     json!({"seq": 1, "fleet": {"version": 1, "full": true, "servers": servers}}).to_string()
 }
 
@@ -91,8 +95,8 @@
 
 /// Like `delta_event`, with this weight.
 pub(super) fn delta_event_with_weight(nodes: &[ListedNode], number: u64, weight: impl Into<Value>) -> String {
-    let line = nodes[number as usize % nodes.len()].line(weight);
-    json!({"seq": number, "fleet": {"version": number, "full": false, "servers": [line]}}).to_string()
+    let entry = nodes[number as usize % nodes.len()].list_entry(weight);
+    json!({"seq": number, "fleet": {"version": number, "full": false, "servers": [entry]}}).to_string()
 }
 
 /// Values that a run sets in the dispatcher's configuration.
@@ -109,9 +113,9 @@
 }
 
 impl DispatcherSettings {
-    fn config(&self, listen: SocketAddr, log: SocketAddr, list: &str) -> Result<Value, String> {
-        let list: Value =
-            serde_json::from_str(list).map_err(|error| format!("node list snapshot: {error}"))?;
+    fn config(&self, listen: SocketAddr, log: SocketAddr, snapshot: &str) -> Result<Value, String> {
+        let snapshot: Value =
+            serde_json::from_str(snapshot).map_err(|error| format!("node list snapshot: {error}"))?;
         let mut sites: Vec<_> = (0..SITES).map(site_name).collect();
         sites.push("hub".into());
         let mut dispatchers_per_zone = vec![DISPATCHERS_PER_SITE; SITES];
@@ -120,7 +124,7 @@
             "name": "n0", "listen": listen.to_string(), "seed": format!("{:x}", self.seed),
             "changelog": log.to_string(),
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": self.sockets},
-            "known": {"seq": 1, "results": [list]},
+            "known": {"seq": 1, "results": [snapshot]},
             "settings": {
                 "zone": 0, "balancers": SITES * DISPATCHERS_PER_SITE, "discovery": "automatic", "localities": sites,
                 "flavors": ["caches", "parents", "origin"],
@@ -211,11 +215,13 @@
     pub(super) async fn start(
         environment: &RunEnvironment,
         settings: &DispatcherSettings,
-        list: &str,
+        snapshot: &str,
         log: &Arc<ChangeLog>,
     ) -> Result<Dispatcher, String> {
-        let config = environment
-            .write("config.json", &settings.config(environment.dispatcher_address(), log.address, list)?)?;
+        let config = environment.write(
+            "config.json",
+            &settings.config(environment.dispatcher_address(), log.address, snapshot)?,
+        )?;
         let mut command = Command::new(&environment.program);
         command.arg("serve").arg("--config").arg(config);
         if let Some(operator) = &settings.operator {
@@ -226,7 +232,9 @@
             std::fs::File::create(&errors).map_err(|error| format!("{}: {error}", errors.display()))?;
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(errors).kill_on_drop(true);
         let child = command.spawn().map_err(|error| format!("{}: {error}", environment.program.display()))?;
-        let pid = child.id().ok_or("the dispatcher ended right after its start")?;
+        let pid = child
+            .id()
+            .ok_or_else(|| format!("{} ended right after its start", environment.program.display()))?;
         ready(environment.dispatcher_address()).await?;
         Ok(Dispatcher { _child: child, pid, log: log.clone() })
     }
--- a/crates/testbed/src/slopes/growth.rs
+++ b/crates/testbed/src/slopes/growth.rs
@@ -59,24 +59,24 @@
     seed: u64,
 }
 
-/// Runs one dispatcher with `hosts` caches, `own` of them at its own site, under `per_s` requests per second.
+/// Runs one dispatcher with `hosts` caches, `own_caches` of them at its own site, under `per_s` requests per second.
 async fn run_once(
     environment: &RunEnvironment,
     hosts: usize,
-    own: usize,
+    own_caches: usize,
     per_s: f64,
 ) -> Result<ResourceUse, String> {
-    let listed = fleet(own, hosts - own, |number| environment.node_address(number));
+    let listed = fleet(own_caches, hosts - own_caches, |number| environment.node_address(number));
     let targets = listed.iter().filter(|node| node.site == 0 || node.kind != "caches");
     let answer_settings =
         AnswerSettings { delay: ANSWER_DELAY, body_bytes: BODY_BYTES, misses: Misses::Unfilled };
     let nodes = Nodes::start(targets.map(|node| node.address).collect(), answer_settings).await?;
-    let weight = CAPACITY_PER_DISPATCHER * DISPATCHERS_PER_SITE as f64 / own as f64;
-    let list = snapshot_event_with_weight(&listed, weight);
-    let log = ChangeLog::start(environment.change_log_address(), vec![list.clone()]).await?;
+    let weight = CAPACITY_PER_DISPATCHER * DISPATCHERS_PER_SITE as f64 / own_caches as f64;
+    let snapshot = snapshot_event_with_weight(&listed, weight);
+    let log = ChangeLog::start(environment.change_log_address(), vec![snapshot.clone()]).await?;
     let settings =
         DispatcherSettings { deadline_s: 6.0, sockets: 1_024, operator: None, seed: environment.seed };
-    let dispatcher = Dispatcher::start(environment, &settings, &list, &log).await?;
+    let dispatcher = Dispatcher::start(environment, &settings, &snapshot, &log).await?;
     let load = Load {
         per_s,
         connections: 32,
@@ -125,7 +125,7 @@
         let mut rows: Vec<(usize, Vec<ResourceUse>)> = Vec::new();
         for times in &options.times {
             let hosts = options.hosts * times.max(&1);
-            let own = (hosts / options.sites.max(1)).max(1);
+            let own_caches = (hosts / options.sites.max(1)).max(1);
             let mut runs = Vec::new();
             for run in 0..options.runs.max(1) {
                 number = number
@@ -141,14 +141,14 @@
                     ),
                     seed: options.seed + run as u64,
                 };
-                runs.push(run_once(&environment, hosts, own, *per_s).await?);
+                runs.push(run_once(&environment, hosts, own_caches, *per_s).await?);
                 eprintln!("{hosts} caches, {per_s} requests per second: {:?}", runs.last());
             }
             rows.push((hosts, runs));
         }
-        let (part, over) = table(*per_s, &rows);
-        text += &part;
-        missed.extend(over);
+        let (rate_table, rate_missed) = table(*per_s, &rows);
+        text += &rate_table;
+        missed.extend(rate_missed);
     }
     Ok((text, missed))
 }
--- a/crates/testbed/src/slopes/growth_bounds.rs
+++ b/crates/testbed/src/slopes/growth_bounds.rs
@@ -20,7 +20,7 @@
     pub served: f64,
 }
 
-/// A bound on one value: `factor` the value at the usual fleet size, plus `allowance`, plus
+/// A bound on one value: `factor` times the value at the usual fleet size, plus `allowance`, plus
 /// `allowance_per_1000_hosts` per 1,000 caches.
 struct Bound {
     /// Heading of the table's line.
@@ -42,14 +42,14 @@
 }
 
 const BOUNDS: [Bound; 6] = [
-    upper_bound("processor, s", |needs| needs.processor_s, [1.4, 0.02, 0.03]),
-    upper_bound("peak memory, MB", |needs| needs.peak_mb, [1.5, 8.0, 4.0]),
-    upper_bound("descriptors", |needs| needs.descriptors, [2.0, 40.0, 0.0]),
-    upper_bound("connections made", |needs| needs.connections, [2.5, 40.0, 0.0]),
-    upper_bound("told by the change log, KB", |needs| needs.list_kb, [2.0, 64.0, 500.0]),
+    upper_bound("processor, s", |used| used.processor_s, [1.4, 0.02, 0.03]),
+    upper_bound("peak memory, MB", |used| used.peak_mb, [1.5, 8.0, 4.0]),
+    upper_bound("descriptors", |used| used.descriptors, [2.0, 40.0, 0.0]),
+    upper_bound("connections made", |used| used.connections, [2.5, 40.0, 0.0]),
+    upper_bound("told by the change log, KB", |used| used.list_kb, [2.0, 64.0, 500.0]),
     Bound {
         name: "served",
-        value: |needs| needs.served,
+        value: |used| used.served,
         factor: 0.85,
         allowance: 0.0,
         allowance_per_1000_hosts: 0.0,
@@ -63,8 +63,8 @@
         usual * self.factor + self.allowance + self.allowance_per_1000_hosts * hosts as f64 / 1e3
     }
 
-    fn is_kept(&self, needed: f64, bound: f64) -> bool {
-        if self.is_lower_bound { needed >= bound } else { needed <= bound }
+    fn is_kept(&self, median: f64, bound: f64) -> bool {
+        if self.is_lower_bound { median >= bound } else { median <= bound }
     }
 }
 
@@ -89,8 +89,8 @@
         let _ = write!(text, "\n| {} |", bound.name);
         let usual = median_and_range(usual, bound.value)[0];
         for (row, (hosts, runs)) in rows.iter().enumerate() {
-            let [median, least, largest] = median_and_range(runs, bound.value);
-            let _ = write!(text, " {median:.2} ({least:.2} to {largest:.2})");
+            let [median, smallest, largest] = median_and_range(runs, bound.value);
+            let _ = write!(text, " {median:.2} ({smallest:.2} to {largest:.2})");
             if row > 0 {
                 let allowed = bound.at(usual, *hosts);
                 let kept = bound.is_kept(median, allowed);
--- a/crates/testbed/src/slopes/load.rs
+++ b/crates/testbed/src/slopes/load.rs
@@ -70,7 +70,9 @@
         let answers = Arc::new(RequestCounters::default());
         let mut clients = Clients { tasks: Vec::new(), answers: answers.clone() };
         for number in 0..load.connections + load.idle_connections {
-            let stream = TcpStream::connect(to).await.map_err(|error| format!("{to}: {error}"))?;
+            let stream = TcpStream::connect(to)
+                .await
+                .map_err(|error| format!("connection to dispatcher {to}: {error}"))?;
             let _ = stream.set_nodelay(true);
             let answers = answers.clone();
             clients.tasks.push(match number < load.connections {
@@ -124,7 +126,7 @@
 
 fn write_request(bytes: &mut Vec<u8>, id: u64, tag: u64, object: u64, load: &Load) {
     let timeout_ms = load.timeout.as_millis();
-    let list = format!(
+    let parameters = format!(
         "req={id:016x},timeout={timeout_ms},subject={:016x},block=0,family=1,need={:.1}",
         copperroute_routing::interface::mix(object),
         load.stated_kb
@@ -132,7 +134,7 @@
     let tag = tag.to_string();
     let head = format!("*5\r\n$3\r\nREQ\r\n${}\r\n{tag}\r\n$5\r\nimage\r\n", tag.len());
     bytes.extend_from_slice(head.as_bytes());
-    bytes.extend_from_slice(format!("${}\r\n{list}\r\n$0\r\n\r\n", list.len()).as_bytes());
+    bytes.extend_from_slice(format!("${}\r\n{parameters}\r\n$0\r\n\r\n", parameters.len()).as_bytes());
 }
 
 /// Incremental reader of answers: arrays of four items, each preceded by its length.
--- a/crates/testbed/src/slopes/mod.rs
+++ b/crates/testbed/src/slopes/mod.rs
@@ -62,11 +62,11 @@
     /// Environment of the next run.
     fn environment(&mut self, slope: &Slope) -> RunEnvironment {
         self.number += 1;
-        let (part, host) = (self.number / 250 + 1, self.number % 250 + 1);
+        let (third_octet, fourth_octet) = (self.number / 250 + 1, self.number % 250 + 1);
         RunEnvironment {
             program: self.program.to_path_buf(),
             out: run_folder(self.out, slope.name, self.number),
-            address: IpAddr::V4(Ipv4Addr::new(127, self.net, part as u8, host as u8)),
+            address: IpAddr::V4(Ipv4Addr::new(127, self.net, third_octet as u8, fourth_octet as u8)),
             number: 0,
             window: Duration::from_secs_f64(self.options.seconds.clamp(0.5, 120.0)),
             seed: self.options.seed + self.number as u64,
--- a/crates/testbed/src/slopes/nodes.rs
+++ b/crates/testbed/src/slopes/nodes.rs
@@ -78,7 +78,9 @@
         let body: Arc<[u8]> = vec![b'x'; answer_settings.body_bytes].into();
         let mut serving = Vec::new();
         for address in addresses {
-            let listener = TcpListener::bind(address).await.map_err(|error| format!("{address}: {error}"))?;
+            let listener = TcpListener::bind(address)
+                .await
+                .map_err(|error| format!("stand-in node at {address}: {error}"))?;
             let (counters, body, cached) = (counters.clone(), body.clone(), Arc::<CachedObjects>::default());
             serving.push(tokio::spawn(async move {
                 while let Ok((stream, _)) = listener.accept().await {
--- a/crates/testbed/src/slopes/requests.rs
+++ b/crates/testbed/src/slopes/requests.rs
@@ -70,11 +70,11 @@
         let targets =
             listed.iter().filter(|node| node.site == 0 || node.kind != "caches").map(|node| node.address);
         let nodes = Nodes::start(targets.collect(), self.answer_settings).await?;
-        let list = snapshot_event(&listed);
-        let log = ChangeLog::start(environment.change_log_address(), vec![list.clone()]).await?;
+        let snapshot = snapshot_event(&listed);
+        let log = ChangeLog::start(environment.change_log_address(), vec![snapshot.clone()]).await?;
         let settings =
             DispatcherSettings { deadline_s: 60.0, sockets: 4_096, operator: None, seed: environment.seed };
-        let dispatcher = Dispatcher::start(environment, &settings, &list, &log).await?;
+        let dispatcher = Dispatcher::start(environment, &settings, &snapshot, &log).await?;
         let clients = Clients::start(environment.dispatcher_address(), self.load).await?;
         let mut rng = StdRng::seed_from_u64(environment.seed);
         let _purges =
--- a/crates/testbed/src/slopes/several.rs
+++ b/crates/testbed/src/slopes/several.rs
@@ -42,14 +42,14 @@
     let answer_settings =
         AnswerSettings { delay: Duration::from_millis(5), body_bytes: 1_000, misses: Misses::All };
     let nodes = Nodes::start(hosts.collect(), answer_settings).await?;
-    let list = snapshot_event(&listed);
-    let log = ChangeLog::start(environment.change_log_address(), vec![list.clone()]).await?;
+    let snapshot = snapshot_event(&listed);
+    let log = ChangeLog::start(environment.change_log_address(), vec![snapshot.clone()]).await?;
     let (mut dispatchers, mut clients) = (Vec::new(), Vec::new());
     for number in 0..count as u16 {
         let run =
             RunEnvironment { number, seed: environment.seed + u64::from(number), ..environment.clone() };
         let settings = DispatcherSettings { deadline_s: 6.0, sockets: 1_024, operator: None, seed: run.seed };
-        dispatchers.push(Dispatcher::start(&run, &settings, &list, &log).await?);
+        dispatchers.push(Dispatcher::start(&run, &settings, &snapshot, &log).await?);
         let load = Load {
             per_s: REQUESTS_PER_S,
             connections: 8,
--- a/crates/testbed/src/slopes/table.rs
+++ b/crates/testbed/src/slopes/table.rs
@@ -52,8 +52,8 @@
 /// Fits a law to a measure over all sizes that were run.
 fn fit_measure(rows: &[Row], measure: usize) -> Fit {
     let point = |row: &Row| {
-        let [cost, least, most] = row.median_and_range(measure);
-        Point { size: row.size, cost, spread: most - least }
+        let [cost, smallest, largest] = row.median_and_range(measure);
+        Point { size: row.size, cost, spread: largest - smallest }
     };
     Fit::best(&rows.iter().filter(|row| !row.runs.is_empty()).map(point).collect::<Vec<_>>())
 }
@@ -67,7 +67,7 @@
     for row in rows {
         let _ = write!(text, "\n| {} |", row.size);
         for measure in 0..slope.measures.len() {
-            let [median, least, most] = row.median_and_range(measure);
+            let [median, smallest, largest] = row.median_and_range(measure);
             let _ = match row.runs.len() {
                 0 => write!(text, " not run |"),
                 1 => write!(text, " {} |", three_digits(median)),
@@ -75,8 +75,8 @@
                     text,
                     " {} ({} to {}) |",
                     three_digits(median),
-                    three_digits(least),
-                    three_digits(most)
+                    three_digits(smallest),
+                    three_digits(largest)
                 ),
             };
         }
--- a/crates/testbed/src/tests/growth_bounds.rs
+++ b/crates/testbed/src/tests/growth_bounds.rs
@@ -11,8 +11,8 @@
     served: 1.0,
 };
 
-fn missed(needs: ResourceUse) -> Vec<String> {
-    table(30.0, &[(200, vec![USUAL]), (3_200, vec![needs])]).1
+fn missed(used: ResourceUse) -> Vec<String> {
+    table(30.0, &[(200, vec![USUAL]), (3_200, vec![used])]).1
 }
 
 #[test]
--- a/crates/testbed/src/tests/slopes_fit.rs
+++ b/crates/testbed/src/tests/slopes_fit.rs
@@ -1,4 +1,4 @@
-//! Tests that `Fit::best` recovers the law from which points were generated.
+//! Tests that the fit recovers the law from which points were generated.
 
 use super::*;
 use rand::rngs::StdRng;
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn n_log_n_points_are_neither_linear_nor_quadratic() {
+fn n_log_n_points_are_linear_log() {
     let fit = Fit::best(&points_of(|size| 1.0 + size * size.log2()));
     assert_eq!(fit.law, Law::LinearLog);
 }
