--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,6 +1,10 @@
-//! `copperroute-simulator-adapter`: the bench's wire on standard input and output, the decisions behind it.
+//! `copperroute-simulator-adapter` lets a simulator run dispatchers' routing decisions.
+//!
+//! Input: the simulator's messages on standard input. Output: one reply to each batch on standard output. The program
+//! ends with status 0 when the input ends between two batches, and with status 2 and an error line on standard error
+//! when a line is malformed or a pipe fails.
 
-// Not yet: `wire::event` is still one function.
+// `wire::handle_event` is one long function with a match arm for each message.
 #![allow(clippy::too_many_lines)]
 
 mod stdio_transport;
@@ -11,8 +15,8 @@
 fn main() {
     let input = io::stdin().lock();
     let output = BufWriter::new(io::stdout().lock());
-    if let Err(fault) = wire::serve(input, output) {
-        eprintln!("copperroute-simulator-adapter: {fault}");
+    if let Err(error) = wire::serve(input, output) {
+        eprintln!("copperroute-simulator-adapter: {error}");
         std::process::exit(2);
     }
 }
--- a/crates/simulator-adapter/src/tests/wire.rs
+++ b/crates/simulator-adapter/src/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Tests of what `wire.rs` keeps to itself.
+//! Tests of the simulator's protocol: input lines and the exact reply to them.
 
 use super::serve;
 use expect_test::expect;
@@ -10,16 +10,17 @@
 const LIST: &str = "backends_changed\t3\t2\t41\t2\nm\t10.0.0.1:80\t1\t0\t0\t1\t5\t-\n\
     m\t10.0.0.9:80\t0\t2\t0\t1\t20\t-";
 
-fn answers(lines: &str) -> String {
+/// The replies to these lines, with `BEGIN` and `LIST` expanded; an error follows on a last line after `!`.
+fn replies(lines: &str) -> String {
     let input = lines.replace("BEGIN", BEGIN).replace("LIST", LIST);
     let mut output = Vec::new();
-    let end = serve(input.as_bytes(), &mut output);
-    let fault = end.err().map_or(String::new(), |fault| format!("! {fault}\n"));
-    String::from_utf8_lossy(&output).into_owned() + &fault
+    let result = serve(input.as_bytes(), &mut output);
+    let error = result.err().map_or(String::new(), |error| format!("! {error}\n"));
+    String::from_utf8_lossy(&output).into_owned() + &error
 }
 
 #[test]
-fn a_download_is_looked_for_filled_and_let_go() {
+fn a_request_is_looked_up_filled_and_released() {
     let lines = "tick\t8.41225\nend\ntick\t8.5\nBEGIN\nLIST\n\
         request\t3\t77\t0\ta:k\t9.5\t1\t640\t3\t11\t0\nend\n\
         tick\t8.6\nreport_back\t3\t77\tNOT_FOUND\t0.001\t0\t0\t10.0.0.1:80\t-\t-\t-\nend\n\
@@ -35,20 +36,20 @@
         eor
         eor
     "#]]
-    .assert_eq(&answers(lines));
+    .assert_eq(&replies(lines));
 }
 
 #[test]
-fn an_instance_may_stop_and_start_in_one_batch() {
+fn a_dispatcher_may_stop_and_start_in_one_batch() {
     let lines = "tick\t1\nBEGIN\nLIST\ndestroy\t3\nBEGIN\nclient_gone\t3\t5\nend\n";
     expect![[r#"
         eor
     "#]]
-    .assert_eq(&answers(lines));
+    .assert_eq(&replies(lines));
 }
 
 #[test]
-fn malformed_lines_are_named() {
+fn errors_name_the_malformed_line() {
     let lines = [
         "tick\t1\nBEGIN\nrequest\t3\t77\t0\nend\n",
         "tick\t1\nBEGIN\nclient_gone\t3\tx\nend\n",
@@ -67,5 +68,5 @@
         ! line 1: expected 'tick', found 'end'
         ! line 1: the input ended inside a batch
     "#]]
-    .assert_eq(&lines.map(answers).concat());
+    .assert_eq(&lines.map(replies).concat());
 }
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -1,4 +1,8 @@
-//! The wire: batches of tab-set lines in, one reply to each out.
+//! The simulator's protocol: batches of tab-separated lines in, one reply to each batch out.
+//!
+//! A batch starts with `tick` and the simulated time in seconds, and ends with `end`. Between them each line is a
+//! message for one simulated dispatcher, named by its number. The reply holds the lines that the dispatchers sent, and
+//! ends with `eor`. [`serve`] is called once and runs until the input ends.
 
 use crate::stdio_transport::StdioTransport;
 use copperroute_routing::interface::{
@@ -12,65 +16,69 @@
 use std::io::{BufRead, Write};
 use std::str::FromStr;
 
-/// Why the adapter stopped.
+/// The error that stopped the adapter.
 #[derive(Debug)]
-pub(crate) enum Fault {
-    /// A line that the page does not allow: its number, and what was expected.
-    Line(u64, String),
-    /// The pipe broke.
-    Pipe(std::io::Error),
+pub(crate) enum AdapterError {
+    /// A line that the protocol does not allow: its number, counted from 1, and a description.
+    MalformedLine(u64, String),
+    /// Reading standard input or writing standard output failed.
+    Io(std::io::Error),
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for AdapterError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Fault::Line(number, what) => write!(f, "line {number}: {what}"),
-            Fault::Pipe(error) => write!(f, "pipe: {error}"),
+            AdapterError::MalformedLine(number, description) => write!(f, "line {number}: {description}"),
+            AdapterError::Io(error) => write!(f, "standard input or output: {error}"),
         }
     }
 }
 
-impl From<std::io::Error> for Fault {
+impl From<std::io::Error> for AdapterError {
     fn from(error: std::io::Error) -> Self {
-        Fault::Pipe(error)
+        AdapterError::Io(error)
     }
 }
 
-/// One simulated dispatcher: its decisions and its door.
+/// One simulated dispatcher: the routing policy and its transport.
 struct Instance {
-    module: Dispatcher,
+    policy: Dispatcher,
     transport: StdioTransport,
-    types: u32,
+    /// The number of configured content types.
+    type_count: u32,
 }
 
-/// The values of a line, taken in order.
+/// The tab-separated values of a line, read in order.
 struct Fields<'a> {
     name: &'a str,
-    parts: Vec<&'a str>,
-    at: usize,
+    values: Vec<&'a str>,
+    /// The index of the next value to read.
+    next: usize,
 }
 
 impl<'a> Fields<'a> {
     fn new(line: &'a str) -> Self {
-        let mut parts = line.split('\t');
-        let name = parts.next().unwrap_or_default();
-        Fields { name, parts: parts.collect(), at: 0 }
+        let mut values = line.split('\t');
+        let name = values.next().unwrap_or_default();
+        Fields { name, values: values.collect(), next: 0 }
     }
 
-    fn expect(&self, count: usize) -> Result<(), String> {
-        if self.parts.len() == count {
+    /// Checks the number of values.
+    fn expect_count(&self, count: usize) -> Result<(), String> {
+        if self.values.len() == count {
             return Ok(());
         }
-        Err(format!("{}: expected {count} values, found {}", self.name, self.parts.len()))
+        Err(format!("{}: expected {count} values, found {}", self.name, self.values.len()))
     }
 
     fn text(&mut self, field: &str) -> Result<&'a str, String> {
-        let part = self.parts.get(self.at).copied();
-        self.at += 1;
-        part.ok_or_else(|| format!("{}: {field} is missing", self.name))
+        let value = self.values.get(self.next).copied();
+        self.next += 1;
+        value.ok_or_else(|| format!("{}: {field} is missing", self.name))
     }
 
-    fn maybe<T: FromStr>(&mut self, field: &str) -> Result<Option<T>, String> {
+    /// A number, or none for `-`.
+    fn optional_number<T: FromStr>(&mut self, field: &str) -> Result<Option<T>, String> {
         let text = self.text(field)?;
         if text == "-" {
             return Ok(None);
@@ -80,12 +88,12 @@
     }
 
     fn number<T: FromStr>(&mut self, field: &str) -> Result<T, String> {
-        self.maybe(field)?.ok_or_else(|| format!("{}: {field} may not be absent", self.name))
+        self.optional_number(field)?.ok_or_else(|| format!("{}: {field} may not be absent", self.name))
     }
 
-    /// A time or span in seconds; absent counts as 0.
+    /// A time or time span in seconds; 0 for `-`.
     fn secs(&mut self, field: &str) -> Result<Nanos, String> {
-        let secs = self.maybe::<f64>(field)?.unwrap_or(0.0);
+        let secs = self.optional_number::<f64>(field)?.unwrap_or(0.0);
         if secs.is_finite() && secs >= 0.0 {
             return Ok(Nanos::from_secs(secs));
         }
@@ -93,7 +101,8 @@
     }
 }
 
-fn outcome(code: &str) -> Result<Outcome, String> {
+/// Translates the protocol's result code of an attempt.
+fn parse_outcome(code: &str) -> Result<Outcome, String> {
     Ok(match code {
         "OK" => Outcome::Served,
         "INTERNAL" => Outcome::Failed,
@@ -108,7 +117,8 @@
     })
 }
 
-fn remark(number: u32) -> Remark {
+/// Translates the protocol's number of a remark; an unknown number is no remark.
+fn parse_remark(number: u32) -> Remark {
     match number {
         1 => Remark::Hit,
         2 => Remark::FilledFromCopy,
@@ -124,8 +134,9 @@
     }
 }
 
-/// A load report; values that are not read, or are no numbers, are passed over.
-fn report(pairs: &str) -> LoadReport {
+/// Parses a load report from `name:value` pairs. Unknown names and values that are not finite non-negative numbers
+/// are ignored.
+fn parse_report(pairs: &str) -> LoadReport {
     let value = |name: &str| {
         let pair = pairs.split(',').filter_map(|pair| pair.split_once(':')).find(|pair| pair.0 == name)?;
         pair.1.parse().ok().filter(|value: &f64| value.is_finite() && *value >= 0.0)
@@ -133,41 +144,44 @@
     LoadReport { in_flight: value("busy_reqs"), busy: value("cpu_share") }
 }
 
-fn entry(fields: &mut Fields<'_>, transport: &mut StdioTransport) -> Result<NodeEntry, String> {
+/// Parses a line of a node list.
+fn parse_entry(fields: &mut Fields<'_>, transport: &mut StdioTransport) -> Result<NodeEntry, String> {
     if fields.name != "m" {
         return Err(format!("expected an entry 'm', found '{}'", fields.name));
     }
-    fields.expect(7)?;
+    fields.expect_count(7)?;
     let address = fields.text("host")?;
     Ok(NodeEntry {
-        node: transport.list_node(address),
+        node: transport.assign_node(address),
         hash: stable_hash(address.as_bytes()),
         zone: ZoneId(fields.number("campus")?),
         kind: fields.number("family_type")?,
-        cell: fields.maybe("pack")?.unwrap_or(UNKNOWN_ID),
+        cell: fields.optional_number("pack")?.unwrap_or(UNKNOWN_ID),
         readiness: match fields.number::<u32>("readiness")? {
             0 => Readiness::Gone,
             1 => Readiness::Ready,
             2 => Readiness::Draining,
             other => return Err(format!("m: readiness: expected 0, 1 or 2, found '{other}'")),
         },
-        weight: fields.maybe("capacity_hint")?.unwrap_or(1.0),
+        weight: fields.optional_number("capacity_hint")?.unwrap_or(1.0),
         started: fields.secs("since_s")?,
     })
 }
 
-fn begin(fields: &mut Fields<'_>, number: u32) -> Result<Instance, String> {
+/// Creates the dispatcher with this number from the options of a `begin` message.
+fn create_instance(fields: &mut Fields<'_>, number: u32) -> Result<Instance, String> {
     let seed = fields.number("init_seed")?;
-    let settings = Options::from_pairs(&fields.parts[fields.at..])?.settings(seed)?;
-    let types = settings.content_types.len() as u32;
-    Ok(Instance { module: Dispatcher::new(settings), transport: StdioTransport::new(number), types })
+    let settings = Options::from_pairs(&fields.values[fields.next..])?.settings(seed)?;
+    let type_count = settings.content_types.len() as u32;
+    Ok(Instance { policy: Dispatcher::new(settings), transport: StdioTransport::new(number), type_count })
 }
 
-/// Hands one event to the module. The lines of the list that belong to it come in `entries`.
-fn event(
+/// Passes one message to the routing policy. `entries` holds the node list lines that follow a `backends_changed`
+/// message.
+fn handle_event(
     fields: &mut Fields<'_>,
     now: Nanos,
-    Instance { module, transport, types }: &mut Instance,
+    Instance { policy, transport, type_count }: &mut Instance,
     entries: &[String],
 ) -> Result<(), String> {
     match fields.name {
@@ -175,31 +189,31 @@
             let how: u32 = fields.number("how")?;
             let mut nodes = Vec::with_capacity(entries.len());
             for line in entries {
-                nodes.push(entry(&mut Fields::new(line), transport)?);
+                nodes.push(parse_entry(&mut Fields::new(line), transport)?);
             }
             match how {
-                0 => module.nodes_changed(now, &nodes, transport),
-                1 | 2 => module.node_list_replaced(now, &nodes, transport),
-                3 => module.subscription_failed(now, transport),
+                0 => policy.nodes_changed(now, &nodes, transport),
+                1 | 2 => policy.node_list_replaced(now, &nodes, transport),
+                3 => policy.subscription_failed(now, transport),
                 other => return Err(format!("backends_changed: how: expected 0 to 3, found '{other}'")),
             }
         }
         "request" => {
-            fields.expect(10)?;
+            fields.expect_count(10)?;
             let id = fields.number("id")?;
             let content_type = TypeId(fields.number("priority")?);
             let name = fields.text("resource")?;
             let deadline = fields.secs("drop_dead_s")?;
-            let bits: u32 = fields.maybe("state_bits")?.unwrap_or(0);
-            let size: Option<f64> = fields.maybe("kbytes")?;
-            let part: u64 = fields.maybe("chunk")?.unwrap_or(0);
-            let group = fields.maybe("group")?;
+            let bits: u32 = fields.optional_number("state_bits")?.unwrap_or(0);
+            let size: Option<f64> = fields.optional_number("kbytes")?;
+            let part: u64 = fields.optional_number("chunk")?.unwrap_or(0);
+            let group = fields.optional_number("group")?;
             let object_hash = stable_hash(name.as_bytes());
-            if content_type.0 >= *types {
+            if content_type.0 >= *type_count {
                 return Err(format!("request: priority: no content type {}", content_type.0));
             }
-            let object = transport.object(name, part);
-            let request_id = transport.open(id);
+            let object = transport.assign_object(name, part);
+            let request_id = transport.assign_request(id);
             let routing_request = RoutingRequest {
                 request_id,
                 content_type,
@@ -213,70 +227,70 @@
                 client: 0,
                 body_hash: 0,
             };
-            module.request_arrived(now, &routing_request, transport);
+            policy.request_arrived(now, &routing_request, transport);
         }
         "ack_first" => {
-            fields.expect(5)?;
-            if let Some(request_id) = transport.held(fields.number("id")?) {
-                module.first_byte(now, request_id, fields.number("n")?, transport);
+            fields.expect_count(5)?;
+            if let Some(request_id) = transport.find_request(fields.number("id")?) {
+                policy.first_byte(now, request_id, fields.number("n")?, transport);
             }
         }
         "report_back" => {
-            fields.expect(10)?;
-            let request_id = transport.held(fields.number("id")?);
-            let outcome = outcome(fields.text("state_code")?)?;
+            fields.expect_count(10)?;
+            let request_id = transport.find_request(fields.number("id")?);
+            let outcome = parse_outcome(fields.text("state_code")?)?;
             let duration = fields.secs("rtt_s")?;
             let completes_request = fields.number::<u32>("no_more")? == 1;
             let number = fields.number("n")?;
             let _host = fields.text("host")?;
             let first_byte_wait = Some(fields.secs("waited_s")?).filter(|span| span.0 > 0);
-            let remark = remark(fields.maybe("remark")?.unwrap_or(0));
-            let report = report(fields.text("health_info")?);
+            let remark = parse_remark(fields.optional_number("remark")?.unwrap_or(0));
+            let report = parse_report(fields.text("health_info")?);
             if let Some(request_id) = request_id {
                 let end =
                     AttemptEnd { outcome, duration, completes_request, first_byte_wait, remark, report };
-                module.attempt_ended(now, request_id, number, &end, transport);
+                policy.attempt_ended(now, request_id, number, &end, transport);
             }
         }
         "client_gone" => {
-            fields.expect(2)?;
-            if let Some(request_id) = transport.held(fields.number("id")?) {
-                module.client_gone(now, request_id, transport);
+            fields.expect_count(2)?;
+            if let Some(request_id) = transport.find_request(fields.number("id")?) {
+                policy.client_gone(now, request_id, transport);
             }
         }
         "elapsed" => {
-            fields.expect(2)?;
-            module.timer(now, fields.number("key_back")?, transport);
+            fields.expect_count(2)?;
+            policy.timer(now, fields.number("key_back")?, transport);
         }
         "ping_result" => {
-            fields.expect(5)?;
+            fields.expect_count(5)?;
             let _rtt = fields.secs("rtt_s")?;
             let host = fields.text("host")?;
-            let passed = outcome(fields.text("state_code")?)? == Outcome::Served;
-            let report = report(fields.text("health_info")?);
-            if let Some(node) = transport.held_node(host).filter(|_| passed) {
-                module.load_probe_answered(now, node, report);
+            let passed = parse_outcome(fields.text("state_code")?)? == Outcome::Served;
+            let report = parse_report(fields.text("health_info")?);
+            if let Some(node) = transport.find_node(host).filter(|_| passed) {
+                policy.load_probe_answered(now, node, report);
             }
         }
         "voided" => {
-            fields.expect(4)?;
+            fields.expect_count(4)?;
             let name = fields.text("resource")?;
-            let group: Option<u64> = fields.maybe("set_no")?;
+            let group: Option<u64> = fields.optional_number("set_no")?;
             let age = fields.secs("age_span_s")?;
             match name {
-                "-" | "0" | "" => module.group_purged(now, group.unwrap_or(0), age, transport),
-                name => module.object_purged(now, stable_hash(name.as_bytes()), age, transport),
+                "-" | "0" | "" => policy.group_purged(now, group.unwrap_or(0), age, transport),
+                name => policy.object_purged(now, stable_hash(name.as_bytes()), age, transport),
             }
         }
-        // Peers are not listened to.
+        // Messages from other dispatchers are ignored.
         "whisper" => {}
         other => return Err(format!("unknown message '{other}'")),
     }
     Ok(())
 }
 
-/// Answers batches until the input ends.
-pub(crate) fn serve(mut input: impl BufRead, mut output: impl Write) -> Result<(), Fault> {
+/// Answers each batch until the input ends. Fails on the first malformed line, and when the input ends inside a batch.
+pub(crate) fn serve(mut input: impl BufRead, mut output: impl Write) -> Result<(), AdapterError> {
     let mut instances: BTreeMap<u32, Instance> = BTreeMap::new();
     let mut now: Option<Nanos> = None;
     let mut reply = String::new();
@@ -287,14 +301,16 @@
         if input.read_line(&mut line)? == 0 {
             return match now {
                 None => Ok(()),
-                Some(_) => Err(Fault::Line(number, "the input ended inside a batch".to_string())),
+                Some(_) => {
+                    Err(AdapterError::MalformedLine(number, "the input ended inside a batch".to_string()))
+                }
             };
         }
         number += 1;
-        let fault = |what: String| Fault::Line(number, what);
+        let malformed = |description: String| AdapterError::MalformedLine(number, description);
         let mut fields = Fields::new(line.trim_end_matches(['\n', '\r']));
         match (fields.name, now) {
-            ("tick", None) => now = Some(fields.secs("clock").map_err(fault)?),
+            ("tick", None) => now = Some(fields.secs("clock").map_err(malformed)?),
             ("end", Some(_)) => {
                 reply.push_str("eor\n");
                 output.write_all(reply.as_bytes())?;
@@ -304,28 +320,28 @@
             }
             ("", None) => {}
             (name, None) => {
-                return Err(Fault::Line(number, format!("expected 'tick', found '{name}'")));
+                return Err(AdapterError::MalformedLine(number, format!("expected 'tick', found '{name}'")));
             }
             (name, Some(clock)) => {
-                let at: u32 = fields.number("dispatcher").map_err(fault)?;
+                let dispatcher: u32 = fields.number("dispatcher").map_err(malformed)?;
                 if name == "begin" {
-                    let mut instance = begin(&mut fields, at).map_err(fault)?;
-                    instance.module.start(clock, &mut instance.transport);
+                    let mut instance = create_instance(&mut fields, dispatcher).map_err(malformed)?;
+                    instance.policy.start(clock, &mut instance.transport);
                     reply.push_str(&std::mem::take(&mut instance.transport.lines));
-                    instances.insert(at, instance);
+                    instances.insert(dispatcher, instance);
                     continue;
                 }
                 if name == "destroy" {
-                    instances.remove(&at);
+                    instances.remove(&dispatcher);
                     continue;
                 }
                 let mut entries = Vec::new();
                 if name == "backends_changed" {
-                    fields.expect(4).map_err(fault)?;
-                    let count = fields.parts[3].parse::<usize>().map_err(|_| {
-                        fault(format!(
+                    fields.expect_count(4).map_err(malformed)?;
+                    let count = fields.values[3].parse::<usize>().map_err(|_| {
+                        malformed(format!(
                             "backends_changed: entries: expected a count, found '{}'",
-                            fields.parts[3]
+                            fields.values[3]
                         ))
                     })?;
                     for _ in 0..count {
@@ -335,11 +351,11 @@
                         entries.push(text.trim_end_matches(['\n', '\r']).to_string());
                     }
                 }
-                let fault = |what: String| Fault::Line(number, what);
-                let Some(instance) = instances.get_mut(&at) else {
-                    return Err(fault(format!("{name}: no dispatcher {at}")));
+                let malformed = |description: String| AdapterError::MalformedLine(number, description);
+                let Some(instance) = instances.get_mut(&dispatcher) else {
+                    return Err(malformed(format!("{name}: no dispatcher {dispatcher}")));
                 };
-                event(&mut fields, clock, instance, &entries).map_err(fault)?;
+                handle_event(&mut fields, clock, instance, &entries).map_err(malformed)?;
                 reply.push_str(&instance.transport.lines);
                 instance.transport.lines.clear();
             }
