--- a/crates/model-checks/src/lib.rs
+++ b/crates/model-checks/src/lib.rs
@@ -1,2 +1,2 @@
-//! Searches of every ordering in the small, with the decisions that dispatchers and replicas run: tests only, see
-//! `tests/checks/`.
+//! Model checks that search every ordering of events in small models and run the real decisions of dispatchers and
+//! replicas. This crate has only tests, see `tests/checks/`.
--- a/crates/model-checks/tests/checks/change_log/dispatcher.rs
+++ b/crates/model-checks/tests/checks/change_log/dispatcher.rs
@@ -1,123 +1,135 @@
-//! A dispatcher that follows both replicas with the real merge, and the judge of what it does.
+//! The model of a dispatcher, which follows both replicas with the real merge, and the checks of what it applies.
 
 use super::model::Fault;
 use super::parts::{Link, Message, PROPAGATION_BOUND, clock};
 use copperroute_routing::change_log::{Arrival, Content, Heartbeat, Merge, Step};
 
-/// What no ordering may bring about.
+/// A broken property; no ordering may lead to one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) enum Violation {
-    /// An event was acted on twice, behind a later one, or before its predecessors.
+    /// An event was applied twice, after a later one, or before its predecessors.
     OutOfOrder,
-    /// An event was passed over that was not lost on both ways, or was not acted on though a stream told all.
+    /// An event was skipped that was not lost on both streams, or was not applied though a stream delivered every
+    /// event.
     Lost,
-    /// A lease was renewed, and an event has not been acted on that was written longer ago than a heartbeat may take.
+    /// A lease was renewed although an event was not applied that was written longer ago than a heartbeat may take.
     StaleLease,
-    /// All is asked for again, though numbers never begin anew.
-    BegunAnew,
+    /// The merge reports a restarted log, though the event numbers never restart in this model.
+    LogRestarted,
 }
 
-/// So often an event is lost on its way before it may be passed over.
-const LOST_ON_BOTH_WAYS: u8 = 2;
+/// The number of lost events from which an event may be skipped: one copy lost on each of the two streams.
+const LOST_ON_BOTH_STREAMS: u8 = 2;
 
-/// A dispatcher.
+/// The state of a dispatcher.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct Dispatcher {
     merge: Merge<u64>,
-    /// The last event that it acted on.
-    pub acted: u64,
-    /// From each replica.
+    /// The number of the last event that was applied.
+    pub applied: u64,
+    /// The link from each replica.
     pub streams: [Link; 2],
-    /// Events that were lost on their way to it.
-    lost_on_way: u8,
+    /// The number of events lost on either stream.
+    lost_in_transit: u8,
     pub violation: Option<Violation>,
 }
 
 impl Dispatcher {
-    /// With both streams up and one heartbeat of each heard.
+    /// Both streams are up, and each has delivered one heartbeat.
     pub(super) fn new() -> Self {
         let streams = [Link::up(), Link::up()];
         let mut merge = merge();
-        for of in 0..streams.len() {
-            merge.request_sent(clock(0), of);
-            assert_eq!(merge.heartbeat(clock(0), of, 0), Heartbeat::CaughtUp);
+        for replica in 0..streams.len() {
+            merge.request_sent(clock(0), replica);
+            assert_eq!(merge.heartbeat(clock(0), replica, 0), Heartbeat::CaughtUp);
         }
-        Dispatcher { merge, acted: 0, streams, lost_on_way: 0, violation: None }
+        Dispatcher { merge, applied: 0, streams, lost_in_transit: 0, violation: None }
     }
 
-    /// It is killed and started again with nothing.
+    /// The process is killed and started again without any state.
     pub(super) fn restart(&mut self) {
         self.streams.iter_mut().for_each(Link::end);
-        (self.merge, self.acted) = (merge(), 0);
+        (self.merge, self.applied) = (merge(), 0);
     }
 
-    /// Asks a replica, whose last event has this number, for what follows.
-    pub(super) fn call(&mut self, second: u64, of: usize, last: u64, fault: Option<Fault>) {
-        let too_late = u64::from(fault == Some(Fault::AskTooLate));
-        self.merge.request_sent(clock(second), of);
-        self.streams[of].call(self.merge.applied() + too_late, last);
+    /// Connects to a replica and requests the events that follow the last applied one; `last` is the replica's last
+    /// event.
+    pub(super) fn reconnect(&mut self, second: u64, replica: usize, last: u64, fault: Option<Fault>) {
+        let events_missed = u64::from(fault == Some(Fault::RequestTooLate));
+        self.merge.request_sent(clock(second), replica);
+        self.streams[replica].reconnect(self.merge.applied() + events_missed, last);
     }
 
-    /// A stream ends.
-    pub(super) fn end(&mut self, of: usize) {
-        self.merge.ended(of);
-        self.streams[of].end();
+    /// Ends the stream from a replica.
+    pub(super) fn end(&mut self, replica: usize) {
+        self.merge.ended(replica);
+        self.streams[replica].end();
     }
 
-    /// The next message of a stream is lost.
-    pub(super) fn lose_next(&mut self, of: usize) {
-        let lost = self.streams[of].lose_next();
-        self.lost_on_way += u8::from(matches!(lost, Some(Message::Event(_))));
+    /// Loses the next message of the stream from a replica.
+    pub(super) fn lose_next(&mut self, replica: usize) {
+        let lost = self.streams[replica].lose_next();
+        self.lost_in_transit += u8::from(matches!(lost, Some(Message::Event(_))));
     }
 
-    /// Takes what a stream tells next; a heartbeat has to vouch for all events up to `before`.
-    pub(super) fn hear(&mut self, second: u64, of: usize, before: u64, fault: Option<Fault>) {
-        match self.streams[of].deliver() {
-            Some(Message::Event(number)) => self.event(of, number, fault),
-            Some(Message::Heartbeat(last)) => self.heartbeat(second, of, last, before, fault),
+    /// Receives the next message from a replica. When a heartbeat renews the lease, every event up to `before` must
+    /// have been applied.
+    pub(super) fn receive(&mut self, second: u64, replica: usize, before: u64, fault: Option<Fault>) {
+        match self.streams[replica].deliver() {
+            Some(Message::Event(number)) => self.receive_event(replica, number, fault),
+            Some(Message::Heartbeat(last)) => self.receive_heartbeat(second, replica, last, before, fault),
             None => {}
         }
-        self.take_steps(second);
+        self.run_merge_steps(second);
     }
 
-    fn event(&mut self, of: usize, number: u64, fault: Option<Fault>) {
+    fn receive_event(&mut self, replica: usize, number: u64, fault: Option<Fault>) {
         let applied = self.merge.applied();
-        let is_acted_on_at_once = match fault {
+        let is_applied_at_once = match fault {
             Some(Fault::ApplySecondCopy) => number <= applied,
             Some(Fault::ApplyOverGap) => number > applied + 1,
             _ => false,
         };
-        if is_acted_on_at_once {
-            self.act(number, false);
+        if is_applied_at_once {
+            self.apply(number, false);
         }
         let content = Content::Delta(number);
-        self.merge.arrived(of, Arrival { number, bytes: 1, digest: Some(number), content });
+        self.merge.arrived(replica, Arrival { number, bytes: 1, digest: Some(number), content });
     }
 
-    fn heartbeat(&mut self, second: u64, of: usize, last: u64, before: u64, fault: Option<Fault>) {
-        let renews_behind = fault == Some(Fault::RenewBehind) && last < self.merge.applied();
-        match self.merge.heartbeat(clock(second), of, last) {
-            Heartbeat::CaughtUp => self.renew(before),
-            Heartbeat::Inconclusive | Heartbeat::Behind { .. } if renews_behind => self.renew(before),
+    fn receive_heartbeat(
+        &mut self,
+        second: u64,
+        replica: usize,
+        last: u64,
+        before: u64,
+        fault: Option<Fault>,
+    ) {
+        let renews_while_behind = fault == Some(Fault::RenewWhileBehind) && last < self.merge.applied();
+        match self.merge.heartbeat(clock(second), replica, last) {
+            Heartbeat::CaughtUp => self.renew_lease(before),
+            Heartbeat::Inconclusive | Heartbeat::Behind { .. } if renews_while_behind => {
+                self.renew_lease(before)
+            }
             Heartbeat::Inconclusive | Heartbeat::Behind { .. } => {}
-            Heartbeat::Reconnect(_) => self.end(of),
-            Heartbeat::LogRestarted(_) => self.violation = Some(Violation::BegunAnew),
+            Heartbeat::Reconnect(_) => self.end(replica),
+            Heartbeat::LogRestarted(_) => self.violation = Some(Violation::LogRestarted),
         }
     }
 
-    fn renew(&mut self, before: u64) {
-        if self.acted < before {
+    fn renew_lease(&mut self, before: u64) {
+        if self.applied < before {
             self.violation = Some(Violation::StaleLease);
         }
     }
 
-    /// Does what the merge asks for by now.
-    pub(super) fn take_steps(&mut self, second: u64) {
+    /// Runs the steps that the merge requests at this second.
+    pub(super) fn run_merge_steps(&mut self, second: u64) {
         while let Some(step) = self.merge.next_step(clock(second)) {
             match step {
-                Step::Apply { event, lost } => self.act(event, lost),
+                Step::Apply { event, lost } => self.apply(event, lost),
                 Step::Reconnect { source, .. } => self.end(source),
-                // All can be used, and no two contents bear one number.
+                // In this model every event is usable, and no two events share a number.
                 Step::Skip { .. } | Step::Contradiction { .. } => {
                     self.violation = Some(Violation::OutOfOrder);
                 }
@@ -125,15 +137,15 @@
         }
     }
 
-    /// An event is acted on; the judge's numbers are its own.
-    fn act(&mut self, number: u64, is_gap_known: bool) {
-        let follows = number == self.acted + 1;
-        if number <= self.acted || !(follows || is_gap_known) {
+    /// Applies an event and checks its order with numbers of its own, not those of the merge.
+    fn apply(&mut self, number: u64, is_gap_known: bool) {
+        let follows = number == self.applied + 1;
+        if number <= self.applied || !(follows || is_gap_known) {
             self.violation = Some(Violation::OutOfOrder);
-        } else if !follows && self.lost_on_way < LOST_ON_BOTH_WAYS {
+        } else if !follows && self.lost_in_transit < LOST_ON_BOTH_STREAMS {
             self.violation = Some(Violation::Lost);
         }
-        self.acted = number;
+        self.applied = number;
     }
 }
 
--- a/crates/model-checks/tests/checks/change_log/mod.rs
+++ b/crates/model-checks/tests/checks/change_log/mod.rs
@@ -1,13 +1,14 @@
-//! The change log on its way: two replicas, two dispatchers that each follow both, and what goes wrong between them.
+//! Model of how the change log is delivered: two replicas, two dispatchers that each follow both, and failures between
+//! them.
 //!
-//! Real: what a dispatcher makes of two streams ([`copperroute_routing::change_log::Merge`], with its digests, what it holds back
-//! and its judgement of heartbeats), and a replica's judgement of heartbeats
-//! ([`copperroute_change_log_replica::heartbeat::Heartbeats`]). Abstract: the log, links, the rest of a replica (a last number, whether
-//! it is current, whom it serves), calls (they may come at any second, or not at all) and a dispatcher's lease (renewed by
-//! each heartbeat that the merge calls caught up).
+//! Real code: how a dispatcher merges two streams ([`copperroute_routing::change_log::Merge`], with its digests, the
+//! events that it buffers and how it evaluates heartbeats), and how a replica evaluates heartbeats
+//! ([`copperroute_change_log_replica::heartbeat::Heartbeats`]). Abstract: the log, the links, the rest of a replica
+//! (its last event number, whether it is current, which dispatchers it serves), reconnects (at any second, or never) and a
+//! dispatcher's lease (renewed by each heartbeat that the merge reports as caught up).
 //!
-//! A step of time is a second. What is sent on a link that is not held arrives in the same second, in every ordering with
-//! what other links carry; a held link carries nothing, then all at once.
+//! A time step is one second. A message on a link that is not held arrives in the second in which it was sent, in every
+//! ordering with the messages of other links. A held link delivers nothing until it is released, then all its messages.
 
 mod dispatcher;
 mod model;
--- a/crates/model-checks/tests/checks/change_log/model.rs
+++ b/crates/model-checks/tests/checks/change_log/model.rs
@@ -1,132 +1,134 @@
-//! What is searched: the steps that can be taken, and the properties.
+//! The model for stateright: the actions that are possible in each state, and the properties that must hold.
 
 use super::dispatcher::Violation;
 use super::parts::Message;
-use super::world::{Trouble, World};
+use super::world::{Failure, World};
 use stateright::{Model, Property};
 
-/// A deliberate fault. Those of the merge and of a replica are put around the real decisions.
+/// A deliberate fault that a search must find. Faults of the merge and of a replica are added around the real code,
+/// which stays unchanged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Fault {
-    /// The second copy of an event is acted on again.
+    /// The second copy of an event is applied again.
     ApplySecondCopy,
-    /// An event is acted on though those before it have not come.
+    /// An event is applied before its predecessors have arrived.
     ApplyOverGap,
-    /// A heartbeat of a stream that is behind renews the lease.
-    RenewBehind,
-    /// A replica begins a heartbeat by itself while its source is silent, and takes that for its source's.
-    BeginHeartbeat,
-    /// A stream is asked for what follows one event too late.
-    AskTooLate,
+    /// A heartbeat of a stream that is behind the applied events renews the lease.
+    RenewWhileBehind,
+    /// A replica sends a heartbeat of its own while its source is silent, as if the source had sent it.
+    SendOwnHeartbeat,
+    /// A dispatcher requests the events of a stream from one event too late, and so misses one.
+    RequestTooLate,
 }
 
-/// How much may happen.
+/// The limits of a search, which keep the number of states finite.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Bounds {
     pub events: u64,
-    pub troubles: usize,
+    pub failures: usize,
     pub seconds: u64,
 }
 
-/// A search.
+/// The parameters of a search.
 ///
-/// Dispatchers change neither each other nor a replica, and start alike: what any of them can come to, the first can come
-/// to. Where the second is prompt, it takes all at once and calls at once, and nothing of its own goes wrong; what is left
-/// out by that is what the first goes through.
+/// Dispatchers affect neither each other nor a replica, and start in the same state, so any state that one of them can
+/// reach, the first can reach. If the second is prompt, it receives and reconnects at once and has no failures of its
+/// own; the orderings that this leaves out are covered by the first.
 pub(super) struct Search {
     pub fault: Option<Fault>,
     pub bounds: Bounds,
     pub second_is_prompt: bool,
-    /// A heartbeat that renews a lease left the log so many seconds earlier at most.
-    pub seconds_old: usize,
+    /// The highest age in whole seconds of a heartbeat that renews a lease, counted from when it left the log.
+    pub max_heartbeat_age_s: usize,
 }
 
-/// A step.
+/// An action; the numbers are the dispatcher's, if any, and then the replica's.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) enum Action {
     Tick,
     Write,
-    ReplicaHears(usize),
-    DispatcherHears(usize, usize),
-    ReplicaCalls(usize),
-    DispatcherCalls(usize, usize),
+    ReplicaReceives(usize),
+    DispatcherReceives(usize, usize),
+    ReplicaReconnects(usize),
+    DispatcherReconnects(usize, usize),
     ReleaseSource(usize),
     ReleaseStream(usize, usize),
-    Suffer(Trouble),
+    Fail(Failure),
 }
 
-/// Names of the properties.
-pub(super) const IN_ORDER: &str = "no event is acted on out of order";
+/// The names of the properties that must always hold.
+pub(super) const IN_ORDER: &str = "no event is applied out of order";
 pub(super) const NONE_LOST: &str = "no event is lost while either stream delivers";
-pub(super) const NO_STALE_LEASE: &str = "no heartbeat from a source that is out of touch renews a lease";
-pub(super) const NEVER_ANEW: &str = "numbers are not taken to begin anew";
-/// Names of what must be reached.
-pub(super) const ALL_ACT: &str = "both act on all, after all that goes wrong";
+pub(super) const NO_STALE_LEASE: &str = "no heartbeat from a disconnected source renews a lease";
+pub(super) const NO_FALSE_RESTART: &str = "the log is never taken to have restarted";
+/// The name of the state that must be reachable, which shows that the search gets that far.
+pub(super) const ALL_APPLIED: &str = "both dispatchers apply every event, after every failure";
 
 impl Search {
     fn has_time(&self, world: &World) -> bool {
         world.second < self.bounds.seconds
     }
 
-    /// Between the log and a replica.
-    fn replica_actions(&self, world: &World, of: usize, actions: &mut Vec<Action>) {
-        let source = &world.replicas[of].source;
+    /// Adds the actions between the log and a replica.
+    fn replica_actions(&self, world: &World, replica: usize, actions: &mut Vec<Action>) {
+        let source = &world.replicas[replica].source;
         if !source.is_up {
-            actions.push(Action::ReplicaCalls(of));
+            actions.push(Action::ReplicaReconnects(replica));
         }
-        if source.has_due() {
-            actions.push(Action::ReplicaHears(of));
+        if source.has_deliverable() {
+            actions.push(Action::ReplicaReceives(replica));
         }
         if source.is_held {
-            actions.push(Action::ReleaseSource(of));
+            actions.push(Action::ReleaseSource(replica));
         }
-        if world.troubles == self.bounds.troubles {
+        if world.failures == self.bounds.failures {
             return;
         }
-        actions.push(Action::Suffer(Trouble::RestartReplica(of)));
+        actions.push(Action::Fail(Failure::RestartReplica(replica)));
         if source.is_up {
-            actions.push(Action::Suffer(Trouble::EndSource(of)));
+            actions.push(Action::Fail(Failure::EndSource(replica)));
         }
         if source.is_up && !source.is_held {
-            actions.push(Action::Suffer(Trouble::HoldSource(of)));
+            actions.push(Action::Fail(Failure::HoldSource(replica)));
         }
     }
 
-    /// What the second dispatcher does at once, if it is prompt.
+    /// The action that the second dispatcher takes at once, if it is prompt.
     fn prompt_action(&self, world: &World) -> Option<Action> {
         let streams = &world.dispatchers[1].streams;
-        let calls = |of: &usize| !streams[*of].is_up && world.replicas[*of].is_current;
-        let hears = |of: &usize| streams[*of].has_due();
-        let call = (0..2).find(calls).map(|of| Action::DispatcherCalls(1, of));
-        let action = call.or_else(|| (0..2).find(hears).map(|of| Action::DispatcherHears(1, of)));
+        let reconnects = |replica: &usize| !streams[*replica].is_up && world.replicas[*replica].is_current;
+        let receives = |replica: &usize| streams[*replica].has_deliverable();
+        let reconnect = (0..2).find(reconnects).map(|replica| Action::DispatcherReconnects(1, replica));
+        let action =
+            reconnect.or_else(|| (0..2).find(receives).map(|replica| Action::DispatcherReceives(1, replica)));
         action.filter(|_| self.second_is_prompt)
     }
 
-    /// Between a replica and a dispatcher.
-    fn stream_actions(&self, world: &World, who: usize, of: usize, actions: &mut Vec<Action>) {
-        let stream = &world.dispatchers[who].streams[of];
-        if !stream.is_up && world.replicas[of].is_current {
-            actions.push(Action::DispatcherCalls(who, of));
+    /// Adds the actions between a replica and a dispatcher.
+    fn stream_actions(&self, world: &World, dispatcher: usize, replica: usize, actions: &mut Vec<Action>) {
+        let stream = &world.dispatchers[dispatcher].streams[replica];
+        if !stream.is_up && world.replicas[replica].is_current {
+            actions.push(Action::DispatcherReconnects(dispatcher, replica));
         }
-        if stream.has_due() {
-            actions.push(Action::DispatcherHears(who, of));
+        if stream.has_deliverable() {
+            actions.push(Action::DispatcherReceives(dispatcher, replica));
         }
         if stream.is_held {
-            actions.push(Action::ReleaseStream(who, of));
+            actions.push(Action::ReleaseStream(dispatcher, replica));
         }
-        if world.troubles == self.bounds.troubles || !stream.is_up {
+        if world.failures == self.bounds.failures || !stream.is_up {
             return;
         }
-        actions.push(Action::Suffer(Trouble::EndStream(who, of)));
+        actions.push(Action::Fail(Failure::EndStream(dispatcher, replica)));
         if !stream.is_held {
-            actions.push(Action::Suffer(Trouble::HoldStream(who, of)));
+            actions.push(Action::Fail(Failure::HoldStream(dispatcher, replica)));
         }
         if !stream.queue.is_empty() {
-            actions.push(Action::Suffer(Trouble::LoseNext(who, of)));
+            actions.push(Action::Fail(Failure::LoseNext(dispatcher, replica)));
         }
-        // A stream tells one heartbeat a second; an event may be told again.
+        // Only events are duplicated: a stream delivers one heartbeat a second.
         if matches!(stream.queue.front(), Some(Message::Event(_))) {
-            actions.push(Action::Suffer(Trouble::DoubleNext(who, of)));
+            actions.push(Action::Fail(Failure::DuplicateNext(dispatcher, replica)));
         }
     }
 }
@@ -152,16 +154,16 @@
         if world.log < self.bounds.events {
             actions.push(Action::Write);
         }
-        for of in 0..2 {
-            self.replica_actions(world, of, actions);
+        for replica in 0..2 {
+            self.replica_actions(world, replica, actions);
         }
-        let free = if self.second_is_prompt { 0..1 } else { 0..2 };
-        for who in free {
-            for of in 0..2 {
-                self.stream_actions(world, who, of, actions);
+        let exhaustive = if self.second_is_prompt { 0..1 } else { 0..2 };
+        for dispatcher in exhaustive {
+            for replica in 0..2 {
+                self.stream_actions(world, dispatcher, replica, actions);
             }
-            if world.troubles < self.bounds.troubles {
-                actions.push(Action::Suffer(Trouble::RestartDispatcher(who)));
+            if world.failures < self.bounds.failures {
+                actions.push(Action::Fail(Failure::RestartDispatcher(dispatcher)));
             }
         }
     }
@@ -171,13 +173,19 @@
         match action {
             Action::Tick => next.tick(self.fault),
             Action::Write => next.write(),
-            Action::ReplicaHears(of) => next.replica_hears(of),
-            Action::DispatcherHears(who, of) => next.dispatcher_hears(who, of, self.seconds_old, self.fault),
-            Action::ReplicaCalls(of) => next.replica_calls(of),
-            Action::DispatcherCalls(who, of) => next.dispatcher_calls(who, of, self.fault),
-            Action::ReleaseSource(of) => next.replicas[of].source.is_held = false,
-            Action::ReleaseStream(who, of) => next.dispatchers[who].streams[of].is_held = false,
-            Action::Suffer(trouble) => next.suffer(trouble),
+            Action::ReplicaReceives(replica) => next.replica_receives(replica),
+            Action::DispatcherReceives(dispatcher, replica) => {
+                next.dispatcher_receives(dispatcher, replica, self.max_heartbeat_age_s, self.fault)
+            }
+            Action::ReplicaReconnects(replica) => next.replica_reconnects(replica),
+            Action::DispatcherReconnects(dispatcher, replica) => {
+                next.dispatcher_reconnects(dispatcher, replica, self.fault)
+            }
+            Action::ReleaseSource(replica) => next.replicas[replica].source.is_held = false,
+            Action::ReleaseStream(dispatcher, replica) => {
+                next.dispatchers[dispatcher].streams[replica].is_held = false
+            }
+            Action::Fail(failure) => next.fail(failure),
         }
         Some(next)
     }
@@ -189,11 +197,14 @@
             Property::<Self>::always(NO_STALE_LEASE, |_, world| {
                 world.violation() != Some(Violation::StaleLease)
             }),
-            Property::<Self>::always(NEVER_ANEW, |_, world| world.violation() != Some(Violation::BegunAnew)),
-            Property::<Self>::sometimes(ALL_ACT, |search, world| {
+            Property::<Self>::always(NO_FALSE_RESTART, |_, world| {
+                world.violation() != Some(Violation::LogRestarted)
+            }),
+            Property::<Self>::sometimes(ALL_APPLIED, |search, world| {
                 let bounds = search.bounds;
-                let acts = world.dispatchers.iter().all(|dispatcher| dispatcher.acted == bounds.events);
-                acts && world.troubles == bounds.troubles && !search.has_time(world)
+                let all_applied =
+                    world.dispatchers.iter().all(|dispatcher| dispatcher.applied == bounds.events);
+                all_applied && world.failures == bounds.failures && !search.has_time(world)
             }),
         ]
     }
--- a/crates/model-checks/tests/checks/change_log/parts.rs
+++ b/crates/model-checks/tests/checks/change_log/parts.rs
@@ -1,58 +1,58 @@
-//! Links and replicas.
+//! The models of a link and of a replica.
 
 use copperroute_change_log_replica::heartbeat::Heartbeats;
 use copperroute_routing::interface::Nanos;
 use std::collections::VecDeque;
 
-/// Where the clock begins, in seconds.
-pub(super) const BEGIN: u64 = 100;
-/// On its way a line takes no longer.
+/// The clock's value at the start, in seconds.
+pub(super) const START_S: u64 = 100;
+/// The longest time that a line may take on its way: 0.5 s.
 pub(super) const PROPAGATION_BOUND: Nanos = Nanos(500_000_000);
 
-/// A second of the clock.
+/// The clock's value at a second of the model.
 pub(super) fn clock(second: u64) -> Nanos {
-    Nanos((BEGIN + second) * 1_000_000_000)
+    Nanos((START_S + second) * 1_000_000_000)
 }
 
-/// What a stream tells.
+/// A message on a link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) enum Message {
-    /// An event, by its number.
+    /// An event, as its number.
     Event(u64),
-    /// The number of the last event, once a second.
+    /// The number of the last event, sent once a second.
     Heartbeat(u64),
 }
 
-/// A connection on which events and heartbeats are told.
+/// A connection that carries events and heartbeats.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct Link {
     pub is_up: bool,
-    /// It carries nothing for now; what is sent waits.
+    /// The link delivers nothing for now; messages wait in the queue.
     pub is_held: bool,
-    /// It was up when the second began, and nothing has gone wrong on it since.
-    pub is_whole: bool,
+    /// The link was up and not held when the second began, and has not failed since.
+    pub is_intact: bool,
     pub queue: VecDeque<Message>,
 }
 
 impl Link {
-    /// It stands, and has told all so far.
+    /// A link that is up and has delivered every message so far.
     pub(super) fn up() -> Self {
-        Link { is_up: true, is_held: false, is_whole: true, queue: VecDeque::new() }
+        Link { is_up: true, is_held: false, is_intact: true, queue: VecDeque::new() }
     }
 
-    /// Asked for what follows an event, of which the last has this number.
-    pub(super) fn call(&mut self, since: u64, last: u64) {
+    /// Connects and sends the events after `since`, up to `last`.
+    pub(super) fn reconnect(&mut self, since: u64, last: u64) {
         self.is_up = true;
         self.queue.extend((since + 1..=last).map(Message::Event));
     }
 
-    /// The connection ends, and what is on its way is gone.
+    /// Ends the connection; queued messages are lost.
     pub(super) fn end(&mut self) {
-        *self = Link { is_up: false, is_held: false, is_whole: false, queue: VecDeque::new() };
+        *self = Link { is_up: false, is_held: false, is_intact: false, queue: VecDeque::new() };
     }
 
     pub(super) fn hold(&mut self) {
-        (self.is_held, self.is_whole) = (true, false);
+        (self.is_held, self.is_intact) = (true, false);
     }
 
     pub(super) fn send(&mut self, message: Message) {
@@ -61,8 +61,8 @@
         }
     }
 
-    /// Whether something is due to arrive within the second.
-    pub(super) fn has_due(&self) -> bool {
+    /// Whether a message will arrive within this second.
+    pub(super) fn has_deliverable(&self) -> bool {
         !self.is_held && !self.queue.is_empty()
     }
 
@@ -70,44 +70,44 @@
         if self.is_held { None } else { self.queue.pop_front() }
     }
 
-    /// The next message is lost on its way.
+    /// Loses the next message.
     pub(super) fn lose_next(&mut self) -> Option<Message> {
-        self.is_whole = false;
+        self.is_intact = false;
         self.queue.pop_front()
     }
 
-    pub(super) fn double_next(&mut self) {
+    pub(super) fn duplicate_next(&mut self) {
         let next = self.queue.front().copied();
         next.into_iter().for_each(|next| self.queue.push_front(next));
     }
 
-    pub(super) fn second_begins(&mut self) {
-        self.is_whole = self.is_up && !self.is_held;
+    pub(super) fn begin_second(&mut self) {
+        self.is_intact = self.is_up && !self.is_held;
     }
 }
 
-/// A replica of the change log, which follows the log itself.
+/// A replica, which follows the change log itself.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct Replica {
     pub source: Link,
-    /// The last event that it holds; it holds all before it.
+    /// The number of the last event that the replica holds; it holds every earlier one too.
     pub last: u64,
-    /// A heartbeat of the present stream told the number of the last event that it holds: it serves who calls.
+    /// A heartbeat of the present stream had the number in `last`: the replica accepts dispatchers.
     pub is_current: bool,
     heartbeats: Heartbeats,
 }
 
 impl Replica {
-    /// Current, with one heartbeat heard.
+    /// A current replica that has received one heartbeat.
     pub(super) fn new() -> Self {
         let mut heartbeats = Heartbeats::new(PROPAGATION_BOUND);
         heartbeats.request_sent(clock(0));
-        assert!(heartbeats.is_fresh(clock(0)), "it comes with the call");
+        assert!(heartbeats.is_fresh(clock(0)), "a heartbeat at the time of the request is fresh");
         heartbeats.confirm(clock(0));
         Replica { source: Link::up(), last: 0, is_current: true, heartbeats }
     }
 
-    /// It is killed and started again with nothing.
+    /// The process is killed and started again without any state.
     pub(super) fn restart(&mut self) {
         self.lose_source();
         self.last = 0;
@@ -119,21 +119,21 @@
         self.is_current = false;
     }
 
-    /// Calls the log, whose last event has this number.
-    pub(super) fn call(&mut self, second: u64, log: u64) {
-        self.source.call(self.last, log);
+    /// Reconnects to the log; `log` is the number of its last event.
+    pub(super) fn reconnect(&mut self, second: u64, log: u64) {
+        self.source.reconnect(self.last, log);
         self.heartbeats.request_sent(clock(second));
     }
 
-    /// Takes what its source has told next; gives what is passed on to followers.
-    pub(super) fn hear(&mut self, second: u64) -> Option<Message> {
+    /// Receives the next message from the log; returns the message to pass on to the followers.
+    pub(super) fn receive(&mut self, second: u64) -> Option<Message> {
         let message = self.source.deliver()?;
         match message {
             Message::Event(number) if number == self.last + 1 => self.last = number,
             Message::Event(number) if number <= self.last => return None,
-            Message::Heartbeat(last) if last == self.last => return self.heartbeat(second, last),
+            Message::Heartbeat(last) if last == self.last => return self.receive_heartbeat(second, last),
             Message::Heartbeat(last) if last < self.last => return None,
-            // The source knows of what was not told.
+            // The number shows that an event before it was lost.
             _ => {
                 self.lose_source();
                 return None;
@@ -142,7 +142,7 @@
         Some(message)
     }
 
-    fn heartbeat(&mut self, second: u64, last: u64) -> Option<Message> {
+    fn receive_heartbeat(&mut self, second: u64, last: u64) -> Option<Message> {
         if !self.heartbeats.is_fresh(clock(second)) {
             return None;
         }
@@ -151,12 +151,13 @@
         Some(Message::Heartbeat(last))
     }
 
-    /// Whether its followers' streams have to end; it leaves a source that brings no heartbeat.
-    pub(super) fn lapses(&mut self, second: u64) -> bool {
-        let lapses = !self.heartbeats.is_current(clock(second));
-        if lapses && self.is_current {
+    /// Whether the followers' streams have to end because heartbeats are missing. A current replica then also drops its
+    /// source.
+    pub(super) fn drop_stale_source(&mut self, second: u64) -> bool {
+        let is_stale = !self.heartbeats.is_current(clock(second));
+        if is_stale && self.is_current {
             self.lose_source();
         }
-        lapses
+        is_stale
     }
 }
--- a/crates/model-checks/tests/checks/main.rs
+++ b/crates/model-checks/tests/checks/main.rs
@@ -1,3 +1,3 @@
-//! Searches of every ordering in the small.
+//! Model checks: exhaustive searches of every ordering of events in small models.
 
 mod change_log;
