--- a/crates/dispatcher/benches/deadlines.rs
+++ b/crates/dispatcher/benches/deadlines.rs
@@ -1,7 +1,9 @@
-//! The event loop's deadlines beside a timer source each: `cargo bench -p copperroute-dispatcher --bench deadlines`.
+//! Compares the cost of [`Deadlines`] with one timer source for each request: `cargo bench -p copperroute-dispatcher
+//! --bench deadlines`.
 //!
-//! So many requests a second with so many seconds of time-out stand when a bench begins; it times the next
-//! [`REQUESTS`]. The cost of a request is to be the same in all lines of one group.
+//! Each [`Load`] gives the requests a second and their timeout. A bench starts with as many armed deadlines as that
+//! load keeps, and times the next [`REQUESTS`] requests. Within a group, the cost of a request should not depend on the
+//! load.
 
 use calloop::timer::{TimeoutAction, Timer};
 use calloop::{EventLoop, RegistrationToken};
@@ -11,15 +13,15 @@
 use divan::{Bencher, black_box};
 use std::time::{Duration, Instant};
 
-const SECOND: u64 = 1_000_000_000;
-/// Requests timed at once.
+const SECOND_NS: u64 = 1_000_000_000;
+/// The number of requests that one sample of a bench of [`Deadlines`] times.
 const REQUESTS: u64 = 10_000;
-/// The same where each is searched for among all.
-const SEARCHED: u64 = 100;
-/// Requests that are open at a time where they end early.
-const OPEN: u64 = 500;
+/// The same for timer sources, where removing each one searches all the others.
+const TIMER_SOURCE_REQUESTS: u64 = 100;
+/// The number of unanswered requests at a time in the bench where requests end before their deadline.
+const OPEN_REQUESTS: u64 = 500;
 
-/// Requests a second, and their time-out in seconds.
+/// The number of requests a second, and their timeout in seconds.
 #[derive(Debug, Clone, Copy)]
 struct Load(u64, u64);
 
@@ -30,18 +32,19 @@
 }
 
 impl Load {
-    fn standing(self) -> u64 {
+    /// The number of requests whose deadline has not passed.
+    fn armed(self) -> u64 {
         self.0 * self.1
     }
 
-    /// When a request comes.
-    fn comes(self, request: u64) -> Nanos {
-        Nanos(request * SECOND / self.0)
+    /// When a request arrives.
+    fn arrival(self, request: u64) -> Nanos {
+        Nanos(request * SECOND_NS / self.0)
     }
 
-    /// When its time is out.
-    fn ends(self, request: u64) -> Nanos {
-        self.comes(request).after(Nanos(self.1 * SECOND))
+    /// The deadline of a request.
+    fn deadline(self, request: u64) -> Nanos {
+        self.arrival(request).after(Nanos(self.1 * SECOND_NS))
     }
 }
 
@@ -60,21 +63,21 @@
     divan::main();
 }
 
-/// No request ends before its time: each deadline is armed, and taken when due.
+/// No request ends before its deadline: each deadline is armed, and taken when due.
 #[divan::bench(args = LOADS, sample_count = 20)]
-fn lapsing(bencher: Bencher, load: Load) {
+fn expiring(bencher: Bencher, load: Load) {
     bencher
         .counter(ItemsCount::new(REQUESTS))
         .with_inputs(|| {
             let mut deadlines = Deadlines::default();
-            (0..load.standing()).for_each(|request| deadlines.arm(load.ends(request), request));
+            (0..load.armed()).for_each(|request| deadlines.arm(load.deadline(request), request));
             deadlines
         })
         .bench_local_values(|mut deadlines| {
             let mut due = Vec::new();
-            for request in load.standing()..load.standing() + REQUESTS {
-                deadlines.arm(load.ends(request), request);
-                deadlines.take_due(load.comes(request), &mut due);
+            for request in load.armed()..load.armed() + REQUESTS {
+                deadlines.arm(load.deadline(request), request);
+                deadlines.take_due(load.arrival(request), &mut due);
                 black_box(&due);
                 due.clear();
             }
@@ -82,55 +85,60 @@
         });
 }
 
-/// Requests end early, and what nobody waits for is forgotten.
+/// Requests end before their deadline, and pruning removes deadlines that no request needs.
 #[divan::bench(args = LOADS, sample_count = 20)]
 fn ending_early(bencher: Bencher, load: Load) {
     let arm = |deadlines: &mut Deadlines<u64>, request: u64| {
-        deadlines.arm(load.ends(request), request);
+        deadlines.arm(load.deadline(request), request);
         if deadlines.needs_pruning() {
-            deadlines.prune(|other| other + OPEN > request);
+            deadlines.prune(|other| other + OPEN_REQUESTS > request);
         }
     };
     bencher
         .counter(ItemsCount::new(REQUESTS))
         .with_inputs(|| {
             let mut deadlines = Deadlines::default();
-            (0..load.standing()).for_each(|request| arm(&mut deadlines, request));
+            (0..load.armed()).for_each(|request| arm(&mut deadlines, request));
             deadlines
         })
         .bench_local_values(|mut deadlines| {
             let mut due = Vec::new();
-            for request in load.standing()..load.standing() + REQUESTS {
+            for request in load.armed()..load.armed() + REQUESTS {
                 arm(&mut deadlines, request);
-                deadlines.take_due(load.comes(request), &mut due);
+                deadlines.take_due(load.arrival(request), &mut due);
             }
             (deadlines, due)
         });
 }
 
-/// A timer source each, as it was: inserted, and dropped from among all the others.
+/// One timer source for each request: inserted, and removed from among all the others.
 #[divan::bench(args = &LOADS[..3], sample_count = 20)]
-fn a_source_each(bencher: Bencher, load: Load) {
+fn one_timer_source_each(bencher: Bencher, load: Load) {
     bencher
-        .counter(ItemsCount::new(SEARCHED))
+        .counter(ItemsCount::new(TIMER_SOURCE_REQUESTS))
         .with_inputs(|| {
-            let event_loop: EventLoop<'static, ()> = EventLoop::try_new().expect("an event loop");
-            let begun = Instant::now() + Duration::from_secs(3600);
+            let event_loop: EventLoop<'static, ()> =
+                EventLoop::try_new().expect("an event loop can be created");
+            let start = Instant::now() + Duration::from_secs(3600);
             let handle = event_loop.handle();
-            let tokens: Vec<RegistrationToken> = (0..load.standing())
+            let tokens: Vec<RegistrationToken> = (0..load.armed())
                 .map(|request| {
-                    let timer = Timer::from_deadline(begun + Duration::from_nanos(load.ends(request).0));
-                    handle.insert_source(timer, |_, _, ()| TimeoutAction::Drop).expect("a source")
+                    let timer = Timer::from_deadline(start + Duration::from_nanos(load.deadline(request).0));
+                    handle
+                        .insert_source(timer, |_, _, ()| TimeoutAction::Drop)
+                        .expect("a timer source can be inserted")
                 })
                 .collect();
-            (event_loop, begun, tokens)
+            (event_loop, start, tokens)
         })
-        .bench_local_values(|(event_loop, begun, tokens)| {
+        .bench_local_values(|(event_loop, start, tokens)| {
             let handle = event_loop.handle();
-            for (request, token) in (load.standing()..load.standing() + SEARCHED).zip(tokens) {
+            for (request, token) in (load.armed()..load.armed() + TIMER_SOURCE_REQUESTS).zip(tokens) {
                 handle.remove(token);
-                let timer = Timer::from_deadline(begun + Duration::from_nanos(load.ends(request).0));
-                handle.insert_source(timer, |_, _, ()| TimeoutAction::Drop).expect("a source");
+                let timer = Timer::from_deadline(start + Duration::from_nanos(load.deadline(request).0));
+                handle
+                    .insert_source(timer, |_, _, ()| TimeoutAction::Drop)
+                    .expect("a timer source can be inserted");
             }
             event_loop
         });
--- a/crates/dispatcher/tests/dispatcher/driver/mod.rs
+++ b/crates/dispatcher/tests/dispatcher/driver/mod.rs
@@ -1,6 +1,6 @@
-//! Drawn orders of what clients, nodes, the list and the machine do, played on the reducer beside a model that knows what
-//! is owed. A case that breaks the model is shrunk to a short story, printed with the seed by proptest. `docs/crossings.md`
-//! lists the deliberate faults that it catches.
+//! Random sequences of actions of clients, nodes, the node list and the machine, run on the reducer and compared with a
+//! model of the answers that are due. Proptest shrinks a failing case to a short sequence and prints it with its seed.
+//! `docs/crossings.md` lists the deliberate faults that this test finds.
 
 mod bytes;
 mod leaving;
@@ -15,23 +15,23 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: ProptestConfig::default().cases.max(400), max_shrink_iters: 20_000, ..ProptestConfig::default() })]
     #[test]
-    fn whatever_crosses_what_is_owed_is_given_once_and_nothing_is_sent_that_must_not_be(
+    fn in_any_order_each_request_is_answered_once_and_no_forbidden_fetch_is_sent(
         steps in prop::collection::vec(step(), 1..160), direct in any::<bool>(),
         cancel in any::<bool>(),
     ) {
         let mut world = World::new(direct, cancel);
-        steps.iter().for_each(|step| world.play(step));
-        world.pass(6_000);
-        for (id, asked) in &world.asked {
-            prop_assert!(!asked.waits || asked.answers == 1, "{id}: {asked:?}");
+        steps.iter().for_each(|step| world.apply(step));
+        world.advance_time(6_000);
+        for (id, client_request) in &world.requests {
+            prop_assert!(!client_request.is_awaited || client_request.answers == 1, "{id}: {client_request:?}");
         }
-        // A program that has ended plays no more timers.
-        for (believed, out) in world.reducer.in_flight_counts().into_iter().filter(|_| !world.exited) {
-            prop_assert!(believed == 0 && out == 0, "{believed} and {out} out at the end");
+        // After its exit the program runs no more timers.
+        for (counted, in_flight) in world.reducer.in_flight_counts().into_iter().filter(|_| !world.exited) {
+            prop_assert!(counted == 0 && in_flight == 0, "in flight at the end: {counted} counted by routing, {in_flight} by the reducer");
         }
         prop_assert!(world.reducer.node_slot_count() <= 5);
         world.event(Event::Terminate);
-        world.pass(4_000);
-        prop_assert!(world.exited, "no end");
+        world.advance_time(4_000);
+        prop_assert!(world.exited, "the program did not exit after SIGTERM");
     }
 }
