--- a/crates/dispatcher/tests/outage/change_log.rs
+++ b/crates/dispatcher/tests/outage/change_log.rs
@@ -1,6 +1,6 @@
-//! A stand-in of the change log, with a fault proxy built in: what leaves for a dispatcher may be late, in pieces, or nothing.
+//! A simulated change log with faults: bytes for a dispatcher may be late, split into pieces, or missing.
 
-use crate::clock::PlayClock;
+use crate::clock::ScenarioClock;
 use std::collections::VecDeque;
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -8,41 +8,42 @@
 use std::thread;
 use std::time::Duration;
 
-/// How often a connection looks for what it has to do.
-const TICK: Duration = Duration::from_millis(5);
-const HEARTBEAT: Duration = Duration::from_secs(1);
+/// The interval at which connections and listeners check for work.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// The interval between heartbeats on a stream.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What is wrong with the change log.
+/// A fault of the change log.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum LogFault {
-    /// Connections are reset, those that stand and those that come.
+    /// Open and new connections are reset.
     Refuses,
-    /// It takes connections and tells nothing; streams that stand fall silent.
-    Mute,
-    /// Each call is answered this late; streams end as it begins.
-    AnswersLate(Duration),
-    /// Each byte is this late, on streams that stand and on new ones.
-    BytesLate(Duration),
-    /// An event takes this long to come, byte by byte; heartbeats come between events.
-    InPieces(Duration),
+    /// Connections are accepted, but nothing is sent on new or open ones.
+    Silent,
+    /// The answer to each `since` line is this late; open streams end when the fault begins.
+    LateAnswers(Duration),
+    /// Each byte is this late, on open and new streams.
+    LateBytes(Duration),
+    /// An event is sent byte by byte over this time; heartbeats are sent between events.
+    ByteByByte(Duration),
     /// Connections end in the middle of an event.
-    BreaksOff,
-    /// Heartbeats go on and name events that don't come.
-    NamesOnly,
-    /// Streams end this long after they began; calls are answered.
-    EndsEach(Duration),
+    CutsEvents,
+    /// Heartbeats go on and name events that are not sent.
+    HeartbeatsOnly,
+    /// Streams end this long after their start; reconnects are accepted.
+    ClosesEach(Duration),
 }
 
-/// A call of a dispatcher, as the change log met it.
+/// A connection of a dispatcher, as the change log recorded it.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Call {
+pub(crate) struct LogConnection {
     /// When its connection was accepted.
     pub accepted: Duration,
-    /// When its `since` line came.
+    /// When its `since` line arrived.
     pub asked: Option<Duration>,
-    /// Up to which event it was told, and when the last byte of that left.
-    pub told: Option<(u64, Duration)>,
-    /// When the dispatcher ended it, or the change log did.
+    /// The last event sent, and when its last byte was written.
+    pub delivered: Option<(u64, Duration)>,
+    /// When the dispatcher or the change log ended it.
     pub ended: Option<Duration>,
 }
 
@@ -51,20 +52,20 @@
     first: u64,
     events: Vec<String>,
     fault: Option<(Duration, LogFault)>,
-    calls: Vec<Call>,
+    log_connections: Vec<LogConnection>,
     over: bool,
 }
 
-/// The change log, at any number of addresses.
+/// The simulated change log, at any number of addresses.
 #[derive(Debug, Clone)]
 pub(crate) struct ChangeLog {
-    clock: PlayClock,
+    clock: ScenarioClock,
     state: Arc<Mutex<State>>,
 }
 
 impl ChangeLog {
-    /// One whose events up to `known` are told by configurations.
-    pub(crate) fn new(clock: PlayClock, known: u64) -> Self {
+    /// A log whose events up to `known` are in the configuration.
+    pub(crate) fn new(clock: ScenarioClock, known: u64) -> Self {
         let state = State { first: known, ..State::default() };
         ChangeLog { clock, state: Arc::new(Mutex::new(state)) }
     }
@@ -82,13 +83,13 @@
             while !log.state().over {
                 match listener.accept() {
                     Ok((stream, _)) => log.accept(stream),
-                    Err(_) => thread::sleep(TICK),
+                    Err(_) => thread::sleep(POLL_INTERVAL),
                 }
             }
         });
     }
 
-    /// Writes an event; returns its number and when that was.
+    /// Appends an event; returns its number and the time.
     pub(crate) fn write(&self, content: &str) -> (u64, Duration) {
         let mut state = self.state();
         let written = self.clock.now();
@@ -97,19 +98,19 @@
         (seq, written)
     }
 
-    /// A fault begins, or the one that was ends; returns when.
+    /// Starts a fault, or ends the present one; returns the time.
     pub(crate) fn fault(&self, fault: Option<LogFault>) -> Duration {
         let now = self.clock.now();
         self.state().fault = fault.map(|fault| (now, fault));
         now
     }
 
-    /// All calls so far.
-    pub(crate) fn calls(&self) -> Vec<Call> {
-        self.state().calls.clone()
+    /// All connections so far.
+    pub(crate) fn log_connections(&self) -> Vec<LogConnection> {
+        self.state().log_connections.clone()
     }
 
-    /// Stops listening, and ends what stands.
+    /// Stops listening and ends the open connections.
     pub(crate) fn stop(&self) {
         self.state().over = true;
     }
@@ -121,23 +122,23 @@
         let accepted = self.clock.now();
         let number = {
             let mut state = self.state();
-            state.calls.push(Call { accepted, asked: None, told: None, ended: None });
-            state.calls.len() - 1
+            state.log_connections.push(LogConnection { accepted, asked: None, delivered: None, ended: None });
+            state.log_connections.len() - 1
         };
         let log = self.clone();
         thread::spawn(move || {
             Stream::new(log.clone(), stream, number, accepted).serve();
             let now = log.clock.now();
-            log.state().calls[number].ended.get_or_insert(now);
+            log.state().log_connections[number].ended.get_or_insert(now);
         });
     }
 }
 
-/// Bytes on their way, and when they arrive.
-struct Underway {
+/// Bytes in transit, and when they are written to the socket.
+struct InTransit {
     arrives: Duration,
     bytes: Vec<u8>,
-    /// The event that is told by them.
+    /// The event that is complete with these bytes.
     seq: Option<u64>,
 }
 
@@ -148,28 +149,28 @@
     number: usize,
     accepted: Duration,
     asked: Option<Duration>,
-    /// Up to which event it was put on its way.
+    /// The last event that was queued.
     sent: u64,
     next_heartbeat: Duration,
-    underway: VecDeque<Underway>,
-    /// It fell silent, and stays so.
-    is_mute: bool,
+    in_transit: VecDeque<InTransit>,
+    /// The stream fell silent for good.
+    is_silent: bool,
 }
 
 enum Next {
-    Goes,
-    Ends,
+    Continue,
+    Close,
 }
 
 impl Stream {
     fn new(log: ChangeLog, socket: TcpStream, number: usize, accepted: Duration) -> Self {
         let (asked, sent, next_heartbeat) = (None, 0, Duration::ZERO);
-        let underway = VecDeque::new();
-        Stream { log, socket, number, accepted, asked, sent, next_heartbeat, underway, is_mute: false }
+        let in_transit = VecDeque::new();
+        Stream { log, socket, number, accepted, asked, sent, next_heartbeat, in_transit, is_silent: false }
     }
 
     fn serve(&mut self) {
-        self.socket.set_read_timeout(Some(TICK)).expect("a timeout");
+        self.socket.set_read_timeout(Some(POLL_INTERVAL)).expect("a timeout");
         self.socket.set_nodelay(true).expect("an option");
         let mut line = String::new();
         let mut reader = BufReader::new(self.socket.try_clone().expect("a second handle"));
@@ -177,64 +178,66 @@
             if self.log.state().over {
                 return;
             }
-            // Nobody says more than its first line: what comes later is the connection's end.
+            // A dispatcher sends only its first line: later input is ignored until the connection ends.
             let came = match self.asked {
                 None => reader.read_line(&mut line).map(|count| count > 0),
                 Some(_) => reader.read(&mut [0; 16]).map(|count| count > 0),
             };
             match came {
-                Ok(true) if self.asked.is_none() && line.ends_with('\n') => self.asks(&line),
+                Ok(true) if self.asked.is_none() && line.ends_with('\n') => self.receive_since(&line),
                 Ok(true) => {}
                 Ok(false) => return,
                 Err(fault) if matches!(fault.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
                 Err(_) => return,
             }
-            if matches!(self.turn(), Next::Ends) {
+            if matches!(self.poll(), Next::Close) {
                 return;
             }
         }
     }
 
-    fn asks(&mut self, line: &str) {
+    fn receive_since(&mut self, line: &str) {
         let since = line.trim().strip_prefix("since ").and_then(|since| since.parse().ok());
         let now = self.log.clock.now();
         self.sent = since.expect("a number");
         self.asked = Some(now);
-        // Events follow at once; the first heartbeat comes with the second.
-        self.next_heartbeat = now + HEARTBEAT;
-        self.log.state().calls[self.number].asked = Some(now);
+        // Events follow at once; the first heartbeat is sent a second later.
+        self.next_heartbeat = now + HEARTBEAT_INTERVAL;
+        self.log.state().log_connections[self.number].asked = Some(now);
     }
 
-    /// Puts on its way what is to be told, and writes what arrives.
-    fn turn(&mut self) -> Next {
+    /// Queues new events and heartbeats, and writes the bytes that are due.
+    fn poll(&mut self) -> Next {
         let now = self.log.clock.now();
         let fault = self.log.state().fault;
-        let stood_before = fault.is_some_and(|(since, _)| self.accepted < since);
+        let is_older = fault.is_some_and(|(since, _)| self.accepted < since);
         match fault.map(|(_, fault)| fault) {
             Some(LogFault::Refuses) => {
                 reset(&self.socket);
-                return Next::Ends;
+                return Next::Close;
             }
-            Some(LogFault::AnswersLate(_) | LogFault::BreaksOff) if stood_before => return Next::Ends,
-            Some(LogFault::EndsEach(span)) if now.saturating_sub(self.accepted) > span => return Next::Ends,
-            Some(LogFault::Mute) => self.is_mute = true,
+            Some(LogFault::LateAnswers(_) | LogFault::CutsEvents) if is_older => return Next::Close,
+            Some(LogFault::ClosesEach(span)) if now.saturating_sub(self.accepted) > span => {
+                return Next::Close;
+            }
+            Some(LogFault::Silent) => self.is_silent = true,
             _ => {}
         }
-        if self.is_mute {
-            return Next::Goes;
+        if self.is_silent {
+            return Next::Continue;
         }
-        let Some(asked) = self.asked else { return Next::Goes };
+        let Some(asked) = self.asked else { return Next::Continue };
         let late = match fault.map(|(_, fault)| fault) {
-            Some(LogFault::AnswersLate(span)) => asked + span,
+            Some(LogFault::LateAnswers(span)) => asked + span,
             _ => Duration::ZERO,
         };
         if now >= late {
-            self.put_on_its_way(now, fault.map(|(_, fault)| fault));
+            self.enqueue(now, fault.map(|(_, fault)| fault));
         }
         self.arrive(now, fault.map(|(_, fault)| fault))
     }
 
-    fn put_on_its_way(&mut self, now: Duration, fault: Option<LogFault>) {
+    fn enqueue(&mut self, now: Duration, fault: Option<LogFault>) {
         let (events, last) = {
             let state = self.log.state();
             let from = self.sent.saturating_sub(state.first) as usize;
@@ -242,52 +245,53 @@
             (events, state.first + state.events.len() as u64)
         };
         let delay = match fault {
-            Some(LogFault::BytesLate(span)) => span,
+            Some(LogFault::LateBytes(span)) => span,
             _ => Duration::ZERO,
         };
-        // Bytes keep their order.
-        let mut arrives = self.underway.back().map_or(now + delay, |before| before.arrives.max(now + delay));
-        if fault != Some(LogFault::NamesOnly) {
+        // Bytes keep their order when a delay becomes shorter.
+        let mut arrives =
+            self.in_transit.back().map_or(now + delay, |before| before.arrives.max(now + delay));
+        if fault != Some(LogFault::HeartbeatsOnly) {
             for line in events {
                 self.sent += 1;
                 let seq = Some(self.sent);
-                if let Some(LogFault::InPieces(span)) = fault {
+                if let Some(LogFault::ByteByByte(span)) = fault {
                     let step = span / line.len() as u32;
                     for byte in &line.as_bytes()[..line.len() - 1] {
                         arrives += step;
-                        self.underway.push_back(Underway { arrives, bytes: vec![*byte], seq: None });
+                        self.in_transit.push_back(InTransit { arrives, bytes: vec![*byte], seq: None });
                     }
-                    self.underway.push_back(Underway { arrives, bytes: vec![b'\n'], seq });
+                    self.in_transit.push_back(InTransit { arrives, bytes: vec![b'\n'], seq });
                 } else {
-                    self.underway.push_back(Underway { arrives, bytes: line.into_bytes(), seq });
+                    self.in_transit.push_back(InTransit { arrives, bytes: line.into_bytes(), seq });
                 }
             }
         }
         if now >= self.next_heartbeat {
-            self.next_heartbeat = now + HEARTBEAT;
+            self.next_heartbeat = now + HEARTBEAT_INTERVAL;
             let bytes = format!("{{\"seq\":{last}}}\n").into_bytes();
-            self.underway.push_back(Underway { arrives, bytes, seq: None });
+            self.in_transit.push_back(InTransit { arrives, bytes, seq: None });
         }
     }
 
     fn arrive(&mut self, now: Duration, fault: Option<LogFault>) -> Next {
-        while self.underway.front().is_some_and(|first| first.arrives <= now) {
-            let Some(Underway { bytes, seq, .. }) = self.underway.pop_front() else { break };
-            let breaks_off = fault == Some(LogFault::BreaksOff) && seq.is_some();
-            let bytes = if breaks_off { &bytes[..bytes.len() / 2] } else { &bytes[..] };
-            if self.socket.write_all(bytes).is_err() || breaks_off {
-                return Next::Ends;
+        while self.in_transit.front().is_some_and(|first| first.arrives <= now) {
+            let Some(InTransit { bytes, seq, .. }) = self.in_transit.pop_front() else { break };
+            let cuts_event = fault == Some(LogFault::CutsEvents) && seq.is_some();
+            let bytes = if cuts_event { &bytes[..bytes.len() / 2] } else { &bytes[..] };
+            if self.socket.write_all(bytes).is_err() || cuts_event {
+                return Next::Close;
             }
             let left = self.log.clock.now();
             if let Some(seq) = seq {
-                self.log.state().calls[self.number].told = Some((seq, left));
+                self.log.state().log_connections[self.number].delivered = Some((seq, left));
             }
         }
-        Next::Goes
+        Next::Continue
     }
 }
 
-/// Ends a connection by a reset.
+/// Resets a connection.
 fn reset(stream: &TcpStream) {
     let socket = socket2::SockRef::from(stream);
     let _ = socket.set_linger(Some(Duration::ZERO));
--- a/crates/dispatcher/tests/outage/clients.rs
+++ b/crates/dispatcher/tests/outage/clients.rs
@@ -1,6 +1,7 @@
-//! Clients: they ask for objects one after another on open connections, and record what each request came to.
+//! Simulated clients: they request objects one after another on open connections, and record the outcome of each
+//! request.
 
-use crate::clock::PlayClock;
+use crate::clock::ScenarioClock;
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -10,54 +11,55 @@
 
 use crate::nodes::group_of;
 
-/// How long a client waits for an answer, as it tells the program.
+/// The timeout that a client sends with each request.
 pub(crate) const TIMEOUT: Duration = Duration::from_millis(3_000);
-/// So much longer it looks for one, to tell late from never.
-const LOOKS_ON: Duration = Duration::from_millis(700);
-/// Objects that are asked for again and again; low numbers more often.
-const OBJECTS: u64 = 48;
-/// Of so many requests one is for an object that is asked for once, or hardly ever again.
+/// How much longer a client waits, to tell a late answer from a missing one.
+const EXTRA_WAIT: Duration = Duration::from_millis(700);
+/// The number of popular objects; low numbers are requested more often.
+const POPULAR_OBJECTS: u64 = 48;
+/// One request in so many is for a rare object, which is hardly ever requested again.
 const RARE_ONE_IN: u64 = 3;
+/// The number of rare objects.
 const RARE_OBJECTS: u64 = 1 << 20;
 
-/// What became of a request.
+/// The outcome of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) enum End {
-    /// Served with a copy that the origin gave out at this Unix millisecond.
+pub(crate) enum RequestOutcome {
+    /// Served with a copy that the origin sent at this Unix time in milliseconds.
     Served(u64),
-    /// Refused: trying again is harmless.
+    /// Refused; a retry is safe.
     Refused,
     /// Failed.
     Failed,
-    /// No answer came in time.
-    Silence,
-    /// The connection ended without one.
+    /// No answer arrived in time.
+    TimedOut,
+    /// The connection ended without an answer.
     Closed,
 }
 
-/// A request as its client met it.
+/// A request, as its client recorded it.
 #[derive(Debug, Clone)]
-pub(crate) struct Asked {
+pub(crate) struct RequestRecord {
     pub id: String,
     pub group: u64,
     /// When its last byte was written.
     pub written: Duration,
     /// How long the answer took, or the wait for one.
     pub took: Duration,
-    pub end: End,
+    pub end: RequestOutcome,
 }
 
-/// Clients of one dispatcher.
+/// The clients of one dispatcher.
 pub(crate) struct Clients {
     over: Arc<AtomicBool>,
-    records: Arc<Mutex<Vec<Asked>>>,
+    records: Arc<Mutex<Vec<RequestRecord>>>,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl Clients {
-    /// So many clients, each of which pauses for so long between an answer and the next request.
+    /// Starts `count` clients, each of which pauses between an answer and the next request.
     pub(crate) fn start(
-        clock: PlayClock,
+        clock: ScenarioClock,
         address: SocketAddr,
         count: usize,
         pause: Duration,
@@ -80,8 +82,11 @@
                     }
                     let Some(open) = &mut connection else { continue };
                     let id = IDS.fetch_add(1, Ordering::Relaxed);
-                    let asked = open.ask(clock, id, drawn(&mut random));
-                    if !matches!(asked.end, End::Served(_) | End::Refused | End::Failed) {
+                    let asked = open.ask(clock, id, random_object(&mut random));
+                    if !matches!(
+                        asked.end,
+                        RequestOutcome::Served(_) | RequestOutcome::Refused | RequestOutcome::Failed
+                    ) {
                         connection = None;
                     }
                     records.lock().unwrap_or_else(PoisonError::into_inner).push(asked);
@@ -93,21 +98,21 @@
         Clients { over, records, threads }
     }
 
-    /// What was asked for so far.
-    pub(crate) fn records(&self) -> Vec<Asked> {
+    /// All requests so far.
+    pub(crate) fn records(&self) -> Vec<RequestRecord> {
         self.records.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Asks for nothing more; returns all that was.
-    pub(crate) fn stop(mut self) -> Vec<Asked> {
+    /// Stops the clients; returns all requests.
+    pub(crate) fn stop(mut self) -> Vec<RequestRecord> {
         self.over.store(true, Ordering::Relaxed);
         self.threads.drain(..).for_each(|thread| thread.join().expect("a client ends"));
         self.records()
     }
 }
 
-/// The next draw, uniform over 64 bits.
-pub(crate) fn next_draw(random: &mut u64) -> u64 {
+/// The next random number, uniform over 64 bits.
+pub(crate) fn next_random(random: &mut u64) -> u64 {
     *random = random.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let mut mixed = *random;
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -115,13 +120,13 @@
     mixed ^ (mixed >> 31)
 }
 
-/// An object, low numbers more often than high ones.
-fn drawn(random: &mut u64) -> u64 {
-    if next_draw(random).is_multiple_of(RARE_ONE_IN) {
-        return OBJECTS + next_draw(random) % RARE_OBJECTS;
+/// A random object: a rare one, or a popular one with low numbers more often.
+fn random_object(random: &mut u64) -> u64 {
+    if next_random(random).is_multiple_of(RARE_ONE_IN) {
+        return POPULAR_OBJECTS + next_random(random) % RARE_OBJECTS;
     }
-    let share = (next_draw(random) >> 11) as f64 / (1_u64 << 53) as f64;
-    (share * share * OBJECTS as f64) as u64
+    let share = (next_random(random) >> 11) as f64 / (1_u64 << 53) as f64;
+    (share * share * POPULAR_OBJECTS as f64) as u64
 }
 
 struct Connection {
@@ -133,11 +138,11 @@
     fn open(address: SocketAddr) -> Option<Connection> {
         let stream = TcpStream::connect(address).ok()?;
         stream.set_nodelay(true).ok()?;
-        stream.set_read_timeout(Some(TIMEOUT + LOOKS_ON)).ok()?;
+        stream.set_read_timeout(Some(TIMEOUT + EXTRA_WAIT)).ok()?;
         Some(Connection { reader: BufReader::new(stream), tag: 0 })
     }
 
-    fn ask(&mut self, clock: PlayClock, id: u64, object: u64) -> Asked {
+    fn ask(&mut self, clock: ScenarioClock, id: u64, object: u64) -> RequestRecord {
         self.tag += 1;
         let (object, id) = (format!("{object:016x}"), format!("{id:016x}"));
         let group = group_of(&object);
@@ -150,24 +155,28 @@
         let written = clock.now();
         let end = match wrote {
             Ok(()) => self.answer(),
-            Err(_) => End::Closed,
+            Err(_) => RequestOutcome::Closed,
         };
-        Asked { id, group, written, took: clock.now() - written, end }
+        RequestRecord { id, group, written, took: clock.now() - written, end }
     }
 
-    fn answer(&mut self) -> End {
+    fn answer(&mut self) -> RequestOutcome {
         match self.items() {
             Ok(items) => match items[1].as_slice() {
-                b"OK" => End::Served(String::from_utf8_lossy(&items[3]).parse().unwrap_or_default()),
-                b"BUSY" => End::Refused,
-                _ => End::Failed,
+                b"OK" => {
+                    RequestOutcome::Served(String::from_utf8_lossy(&items[3]).parse().unwrap_or_default())
+                }
+                b"BUSY" => RequestOutcome::Refused,
+                _ => RequestOutcome::Failed,
             },
-            Err(fault) if matches!(fault.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => End::Silence,
-            Err(_) => End::Closed,
+            Err(fault) if matches!(fault.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
+                RequestOutcome::TimedOut
+            }
+            Err(_) => RequestOutcome::Closed,
         }
     }
 
-    /// An answer's four bulk strings.
+    /// Reads the four bulk strings of an answer.
     fn items(&mut self) -> std::io::Result<Vec<Vec<u8>>> {
         let ended = || std::io::Error::from(ErrorKind::UnexpectedEof);
         let mut line = String::new();
--- a/crates/dispatcher/tests/outage/clock.rs
+++ b/crates/dispatcher/tests/outage/clock.rs
@@ -1,31 +1,32 @@
-//! One clock for all stand-ins: spans since a play began, and the Unix milliseconds that go with them.
+//! One clock for a whole scenario: the time since its start, and the Unix time in milliseconds that belongs to it.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// When a play began, on both clocks.
+/// The start of a scenario on the monotonic clock and on the wall clock.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct PlayClock {
-    began: Instant,
+pub(crate) struct ScenarioClock {
+    started: Instant,
     unix_ms: u64,
 }
 
-impl PlayClock {
+impl ScenarioClock {
     pub(crate) fn start() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).expect("a time after 1970");
-        PlayClock { began: Instant::now(), unix_ms: unix.as_millis() as u64 }
+        ScenarioClock { started: Instant::now(), unix_ms: unix.as_millis() as u64 }
     }
 
-    /// The time since the play began.
+    /// The time since the scenario started.
     pub(crate) fn now(&self) -> Duration {
-        self.began.elapsed()
+        self.started.elapsed()
     }
 
-    /// A time of the play as a Unix millisecond, which does not step while it lasts.
+    /// Converts a time of the scenario to Unix milliseconds. Steps of the wall clock during the scenario have no
+    /// effect.
     pub(crate) fn unix_ms(&self, at: Duration) -> u64 {
         self.unix_ms + at.as_millis() as u64
     }
 
-    /// Waits until a time of the play.
+    /// Sleeps until a time of the scenario.
     pub(crate) fn sleep_until(&self, at: Duration) {
         std::thread::sleep(at.saturating_sub(self.now()));
     }
--- a/crates/dispatcher/tests/outage/fleet.rs
+++ b/crates/dispatcher/tests/outage/fleet.rs
@@ -1,8 +1,8 @@
-//! A real dispatcher with everything around it: its own change log, nodes, clients.
+//! A real dispatcher process with a simulated change log, simulated nodes and clients of its own.
 
 use crate::change_log::{ChangeLog, LogFault};
 use crate::clients::Clients;
-use crate::clock::PlayClock;
+use crate::clock::ScenarioClock;
 use crate::judge::{FaultSpan, Record};
 use crate::nodes::{GROUPS, Nodes, Role};
 use copperroute_fault_injection::{self as fault_injection, FaultPlan, VARIABLE};
@@ -16,20 +16,20 @@
 
 const EXAMPLE: &str = include_str!("../../../../deploy/example.json");
 const OPERATOR: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/platform.json");
-/// Nothing here takes nearly as long; it only ends a play that hangs.
-const LONG: Duration = Duration::from_secs(20);
+/// The limit for the program's start, so that a test doesn't hang; a start takes much less.
+const START_TIMEOUT: Duration = Duration::from_secs(20);
 const CACHES: usize = 5;
 
-/// What a play's deployment tells.
+/// The rules' time limits in the program's configuration.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Terms {
-    /// Sends to a node that drains must end within this.
+    /// No fetch may be sent to a draining node after this time.
     pub drain_grace: Duration,
-    /// The time to heed a purge.
+    /// The time within which a purge must take effect.
     pub purge_notice: Duration,
-    /// Older copies are gone from every node after this.
+    /// After this time no node holds a purged copy.
     pub purge_done: Duration,
-    /// Nodes may be probed.
+    /// Whether the dispatcher may probe nodes.
     pub probes: bool,
 }
 
@@ -40,9 +40,9 @@
     }
 }
 
-/// A dispatcher and all around it.
+/// A dispatcher process and its simulated surroundings.
 pub(crate) struct Fleet {
-    pub clock: PlayClock,
+    pub clock: ScenarioClock,
     pub log: ChangeLog,
     pub nodes: Nodes,
     terms: Terms,
@@ -56,17 +56,17 @@
 }
 
 impl Fleet {
-    /// Starts one, with its clients, and waits until it serves.
+    /// Starts the program and its clients, and waits until the program listens.
     pub(crate) fn start(name: &str, terms: Terms, seed: u64) -> Fleet {
-        Fleet::on_clock(name, terms, seed, &FaultPlan::default())
+        Fleet::start_with_clock(name, terms, seed, &FaultPlan::default())
     }
 
-    /// The same on a machine whose wall clock steps as a plan says.
-    pub(crate) fn on_clock(name: &str, terms: Terms, seed: u64, plan: &FaultPlan) -> Fleet {
-        static PLAYS: AtomicU32 = AtomicU32::new(0);
-        let play = PLAYS.fetch_add(1, Ordering::Relaxed);
-        let network = [252, ((std::process::id() * 31 + play) % 250) as u8];
-        let clock = PlayClock::start();
+    /// The same, with steps of the wall clock as in the plan.
+    pub(crate) fn start_with_clock(name: &str, terms: Terms, seed: u64, plan: &FaultPlan) -> Fleet {
+        static SCENARIOS: AtomicU32 = AtomicU32::new(0);
+        let number = SCENARIOS.fetch_add(1, Ordering::Relaxed);
+        let network = [252, ((std::process::id() * 31 + number) % 250) as u8];
+        let clock = ScenarioClock::start();
         let nodes = Nodes::start(clock, network, CACHES);
         let log = ChangeLog::new(clock, 1);
         let address = SocketAddr::from(([127, network[0], network[1], 1], 5050));
@@ -86,9 +86,9 @@
             .stderr(Stdio::from(errors))
             .spawn()
             .expect("the program starts");
-        println!("{name}: seed {seed}, at {address}, log of the program {}", files[1].display());
+        println!("{name}: seed {seed}, at {address}, the program's log is {}", files[1].display());
         while TcpStream::connect(address).is_err() {
-            assert!(clock.now() < LONG, "the program does not listen");
+            assert!(clock.now() < START_TIMEOUT, "the program does not listen");
             thread::sleep(Duration::from_millis(5));
         }
         let pause = Duration::from_millis(50);
@@ -97,35 +97,35 @@
         Fleet { clock, log, nodes, terms, program, address, network, files, clients, faults, record }
     }
 
-    /// Lets the play go on until a time of it.
-    pub(crate) fn until(&self, second: f64) {
+    /// Waits until a time of the scenario, in seconds.
+    pub(crate) fn wait_until(&self, second: f64) {
         self.clock.sleep_until(Duration::from_secs_f64(second));
     }
 
-    /// A fault of the change log begins.
+    /// Starts a fault of the change log.
     pub(crate) fn fault(&mut self, fault: LogFault) {
-        self.heal();
+        self.end_fault();
         let from = self.log.fault(Some(fault));
         self.faults.push(FaultSpan { fault, from, until: None });
     }
 
-    /// The change log is well again.
-    pub(crate) fn heal(&mut self) {
+    /// Ends the fault of the change log.
+    pub(crate) fn end_fault(&mut self) {
         let now = self.log.fault(None);
         if let Some(last) = self.faults.last_mut() {
             last.until.get_or_insert(now);
         }
     }
 
-    /// A node drains, and that is written into the change log.
+    /// Drains a node and writes that to the change log.
     pub(crate) fn drain(&mut self, id: &str) {
         self.list(id, "leaving");
-        self.nodes.node(id).drains(true);
+        self.nodes.node(id).set_draining(true);
     }
 
-    /// A node that drained takes work again.
+    /// Ends the drain of a node and writes that to the change log.
     pub(crate) fn activate(&mut self, id: &str) {
-        self.nodes.node(id).drains(false);
+        self.nodes.node(id).set_draining(false);
         self.list(id, "active");
     }
 
@@ -137,7 +137,7 @@
         self.record.listed.push((id.to_string(), state == "leaving", written));
     }
 
-    /// A group is purged, now.
+    /// Purges a group now.
     pub(crate) fn purge(&mut self, group: u64) {
         let at_ms = self.clock.unix_ms(self.clock.now());
         let content = format!("\"invalidate\":{{\"bucket\":{group},\"time\":{at_ms}}}");
@@ -146,7 +146,7 @@
         self.record.purged.push((group, at_ms, written));
     }
 
-    /// Half of the groups are purged.
+    /// Purges half of the groups.
     pub(crate) fn purge_half(&mut self) {
         (0..GROUPS / 2).for_each(|group| self.purge(group));
     }
@@ -159,7 +159,7 @@
         self.record.signals.push((name.to_string(), self.clock.now()));
     }
 
-    /// The change log is at another address of its own from now on, which the program is told by SIGHUP.
+    /// Gives the change log another address, and makes the program read its configuration again with SIGHUP.
     pub(crate) fn move_log(&mut self, number: u8) {
         let address = log_address(self.network, number);
         self.log.listen(address);
@@ -170,28 +170,28 @@
         self.signal("HUP");
     }
 
-    /// Idle clients, so many.
-    pub(crate) fn crowd(&self, count: usize) -> Vec<TcpStream> {
+    /// Opens idle client connections.
+    pub(crate) fn idle_clients(&self, count: usize) -> Vec<TcpStream> {
         (0..count).filter_map(|_| TcpStream::connect(self.address).ok()).collect()
     }
 
-    /// Whether the program runs.
-    pub(crate) fn runs(&mut self) -> bool {
+    /// Whether the program is still running.
+    pub(crate) fn is_running(&mut self) -> bool {
         matches!(self.program.try_wait(), Ok(None))
     }
 
-    /// Ends the play, and hands over all that was recorded.
+    /// Ends the scenario and returns everything that was recorded.
     pub(crate) fn end(mut self) -> Record {
-        self.heal();
+        self.end_fault();
         let mut record = std::mem::take(&mut self.record);
         record.asked = self.clients.drain(..).flat_map(Clients::stop).collect();
         record.asked.sort_by_key(|asked| asked.written);
         record.fetches = self.nodes.fetches();
         record.probes = self.nodes.probes();
-        record.calls = self.log.calls();
+        record.log_connections = self.log.log_connections();
         record.faults = std::mem::take(&mut self.faults);
         record.terms = self.terms;
-        record.ran = self.runs();
+        record.ran = self.is_running();
         record.lines = std::fs::read_to_string(&self.files[1]).unwrap_or_default();
         record
     }
@@ -210,7 +210,7 @@
     SocketAddr::from(([127, network[0], network[1], 100 + number], 2379))
 }
 
-/// A node's line of the list.
+/// The entry of a node in the node list.
 fn listed(nodes: &Nodes, id: &str, state: &str) -> Value {
     let node = nodes.node(id);
     let (zone, kind, weight) = match node.role {
@@ -222,7 +222,7 @@
         "weight": weight, "started_ms": 0})
 }
 
-/// The example's configuration with these nodes and terms.
+/// The example configuration with these addresses, nodes and time limits.
 fn config(address: SocketAddr, log: SocketAddr, nodes: &Nodes, terms: Terms, seed: u64) -> Value {
     let mut config: Value = serde_json::from_str(EXAMPLE).expect("JSON");
     config["listen"] = json!(address.to_string());
--- a/crates/dispatcher/tests/outage/main.rs
+++ b/crates/dispatcher/tests/outage/main.rs
@@ -1,5 +1,5 @@
-//! The program between stand-ins of the change log, nodes and clients, while the change log is not heard as it should be.
-//! What is judged is what the stand-ins recorded, by the strictest bounds of the rules on drains and purges.
+//! Tests of the program with a faulty change log. The change log, the nodes and the clients are simulated, and record
+//! what happens. The records are checked against the strictest bounds of the rules on drains and purges.
 
 mod change_log;
 mod clients;
--- a/crates/dispatcher/tests/outage/nodes.rs
+++ b/crates/dispatcher/tests/outage/nodes.rs
@@ -1,7 +1,7 @@
-//! Stand-ins of caches, parents and an origin: they keep copies, drop purged ones in their own time, refuse when they drain,
-//! and record what they are sent.
+//! Simulated caches, parents and an origin: they store copies, remove purged ones after a delay, refuse fetches while
+//! they drain, and record the fetches that they receive.
 
-use crate::clock::PlayClock;
+use crate::clock::ScenarioClock;
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -9,12 +9,12 @@
 use std::thread;
 use std::time::Duration;
 
-/// A cache takes this long to answer.
+/// The time that a node takes to answer a fetch.
 const ANSWERS_AFTER: Duration = Duration::from_millis(2);
-/// A fill takes so much longer.
+/// The additional time of a fill.
 const FILL_TAKES: Duration = Duration::from_millis(10);
 
-/// What a node is.
+/// The role of a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Role {
     Cache,
@@ -22,27 +22,27 @@
     Origin,
 }
 
-/// A fetch as a node met it.
+/// A fetch, as a node recorded it.
 #[derive(Debug, Clone)]
 pub(crate) struct Fetch {
     pub at: Duration,
     pub node: String,
     pub source: Option<String>,
-    /// It was answered with bytes.
+    /// Whether it was answered with an object.
     pub served: bool,
 }
 
-/// A copy's object, and when the origin gave it out.
+/// The cached objects, each with the Unix time in milliseconds at which the origin sent it.
 type Copies = HashMap<String, u64>;
 
-/// What is wrong with a node.
+/// A fault of a node.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum NodeFault {
-    /// It takes what is sent and answers nothing.
+    /// It reads requests and answers none.
     Hangs,
     /// It answers this much later.
     Slow(Duration),
-    /// It resets a connection under each request.
+    /// It resets the connection on each fetch.
     Resets,
 }
 
@@ -67,12 +67,12 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// It takes no new work from now on, or takes it again.
-    pub(crate) fn drains(&self, drains: bool) {
+    /// Starts or ends the drain of the node.
+    pub(crate) fn set_draining(&self, drains: bool) {
         self.state().drains = drains;
     }
 
-    /// A fault begins, or the one that was ends.
+    /// Starts a fault, or ends the present one.
     pub(crate) fn fault(&self, fault: Option<NodeFault>) {
         self.state().fault = fault;
     }
@@ -81,15 +81,15 @@
 /// All nodes.
 #[derive(Debug, Clone)]
 pub(crate) struct Nodes {
-    clock: PlayClock,
+    clock: ScenarioClock,
     all: Arc<Vec<Node>>,
     fetches: Arc<Mutex<Vec<Fetch>>>,
     probes: Arc<Mutex<u64>>,
 }
 
 impl Nodes {
-    /// Caches, two parents and the origin, each at an address of its own below a network.
-    pub(crate) fn start(clock: PlayClock, network: [u8; 2], caches: usize) -> Self {
+    /// Starts the caches, two parents and the origin, each at its own address in 127.0.0.0/8.
+    pub(crate) fn start(clock: ScenarioClock, network: [u8; 2], caches: usize) -> Self {
         let node = |number: usize, id: String, role| {
             let address = SocketAddr::from(([127, network[0], network[1], 10 + number as u8], 6000));
             Node { id, role, address, state: Mutex::default() }
@@ -104,7 +104,7 @@
             thread::spawn(move || {
                 for stream in listener.incoming().map_while(Result::ok) {
                     let nodes = nodes.clone();
-                    thread::spawn(move || drop(nodes.carry(at, stream)));
+                    thread::spawn(move || drop(nodes.serve_connection(at, stream)));
                 }
             });
         }
@@ -124,12 +124,12 @@
         self.fetches.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// How many probes came.
+    /// The number of probes received.
     pub(crate) fn probes(&self) -> u64 {
         *self.probes.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// All nodes drop what they hold of a group, each in its own time up to a span.
+    /// Removes the old copies of a group from the nodes, one node after another within a time.
     pub(crate) fn purge(&self, group: u64, before_ms: u64, within: Duration) {
         let nodes = self.clone();
         thread::spawn(move || {
@@ -142,8 +142,8 @@
         });
     }
 
-    /// One connection of a dispatcher.
-    fn carry(&self, at: usize, stream: TcpStream) -> std::io::Result<()> {
+    /// Serves one connection of a dispatcher.
+    fn serve_connection(&self, at: usize, stream: TcpStream) -> std::io::Result<()> {
         stream.set_nodelay(true)?;
         let mut write = stream.try_clone()?;
         let mut lines = BufReader::new(stream).lines();
@@ -184,11 +184,11 @@
         let node = &self.all[at];
         let fields: HashMap<_, _> = list.split(',').filter_map(|pair| pair.split_once('=')).collect();
         let source = fields.get("src").filter(|source| **source != node.id).map(|source| source.to_string());
-        let met =
+        let record =
             Fetch { at: self.clock.now(), node: node.id.clone(), source: source.clone(), served: false };
         let number = {
             let mut fetches = self.fetches.lock().unwrap_or_else(PoisonError::into_inner);
-            fetches.push(met);
+            fetches.push(record);
             fetches.len() - 1
         };
         if node.state().fault == Some(NodeFault::Hangs) {
@@ -199,11 +199,11 @@
             return Some(format!("{id} refused - 0\r\n\r\n"));
         }
         let object = fields.get("name")?.to_string();
-        let most_ms = fields.get("maxage").and_then(|most| most.parse().ok());
-        let (made, why) = match self.held(node, &object, most_ms) {
+        let max_age_ms = fields.get("maxage").and_then(|max_age| max_age.parse().ok());
+        let (made, why) = match self.find_copy(node, &object, max_age_ms) {
             Some(made) => (made, "local"),
             None if node.role == Role::Origin => (self.clock.unix_ms(self.clock.now()), "local"),
-            None => match source.map(|source| self.fill(&source, &object, most_ms)) {
+            None => match source.map(|source| self.fill(&source, &object, max_age_ms)) {
                 None => return Some(format!("{id} nothing - 0\r\n\r\n")),
                 Some(Err(why)) => return Some(format!("{id} refused why={why} 0\r\n\r\n")),
                 Some(Ok(filled)) => filled,
@@ -217,19 +217,19 @@
         Some(format!("{id} ok etag={made:016x},made={made},why={why} {}\r\n{body}\r\n", body.len()))
     }
 
-    /// What a node holds of an object, if it is young enough.
-    fn held(&self, node: &Node, object: &str, most_ms: Option<u64>) -> Option<u64> {
+    /// The time of a node's copy of an object, if the copy is young enough.
+    fn find_copy(&self, node: &Node, object: &str, max_age_ms: Option<u64>) -> Option<u64> {
         let now_ms = self.clock.unix_ms(self.clock.now());
         let made = *node.state().copies.get(object)?;
-        most_ms.is_none_or(|most| now_ms.saturating_sub(made) <= most).then_some(made)
+        max_age_ms.is_none_or(|max_age| now_ms.saturating_sub(made) <= max_age).then_some(made)
     }
 
-    /// What a source gives.
+    /// Fetches an object from a source: the time of the copy and the `why` of the answer, or the `why` of the refusal.
     fn fill(
         &self,
         source: &str,
         object: &str,
-        most_ms: Option<u64>,
+        max_age_ms: Option<u64>,
     ) -> Result<(u64, &'static str), &'static str> {
         let source = self.node(source);
         thread::sleep(FILL_TAKES);
@@ -239,7 +239,7 @@
         if source.role == Role::Origin {
             return Ok((self.clock.unix_ms(self.clock.now()), "pulled"));
         }
-        if let Some(made) = self.held(source, object, most_ms) {
+        if let Some(made) = self.find_copy(source, object, max_age_ms) {
             return Ok((made, "pulled"));
         }
         thread::sleep(FILL_TAKES);
@@ -249,7 +249,7 @@
     }
 }
 
-/// Objects are numbered, and so are their groups.
+/// The number of groups.
 pub(crate) const GROUPS: u64 = 8;
 
 /// The group of an object, by its name.
--- a/crates/dispatcher/tests/outage/story.rs
+++ b/crates/dispatcher/tests/outage/story.rs
@@ -1,30 +1,32 @@
-//! A play drawn from a seed: what is quiet for how long, which faults come alone or two at once, which events fall into them,
-//! and how the program ends.
+//! A random scenario generated from a seed: the time before the first fault, one or two faults of the change log,
+//! faults of nodes, drains and purges around them, and how the program ends.
 
 use crate::change_log::LogFault;
-use crate::clients::next_draw;
+use crate::clients::next_random;
 use crate::fleet::{Fleet, Terms};
 use crate::judge::Record;
 use crate::nodes::NodeFault;
 use copperroute_fault_injection::FaultPlan;
 use std::time::Duration;
 
+/// The step of the wall clock in some scenarios.
 const HOUR_MS: i64 = 3_600_000;
-/// After the last fault the play goes on for so long.
+/// How long the scenario goes on after the last action.
 const AFTER_S: f64 = 3.0;
-/// The kill comes at the page's earliest: the longest deadline, 3 s at most, and 0.7 s more after SIGTERM.
+/// When the program is killed after SIGTERM, the earliest time that the rules allow: the longest deadline, 3 s at most,
+/// and 0.7 s more.
 const KILLED_AFTER_S: f64 = 3.7;
 
-/// Draws in a fixed order, so that a seed always tells the same story.
-struct Draws(u64);
+/// Random values in a fixed order, so that a seed always gives the same scenario.
+struct Random(u64);
 
-impl Draws {
+impl Random {
     fn below(&mut self, count: u64) -> u64 {
-        next_draw(&mut self.0) % count
+        next_random(&mut self.0) % count
     }
 
     fn between(&mut self, from: f64, to: f64) -> f64 {
-        from + (to - from) * (next_draw(&mut self.0) >> 11) as f64 / (1_u64 << 53) as f64
+        from + (to - from) * (next_random(&mut self.0) >> 11) as f64 / (1_u64 << 53) as f64
     }
 
     fn one_of<T: Copy>(&mut self, items: &[T]) -> T {
@@ -36,154 +38,154 @@
     }
 }
 
-/// Something that happens at a time.
+/// An action of a scenario.
 #[derive(Debug, Clone, Copy)]
-enum Happening {
+enum Action {
     LogFault(LogFault),
-    LogHeals,
+    EndLogFault,
     NodeFault(u64, NodeFault),
-    NodesHeal,
+    EndNodeFaults,
     Drain(u64),
     DrainParent,
-    Return(u64),
+    Activate(u64),
     PurgeHalf,
     Purge(u64),
-    Move(u8),
+    MoveLog(u8),
     Stop,
     Continue,
     Terminate,
 }
 
-/// A play, drawn from a seed.
+/// A scenario: its settings, and its actions with their times in seconds.
 #[derive(Debug)]
-pub(crate) struct Story {
+pub(crate) struct Scenario {
     seed: u64,
     terms: Terms,
     clock: FaultPlan,
-    crowd: usize,
-    happenings: Vec<(f64, Happening)>,
+    idle_clients: usize,
+    actions: Vec<(f64, Action)>,
     ends: f64,
 }
 
-impl Story {
-    /// The play of a seed, whose first fault comes after a quiet time of these seconds.
-    pub(crate) fn drawn(seed: u64, quiet: [f64; 2]) -> Story {
-        let mut draws = Draws(seed.wrapping_mul(0x2545_f491_4f6c_dd1d));
+impl Scenario {
+    /// Generates the scenario of a seed. The first fault comes after a time within `quiet`, in seconds.
+    pub(crate) fn generate(seed: u64, quiet: [f64; 2]) -> Scenario {
+        let mut random = Random(seed.wrapping_mul(0x2545_f491_4f6c_dd1d));
         let seconds = Duration::from_secs_f64;
         let terms = Terms {
-            drain_grace: seconds(draws.one_of(&[0.5, 1.0, 1.0, 2.0])),
-            purge_notice: seconds(draws.one_of(&[0.3, 0.5, 1.0])),
+            drain_grace: seconds(random.one_of(&[0.5, 1.0, 1.0, 2.0])),
+            purge_notice: seconds(random.one_of(&[0.3, 0.5, 1.0])),
             ..Terms::default()
         };
         let mut clock = FaultPlan::default();
-        if draws.below(4) == 0 {
-            clock = clock.wall(draws.one_of(&[HOUR_MS, -HOUR_MS, 7_000]), draws.below(10_000));
+        if random.below(4) == 0 {
+            clock = clock.wall(random.one_of(&[HOUR_MS, -HOUR_MS, 7_000]), random.below(10_000));
         }
-        let crowd = if draws.below(3) == 0 { 200 } else { 0 };
-        let begins = draws.between(quiet[0], quiet[1]);
-        let lasts = draws.between(3.0, 14.0);
-        let mut happenings = vec![(begins, Happening::LogFault(log_fault(&mut draws)))];
-        if draws.below(3) == 0 {
-            let second = begins + draws.between(0.2, lasts);
-            happenings.push((second, Happening::LogFault(log_fault(&mut draws))));
+        let idle_clients = if random.below(3) == 0 { 200 } else { 0 };
+        let begins = random.between(quiet[0], quiet[1]);
+        let lasts = random.between(3.0, 14.0);
+        let mut actions = vec![(begins, Action::LogFault(log_fault(&mut random)))];
+        if random.below(3) == 0 {
+            let second = begins + random.between(0.2, lasts);
+            actions.push((second, Action::LogFault(log_fault(&mut random))));
         }
         let ends = begins + lasts;
-        happenings.push((ends, Happening::LogHeals));
-        if draws.below(2) == 0 {
-            let node = draws.below(5);
-            let fault = draws.one_of(&[
+        actions.push((ends, Action::EndLogFault));
+        if random.below(2) == 0 {
+            let node = random.below(5);
+            let fault = random.one_of(&[
                 NodeFault::Hangs,
                 NodeFault::Resets,
                 NodeFault::Slow(seconds(0.05)),
                 NodeFault::Slow(seconds(0.4)),
             ]);
-            happenings.push((begins + draws.between(-1.0, lasts), Happening::NodeFault(node, fault)));
-            happenings.push((ends + 0.5, Happening::NodesHeal));
+            actions.push((begins + random.between(-1.0, lasts), Action::NodeFault(node, fault)));
+            actions.push((ends + 0.5, Action::EndNodeFaults));
         }
-        if draws.below(4) == 0 {
-            let stopped = begins + draws.between(-1.0, lasts);
-            happenings.push((stopped, Happening::Stop));
-            happenings.push((stopped + draws.between(0.1, 1.5), Happening::Continue));
+        if random.below(4) == 0 {
+            let stopped = begins + random.between(-1.0, lasts);
+            actions.push((stopped, Action::Stop));
+            actions.push((stopped + random.between(0.1, 1.5), Action::Continue));
         }
-        if draws.below(3) == 0 {
-            let first = begins + draws.between(0.0, lasts);
+        if random.below(3) == 0 {
+            let first = begins + random.between(0.0, lasts);
             for number in 1..=3_u8 {
-                happenings.push((first + 0.3 * f64::from(number), Happening::Move(number)));
+                actions.push((first + 0.3 * f64::from(number), Action::MoveLog(number)));
             }
         }
-        events(&mut draws, begins, lasts, &mut happenings);
-        let last = happenings.iter().map(|(at, _)| *at).fold(ends, f64::max) + AFTER_S;
-        let is_terminated = draws.below(2) == 0;
+        events(&mut random, begins, lasts, &mut actions);
+        let last = actions.iter().map(|(at, _)| *at).fold(ends, f64::max) + AFTER_S;
+        let is_terminated = random.below(2) == 0;
         if is_terminated {
-            happenings.push((last, Happening::Terminate));
+            actions.push((last, Action::Terminate));
         }
-        happenings.sort_by(|a, b| a.0.total_cmp(&b.0));
+        actions.sort_by(|a, b| a.0.total_cmp(&b.0));
         let ends = last + if is_terminated { KILLED_AFTER_S } else { 0.0 };
-        Story { seed, terms, clock, crowd, happenings, ends }
+        Scenario { seed, terms, clock, idle_clients, actions, ends }
     }
 
-    /// Plays it, and hands over what was recorded.
-    pub(crate) fn play(&self) -> Record {
-        let mut fleet = Fleet::on_clock("soak", self.terms, self.seed, &self.clock);
-        let _crowd = fleet.crowd(self.crowd);
-        for (at, happening) in &self.happenings {
-            fleet.until(*at);
-            happen(&mut fleet, *happening);
+    /// Runs the scenario and returns what was recorded.
+    pub(crate) fn run(&self) -> Record {
+        let mut fleet = Fleet::start_with_clock("soak", self.terms, self.seed, &self.clock);
+        let _idle_clients = fleet.idle_clients(self.idle_clients);
+        for (at, action) in &self.actions {
+            fleet.wait_until(*at);
+            perform(&mut fleet, *action);
         }
-        fleet.until(self.ends);
+        fleet.wait_until(self.ends);
         fleet.end()
     }
 }
 
-fn log_fault(draws: &mut Draws) -> LogFault {
-    match draws.below(8) {
+fn log_fault(random: &mut Random) -> LogFault {
+    match random.below(8) {
         0 => LogFault::Refuses,
-        1 => LogFault::Mute,
-        2 => LogFault::AnswersLate(draws.span(0.5, 6.0)),
-        3 => LogFault::BytesLate(draws.span(0.3, 9.0)),
-        4 => LogFault::InPieces(draws.span(0.5, 6.0)),
-        5 => LogFault::BreaksOff,
-        6 => LogFault::NamesOnly,
-        _ => LogFault::EndsEach(draws.span(0.2, 2.5)),
+        1 => LogFault::Silent,
+        2 => LogFault::LateAnswers(random.span(0.5, 6.0)),
+        3 => LogFault::LateBytes(random.span(0.3, 9.0)),
+        4 => LogFault::ByteByByte(random.span(0.5, 6.0)),
+        5 => LogFault::CutsEvents,
+        6 => LogFault::HeartbeatsOnly,
+        _ => LogFault::ClosesEach(random.span(0.2, 2.5)),
     }
 }
 
-/// Drains and purges: some just as the fault begins, some in it, some after it.
-fn events(draws: &mut Draws, begins: f64, lasts: f64, happenings: &mut Vec<(f64, Happening)>) {
-    let at = |draws: &mut Draws| match draws.below(3) {
-        0 => begins + draws.between(0.0, 0.3),
-        1 => begins + draws.between(0.0, lasts),
-        _ => begins + lasts + draws.between(-0.2, 1.0),
+/// Adds drains and purges: some as the fault begins, some during it, some around its end.
+fn events(random: &mut Random, begins: f64, lasts: f64, actions: &mut Vec<(f64, Action)>) {
+    let at = |random: &mut Random| match random.below(3) {
+        0 => begins + random.between(0.0, 0.3),
+        1 => begins + random.between(0.0, lasts),
+        _ => begins + lasts + random.between(-0.2, 1.0),
     };
-    let drained = draws.below(5);
-    let first = at(draws);
-    happenings.push((first, Happening::Drain(drained)));
-    if draws.below(2) == 0 {
-        happenings.push((first + draws.between(1.0, 8.0), Happening::Return(drained)));
+    let drained = random.below(5);
+    let first = at(random);
+    actions.push((first, Action::Drain(drained)));
+    if random.below(2) == 0 {
+        actions.push((first + random.between(1.0, 8.0), Action::Activate(drained)));
     }
-    happenings.push((at(draws), Happening::DrainParent));
-    happenings.push((at(draws), Happening::PurgeHalf));
-    for _ in 0..draws.below(4) {
-        let group = draws.below(8);
-        happenings.push((at(draws), Happening::Purge(group)));
+    actions.push((at(random), Action::DrainParent));
+    actions.push((at(random), Action::PurgeHalf));
+    for _ in 0..random.below(4) {
+        let group = random.below(8);
+        actions.push((at(random), Action::Purge(group)));
     }
 }
 
-fn happen(fleet: &mut Fleet, happening: Happening) {
+fn perform(fleet: &mut Fleet, action: Action) {
     let cache = |number: u64| format!("s-{number}");
-    match happening {
-        Happening::LogFault(fault) => fleet.fault(fault),
-        Happening::LogHeals => fleet.heal(),
-        Happening::NodeFault(node, fault) => fleet.nodes.node(&cache(node)).fault(Some(fault)),
-        Happening::NodesHeal => fleet.nodes.all().iter().for_each(|node| node.fault(None)),
-        Happening::Drain(node) => fleet.drain(&cache(node)),
-        Happening::DrainParent => fleet.drain("p-0"),
-        Happening::Return(node) => fleet.activate(&cache(node)),
-        Happening::PurgeHalf => fleet.purge_half(),
-        Happening::Purge(group) => fleet.purge(group),
-        Happening::Move(number) => fleet.move_log(number),
-        Happening::Stop => fleet.signal("STOP"),
-        Happening::Continue => fleet.signal("CONT"),
-        Happening::Terminate => fleet.signal("TERM"),
+    match action {
+        Action::LogFault(fault) => fleet.fault(fault),
+        Action::EndLogFault => fleet.end_fault(),
+        Action::NodeFault(node, fault) => fleet.nodes.node(&cache(node)).fault(Some(fault)),
+        Action::EndNodeFaults => fleet.nodes.all().iter().for_each(|node| node.fault(None)),
+        Action::Drain(node) => fleet.drain(&cache(node)),
+        Action::DrainParent => fleet.drain("p-0"),
+        Action::Activate(node) => fleet.activate(&cache(node)),
+        Action::PurgeHalf => fleet.purge_half(),
+        Action::Purge(group) => fleet.purge(group),
+        Action::MoveLog(number) => fleet.move_log(number),
+        Action::Stop => fleet.signal("STOP"),
+        Action::Continue => fleet.signal("CONT"),
+        Action::Terminate => fleet.signal("TERM"),
     }
 }
