--- a/crates/dispatcher/tests/outage/change_log.rs
+++ b/crates/dispatcher/tests/outage/change_log.rs
@@ -37,10 +37,10 @@
 /// A connection of a dispatcher, as the change log recorded it.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct LogConnection {
-    /// When its connection was accepted.
+    /// When it was accepted.
     pub accepted: Duration,
     /// When its `since` line arrived.
-    pub asked: Option<Duration>,
+    pub requested: Option<Duration>,
     /// The last event sent, and when its last byte was written.
     pub delivered: Option<(u64, Duration)>,
     /// When the dispatcher or the change log ended it.
@@ -53,7 +53,7 @@
     events: Vec<String>,
     fault: Option<(Duration, LogFault)>,
     log_connections: Vec<LogConnection>,
-    over: bool,
+    stopped: bool,
 }
 
 /// The simulated change log, at any number of addresses.
@@ -80,7 +80,7 @@
         listener.set_nonblocking(true).expect("a listener");
         let log = self.clone();
         thread::spawn(move || {
-            while !log.state().over {
+            while !log.state().stopped {
                 match listener.accept() {
                     Ok((stream, _)) => log.accept(stream),
                     Err(_) => thread::sleep(POLL_INTERVAL),
@@ -112,7 +112,7 @@
 
     /// Stops listening and ends the open connections.
     pub(crate) fn stop(&self) {
-        self.state().over = true;
+        self.state().stopped = true;
     }
 
     fn accept(&self, stream: TcpStream) {
@@ -122,7 +122,12 @@
         let accepted = self.clock.now();
         let number = {
             let mut state = self.state();
-            state.log_connections.push(LogConnection { accepted, asked: None, delivered: None, ended: None });
+            state.log_connections.push(LogConnection {
+                accepted,
+                requested: None,
+                delivered: None,
+                ended: None,
+            });
             state.log_connections.len() - 1
         };
         let log = self.clone();
@@ -148,7 +153,7 @@
     socket: TcpStream,
     number: usize,
     accepted: Duration,
-    asked: Option<Duration>,
+    requested: Option<Duration>,
     /// The last event that was queued.
     sent: u64,
     next_heartbeat: Duration,
@@ -164,9 +169,19 @@
 
 impl Stream {
     fn new(log: ChangeLog, socket: TcpStream, number: usize, accepted: Duration) -> Self {
-        let (asked, sent, next_heartbeat) = (None, 0, Duration::ZERO);
+        let (requested, sent, next_heartbeat) = (None, 0, Duration::ZERO);
         let in_transit = VecDeque::new();
-        Stream { log, socket, number, accepted, asked, sent, next_heartbeat, in_transit, is_silent: false }
+        Stream {
+            log,
+            socket,
+            number,
+            accepted,
+            requested,
+            sent,
+            next_heartbeat,
+            in_transit,
+            is_silent: false,
+        }
     }
 
     fn serve(&mut self) {
@@ -175,16 +190,16 @@
         let mut line = String::new();
         let mut reader = BufReader::new(self.socket.try_clone().expect("a second handle"));
         loop {
-            if self.log.state().over {
+            if self.log.state().stopped {
                 return;
             }
             // A dispatcher sends only its first line: later input is ignored until the connection ends.
-            let came = match self.asked {
+            let came = match self.requested {
                 None => reader.read_line(&mut line).map(|count| count > 0),
                 Some(_) => reader.read(&mut [0; 16]).map(|count| count > 0),
             };
             match came {
-                Ok(true) if self.asked.is_none() && line.ends_with('\n') => self.receive_since(&line),
+                Ok(true) if self.requested.is_none() && line.ends_with('\n') => self.receive_since(&line),
                 Ok(true) => {}
                 Ok(false) => return,
                 Err(fault) if matches!(fault.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
@@ -200,10 +215,10 @@
         let since = line.trim().strip_prefix("since ").and_then(|since| since.parse().ok());
         let now = self.log.clock.now();
         self.sent = since.expect("a number");
-        self.asked = Some(now);
+        self.requested = Some(now);
         // Events follow at once; the first heartbeat is sent a second later.
         self.next_heartbeat = now + HEARTBEAT_INTERVAL;
-        self.log.state().log_connections[self.number].asked = Some(now);
+        self.log.state().log_connections[self.number].requested = Some(now);
     }
 
     /// Queues new events and heartbeats, and writes the bytes that are due.
@@ -226,9 +241,9 @@
         if self.is_silent {
             return Next::Continue;
         }
-        let Some(asked) = self.asked else { return Next::Continue };
+        let Some(requested) = self.requested else { return Next::Continue };
         let late = match fault.map(|(_, fault)| fault) {
-            Some(LogFault::LateAnswers(span)) => asked + span,
+            Some(LogFault::LateAnswers(span)) => requested + span,
             _ => Duration::ZERO,
         };
         if now >= late {
--- a/crates/dispatcher/tests/outage/clients.rs
+++ b/crates/dispatcher/tests/outage/clients.rs
@@ -29,7 +29,6 @@
     Served(u64),
     /// Refused; a retry is safe.
     Refused,
-    /// Failed.
     Failed,
     /// No answer arrived in time.
     TimedOut,
@@ -46,12 +45,12 @@
     pub written: Duration,
     /// How long the answer took, or the wait for one.
     pub took: Duration,
-    pub end: RequestOutcome,
+    pub outcome: RequestOutcome,
 }
 
 /// The clients of one dispatcher.
 pub(crate) struct Clients {
-    over: Arc<AtomicBool>,
+    is_stopped: Arc<AtomicBool>,
     records: Arc<Mutex<Vec<RequestRecord>>>,
     threads: Vec<JoinHandle<()>>,
 }
@@ -65,14 +64,14 @@
         pause: Duration,
         seed: u64,
     ) -> Self {
-        let (over, records) = (Arc::new(AtomicBool::new(false)), Arc::new(Mutex::new(Vec::new())));
+        let (is_stopped, records) = (Arc::new(AtomicBool::new(false)), Arc::new(Mutex::new(Vec::new())));
         static IDS: AtomicU64 = AtomicU64::new(1);
         let client = |number: usize| {
-            let (over, records) = (over.clone(), records.clone());
+            let (is_stopped, records) = (is_stopped.clone(), records.clone());
             thread::spawn(move || {
                 let mut random = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ (number as u64 + 1);
                 let mut connection: Option<Connection> = None;
-                while !over.load(Ordering::Relaxed) {
+                while !is_stopped.load(Ordering::Relaxed) {
                     if connection.is_none() {
                         connection = Connection::open(address);
                         if connection.is_none() {
@@ -82,20 +81,20 @@
                     }
                     let Some(open) = &mut connection else { continue };
                     let id = IDS.fetch_add(1, Ordering::Relaxed);
-                    let asked = open.ask(clock, id, random_object(&mut random));
+                    let request = open.send(clock, id, random_object(&mut random));
                     if !matches!(
-                        asked.end,
+                        request.outcome,
                         RequestOutcome::Served(_) | RequestOutcome::Refused | RequestOutcome::Failed
                     ) {
                         connection = None;
                     }
-                    records.lock().unwrap_or_else(PoisonError::into_inner).push(asked);
+                    records.lock().unwrap_or_else(PoisonError::into_inner).push(request);
                     thread::sleep(pause);
                 }
             })
         };
         let threads = (0..count).map(client).collect();
-        Clients { over, records, threads }
+        Clients { is_stopped, records, threads }
     }
 
     /// All requests so far.
@@ -105,7 +104,7 @@
 
     /// Stops the clients; returns all requests.
     pub(crate) fn stop(mut self) -> Vec<RequestRecord> {
-        self.over.store(true, Ordering::Relaxed);
+        self.is_stopped.store(true, Ordering::Relaxed);
         self.threads.drain(..).for_each(|thread| thread.join().expect("a client ends"));
         self.records()
     }
@@ -142,7 +141,7 @@
         Some(Connection { reader: BufReader::new(stream), tag: 0 })
     }
 
-    fn ask(&mut self, clock: ScenarioClock, id: u64, object: u64) -> RequestRecord {
+    fn send(&mut self, clock: ScenarioClock, id: u64, object: u64) -> RequestRecord {
         self.tag += 1;
         let (object, id) = (format!("{object:016x}"), format!("{id:016x}"));
         let group = group_of(&object);
@@ -153,11 +152,11 @@
         message += &format!("${}\r\n{fields}\r\n$0\r\n\r\n", fields.len());
         let wrote = self.reader.get_mut().write_all(message.as_bytes());
         let written = clock.now();
-        let end = match wrote {
+        let outcome = match wrote {
             Ok(()) => self.answer(),
             Err(_) => RequestOutcome::Closed,
         };
-        RequestRecord { id, group, written, took: clock.now() - written, end }
+        RequestRecord { id, group, written, took: clock.now() - written, outcome }
     }
 
     fn answer(&mut self) -> RequestOutcome {
--- a/crates/dispatcher/tests/outage/fleet.rs
+++ b/crates/dispatcher/tests/outage/fleet.rs
@@ -184,8 +184,8 @@
     pub(crate) fn end(mut self) -> Record {
         self.end_fault();
         let mut record = std::mem::take(&mut self.record);
-        record.asked = self.clients.drain(..).flat_map(Clients::stop).collect();
-        record.asked.sort_by_key(|asked| asked.written);
+        record.requests = self.clients.drain(..).flat_map(Clients::stop).collect();
+        record.requests.sort_by_key(|request| request.written);
         record.fetches = self.nodes.fetches();
         record.probes = self.nodes.probes();
         record.log_connections = self.log.log_connections();
--- a/crates/dispatcher/tests/outage/judge.rs
+++ b/crates/dispatcher/tests/outage/judge.rs
@@ -34,7 +34,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Record {
     pub terms: Terms,
-    pub asked: Vec<RequestRecord>,
+    pub requests: Vec<RequestRecord>,
     pub fetches: Vec<Fetch>,
     pub log_connections: Vec<LogConnection>,
     pub faults: Vec<FaultSpan>,
@@ -52,7 +52,7 @@
 
 impl Record {
     /// When an event that was written at this time counts as delivered.
-    fn delivered(&self, written: Duration) -> Duration {
+    fn delivered_by(&self, written: Duration) -> Duration {
         let Some(last) = self.faults.iter().rposition(|span| span.from <= written) else { return written };
         // Faults without a pause between them count as one: the one that allows the least time decides.
         let mut first = last;
@@ -69,7 +69,11 @@
             _ => span.from + DELIVERED_AFTER_BREAK,
         });
         let began = self.faults[first].from;
-        let reconnects = self.log_connections.iter().filter_map(|call| call.asked).filter(|at| *at >= began);
+        let reconnects = self
+            .log_connections
+            .iter()
+            .filter_map(|connection| connection.requested)
+            .filter(|at| *at >= began);
         written.max(bounds.chain(reconnects).min().unwrap_or(written))
     }
 
@@ -80,7 +84,7 @@
             if *drains {
                 let later = self.listed[at + 1..].iter().find(|line| line.0 == id);
                 let until = later.map_or(Duration::MAX, |line| line.2);
-                spans.push((self.delivered(*written) + self.terms.drain_grace + SLACK, until));
+                spans.push((self.delivered_by(*written) + self.terms.drain_grace + SLACK, until));
             }
         }
         spans
@@ -113,13 +117,14 @@
     pub(crate) fn purge_violations(&self) -> Vec<String> {
         let mut violations = Vec::new();
         for (group, at_ms, written) in &self.purged {
-            let bound = self.delivered(*written) + self.terms.purge_notice + SLACK;
-            let late = self.asked.iter().filter(|asked| asked.group == *group && asked.written > bound);
-            violations.extend(late.filter_map(|asked| match asked.end {
+            let bound = self.delivered_by(*written) + self.terms.purge_notice + SLACK;
+            let late =
+                self.requests.iter().filter(|request| request.group == *group && request.written > bound);
+            violations.extend(late.filter_map(|request| match request.outcome {
                 RequestOutcome::Served(made) if made < *at_ms => Some(format!(
                     "request {} of group {group}, written {:.3}, bound {:.3}, {} ms older than the purge",
-                    asked.id,
-                    s(asked.written),
+                    request.id,
+                    s(request.written),
                     s(bound),
                     at_ms - made
                 )),
@@ -133,30 +138,32 @@
     /// of an idle connection doesn't count: its client retries it.
     pub(crate) fn lost(&self) -> Vec<String> {
         let ended = self.signals.iter().find(|signal| signal.0 == "TERM").map(|signal| signal.1);
-        let must_be_answered =
-            |asked: &&RequestRecord| ended.is_none_or(|ended| asked.written < ended + ACCEPTED_AFTER_TERM);
-        let lost = |asked: &&RequestRecord| match asked.end {
+        let must_be_answered = |request: &&RequestRecord| {
+            ended.is_none_or(|ended| request.written < ended + ACCEPTED_AFTER_TERM)
+        };
+        let lost = |request: &&RequestRecord| match request.outcome {
             RequestOutcome::TimedOut => true,
-            RequestOutcome::Closed => asked.took > CROSSING,
-            _ => asked.took > TIMEOUT + LATE,
+            RequestOutcome::Closed => request.took > CROSSING,
+            _ => request.took > TIMEOUT + LATE,
         };
-        let line = |asked: &RequestRecord| {
+        let line = |request: &RequestRecord| {
             format!(
                 "request {} written {:.3}: {:?} after {:.3} s",
-                asked.id,
-                s(asked.written),
-                asked.end,
-                s(asked.took)
+                request.id,
+                s(request.written),
+                request.outcome,
+                s(request.took)
             )
         };
-        self.asked.iter().filter(must_be_answered).filter(lost).map(line).collect()
+        self.requests.iter().filter(must_be_answered).filter(lost).map(line).collect()
     }
 
     /// The share of the requests written in a span that were served; the span is in seconds.
     pub(crate) fn served(&self, from: f64, until: f64) -> f64 {
-        let within = |asked: &&RequestRecord| s(asked.written) >= from && s(asked.written) < until;
-        let all: Vec<_> = self.asked.iter().filter(within).collect();
-        let served = all.iter().filter(|asked| matches!(asked.end, RequestOutcome::Served(_))).count();
+        let within = |request: &&RequestRecord| s(request.written) >= from && s(request.written) < until;
+        let all: Vec<_> = self.requests.iter().filter(within).collect();
+        let served =
+            all.iter().filter(|request| matches!(request.outcome, RequestOutcome::Served(_))).count();
         served as f64 / all.len().max(1) as f64
     }
 
@@ -164,10 +171,10 @@
     pub(crate) fn summary(&self) -> String {
         let faults: Vec<_> = self.faults.iter().map(|span| format!("{:?}", span.fault)).collect();
         let broken = [self.drain_violations(), self.purge_violations(), self.lost()].map(|lines| lines.len());
-        let (asked, served) = (self.asked.len(), self.served(0.0, f64::MAX));
+        let (requests, served) = (self.requests.len(), self.served(0.0, f64::MAX));
         let [drains, purges, lost] = broken;
         format!(
-            "{}: drains {drains}, purges {purges}, lost {lost}; {served:.3} of {asked} served, {} probes",
+            "{}: drains {drains}, purges {purges}, lost {lost}; {served:.3} of {requests} requests served, {} probes",
             faults.join(" + "),
             self.probes
         )
@@ -202,13 +209,14 @@
             text += &format!("purge of group {group} written {:.3}\n", s(*written));
         }
         self.signals.iter().for_each(|(name, at)| text += &format!("SIG{name} {:.3}\n", s(*at)));
-        for call in &self.log_connections {
+        for connection in &self.log_connections {
             let at = |time: Option<Duration>| time.map_or("-".into(), |time| format!("{:.3}", s(time)));
-            let delivered = call.delivered.map_or("-".into(), |(seq, at)| format!("{seq} at {:.3}", s(at)));
-            let (asked, ended) = (at(call.asked), at(call.ended));
+            let delivered =
+                connection.delivered.map_or("-".into(), |(seq, at)| format!("{seq} at {:.3}", s(at)));
+            let (requested, ended) = (at(connection.requested), at(connection.ended));
             text += &format!(
-                "connection {:.3} requested {asked} delivered {delivered} ended {ended}\n",
-                s(call.accepted)
+                "connection {:.3} requested {requested} delivered {delivered} ended {ended}\n",
+                s(connection.accepted)
             );
         }
         text + &self.lines
--- a/crates/dispatcher/tests/outage/nodes.rs
+++ b/crates/dispatcher/tests/outage/nodes.rs
@@ -53,7 +53,6 @@
     copies: Copies,
 }
 
-/// One node.
 #[derive(Debug)]
 pub(crate) struct Node {
     pub id: String,
@@ -78,7 +77,6 @@
     }
 }
 
-/// All nodes.
 #[derive(Debug, Clone)]
 pub(crate) struct Nodes {
     clock: ScenarioClock,
--- a/crates/dispatcher/tests/outage/reproduction.rs
+++ b/crates/dispatcher/tests/outage/reproduction.rs
@@ -75,7 +75,7 @@
 
 /// When every event of an incident had first been delivered to the program, in seconds.
 fn first_delivered(record: &Record) -> Option<f64> {
-    let delivered = record.log_connections.iter().filter_map(|call| call.delivered);
+    let delivered = record.log_connections.iter().filter_map(|connection| connection.delivered);
     let whole = delivered.filter(|(seq, _)| *seq >= LAST_DRAIN);
     whole.map(|(_, at)| at.as_secs_f64()).min_by(f64::total_cmp)
 }
