--- a/crates/routing/src/fleet/slow_start.rs
+++ b/crates/routing/src/fleet/slow_start.rs
@@ -10,7 +10,7 @@
 //! in it plus what they had saved ([`Rate::max_in_window_s`]). Savings are limited so that this is at most
 //! `MAX_SHARE_OF_RULE` of the N attempts that the rule allows in the window, even if all dispatchers spend all their
 //! savings at once. Random draws add a deviation of the order of sqrt(N); the tested bound is N + 2 sqrt(N) + 2 for
-//! every N (`tests/module/cold_sum.rs`: 1 to 900 dispatchers, N from 2, uneven traffic, bursts after silence,
+//! every N (`tests/module/slow_start_bound.rs`: 1 to 900 dispatchers, N from 2, uneven traffic, bursts after silence,
 //! restarts). Saving one whole attempt per dispatcher would exceed N by far with 300 dispatchers.
 //!
 //! A dispatcher's share assumes the configured number of dispatchers; it can't observe the actual number.
